--- a/Makefile
+++ b/Makefile
@@ -3,10 +3,12 @@
 TOOLS := .tools
 LINT_VERSION := v2.15.0
 LINT := $(TOOLS)/golangci-lint-$(LINT_VERSION)
+GOPLS_VERSION := v0.22.0
+GOPLS := $(TOOLS)/gopls-$(GOPLS_VERSION)
 GO ?= go
 PROGRAMS := jxd jxctl jxload jxfake
 
-.PHONY: all build run test demo lint format unit clean capacity bench-config bench-control bench-decisions bench-overload bench-recovery bench-state bench-throughput
+.PHONY: all build run test demo lint format rename unit clean capacity bench-config bench-control bench-decisions bench-overload bench-recovery bench-state bench-throughput
 
 all: build
 
@@ -59,10 +61,18 @@
 format: $(LINT)
 	$(LINT) fmt ./...
 
-# The linter is built outside of the module, so that its dependencies stay out of go.mod.
+# Takes SYMBOL=file.go:line:column and TO=name; every use of the symbol follows.
+rename: $(GOPLS)
+	$(GOPLS) rename -w $(SYMBOL) $(TO)
+
+# The tools are built outside of the module, so that their dependencies stay out of go.mod.
 $(LINT):
 	GOBIN=$(CURDIR)/$(TOOLS) $(GO) install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
 	mv $(TOOLS)/golangci-lint $@
 
+$(GOPLS):
+	GOBIN=$(CURDIR)/$(TOOLS) $(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(TOOLS)/gopls $@
+
 clean:
 	rm -rf $(BIN)
