--- a/forward/choice_test.go
+++ b/forward/choice_test.go
@@ -10,8 +10,8 @@
 	"junctioncross/models"
 )
 
-// shares draws many lanes and returns how often each was drawn.
-func shares(c *laneChoice) map[int]float64 {
+// drawnShares draws many lanes and returns how often each was drawn.
+func drawnShares(c *laneChoice) map[int]float64 {
 	const draws = 20000
 	out := map[int]float64{}
 	for range draws {
@@ -25,22 +25,22 @@
 	return chain.Lane{Path: chain.Path{Hops: hops, Step: step}, Sequences: 100, Domain: domain}
 }
 
-func TestLanesAreDrawnByRoomSpeedAndPlace(t *testing.T) {
+func TestLanesAreDrawnByRoomSpeedAndDomain(t *testing.T) {
 	c := &laneChoice{domain: "a", load: make([]float64, 3), lanes: []chain.Lane{
 		lane("a", 10*time.Millisecond, 0), lane("b", 10*time.Millisecond, 1), lane("b", 20*time.Millisecond, 2),
 	}}
-	s := shares(c)
-	require.InEpsilon(t, localWorth, s[0]/s[1], 0.25, "the own domain first")
+	s := drawnShares(c)
+	require.InEpsilon(t, ownDomainWeight, s[0]/s[1], 0.25, "the own domain first")
 	require.InEpsilon(t, 4, s[1]/s[2], 0.4, "half as fast is worth a quarter")
-	c.load[0] = fullShare
-	s = shares(c)
+	c.load[0] = maxLaneLoad
+	s = drawnShares(c)
 	require.Zero(t, s[0], "a full lane gets nothing")
 	c.load[1], c.load[2] = 1, 1
 	require.Equal(t, -1, c.pick(), "a full fleet has no lane")
 }
 
-// TestAServerThatTurnsWorkAwayFillsItsLaneAndDoesNotRemoveIt lets one server of two lanes refuse work for want of memory.
-func TestAServerThatTurnsWorkAwayFillsItsLaneAndDoesNotRemoveIt(t *testing.T) {
+// TestALaneCountsAsFullAfterItsServerTurnedWorkAway lets one server of two lanes refuse work for want of memory.
+func TestALaneCountsAsFullAfterItsServerTurnedWorkAway(t *testing.T) {
 	g := twoCopies()
 	var b laneBook
 	now := time.Unix(100, 0)
--- a/forward/cold.go
+++ b/forward/cold.go
@@ -15,18 +15,18 @@
 	if r.group.Graph() == nil {
 		return 0, false
 	}
-	left, cold := h.coldFor(r.group)
+	left, cold := h.coldTimeLeft(r.group)
 	return left, cold && !h.hasReturned(r)
 }
 
-// coldFor returns how much longer the instance expects to have no path for a service that is still being placed: it has had none
+// coldTimeLeft returns how much longer the instance expects to have no path for a service that is still being placed: it has had none
 // since its start, and some layer has no holder in any domain. False means that a path may come at any moment, or is there.
-func (h *Handler) coldFor(group *backend.Group) (time.Duration, bool) {
+func (h *Handler) coldTimeLeft(group *backend.Group) (time.Duration, bool) {
 	now := h.clock.Now()
 	left := firstPathTime - now.Sub(h.watch.start)
 	if left <= 0 || len(group.Servers()) == 0 || group.Graph().Whole() {
 		return 0, false
 	}
-	_, had := h.laneBook(group.Service().Name).pathless(group, now)
+	_, had := h.laneBook(group.Service().Name).outage(group, now)
 	return left, !had
 }
--- a/forward/cold_test.go
+++ b/forward/cold_test.go
@@ -8,25 +8,25 @@
 	"junctioncross/backend"
 )
 
-// TestACallerOfAServiceThatWasNeverPlacedIsToldWhenToComeBack asks for a service of which some layers have had no holder since the
+// TestAServiceThatWasNeverPlacedIsColdUntilItsFirstPathIsExpected asks for a service of which some layers have had no holder since the
 // instance started.
-func TestACallerOfAServiceThatWasNeverPlacedIsToldWhenToComeBack(t *testing.T) {
+func TestAServiceThatWasNeverPlacedIsColdUntilItsFirstPathIsExpected(t *testing.T) {
 	h, clock := testHandler(t, nil)
 	cold := backend.NewGroup(halves().Service(), halves().Servers()[:1])
 	clock.Advance(firstPathTime / 5)
-	left, isCold := h.coldFor(cold)
+	left, isCold := h.coldTimeLeft(cold)
 	require.True(t, isCold)
 	require.Equal(t, firstPathTime-firstPathTime/5, left, "until then the instance expects a path")
 	clock.Advance(firstPathTime)
-	_, isCold = h.coldFor(cold)
+	_, isCold = h.coldTimeLeft(cold)
 	require.False(t, isCold, "it is no longer being placed")
 }
 
 func TestAServiceIsNotColdWhileItsServersAreNotKnownOrHoldAllLayers(t *testing.T) {
 	h, _ := testHandler(t, nil)
-	_, isCold := h.coldFor(backend.NewGroup(halves().Service(), nil))
+	_, isCold := h.coldTimeLeft(backend.NewGroup(halves().Service(), nil))
 	require.False(t, isCold, "the servers are heard of in a moment")
-	_, isCold = h.coldFor(halves())
+	_, isCold = h.coldTimeLeft(halves())
 	require.False(t, isCold, "there is a path, though it may not stay")
 }
 
@@ -34,7 +34,7 @@
 func TestAServiceThatHadAPathIsNotCold(t *testing.T) {
 	h, clock := testHandler(t, nil)
 	g := twoCopies()
-	h.laneBook(g.Service().Name).pathless(g, clock.Now())
-	_, isCold := h.coldFor(backend.NewGroup(g.Service(), g.Servers()[:1]))
+	h.laneBook(g.Service().Name).outage(g, clock.Now())
+	_, isCold := h.coldTimeLeft(backend.NewGroup(g.Service(), g.Servers()[:1]))
 	require.False(t, isCold)
 }
--- a/forward/demand.go
+++ b/forward/demand.go
@@ -10,10 +10,10 @@
 	// recentSlots and slotTime are the parts of the time over which first tries are counted, ten seconds in all: longer than most answers last.
 	recentSlots = 10
 	slotTime    = time.Second
-	// refusedPart is the part of the first tries that are refused from which overload shows, and underRoom the part of the room that first tries
+	// overloadRefusedShare is the part of the first tries that are refused from which overload shows, and sufficientRoomShare the part of the room that first tries
 	// alone would take up to which the room should be enough for them.
-	refusedPart = 0.1
-	underRoom   = 0.9
+	overloadRefusedShare = 0.1
+	sufficientRoomShare  = 0.9
 )
 
 // demand is who asks for the room of a service.
@@ -22,18 +22,18 @@
 	// of the first two, returned ones had been refused before.
 	underWay, returnedUnderWay int
 	waiting, returnedWaiting   int
-	told                       int
-	// tries are the first tries of the last while, refused those of them that were refused, and alone the streams that first tries would
+	toldToRetry                int
+	// firstTries are the first tries of the last while, refusedFirstTries those of them that were refused, and firstTriesAlone the streams that first tries would
 	// keep under way if each was served at once.
-	tries, refused int
-	alone          float64
+	firstTries, refusedFirstTries int
+	firstTriesAlone               float64
 }
 
 // demand returns who asks for room now.
 func (q *queue) demand(now time.Time) demand {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	d := demand{underWay: len(q.underWay), waiting: len(q.waiting), told: q.dueLocked(now, now.Add(time.Hour))}
+	d := demand{underWay: len(q.underWay), waiting: len(q.waiting), toldToRetry: q.dueRetriesLocked(now, now.Add(time.Hour))}
 	for f := range q.underWay {
 		if f.returned {
 			d.returnedUnderWay++
@@ -44,16 +44,16 @@
 			d.returnedWaiting++
 		}
 	}
-	d.tries, d.refused = q.tries.Sum(now), q.refused.Sum(now)
-	perSecond := float64(d.tries) / (recentSlots * slotTime.Seconds())
-	d.alone = perSecond * q.lives.mean().Seconds()
+	d.firstTries, d.refusedFirstTries = q.firstTries.Sum(now), q.refusedFirstTries.Sum(now)
+	perSecond := float64(d.firstTries) / (recentSlots * slotTime.Seconds())
+	d.firstTriesAlone = perSecond * q.lifetimes.mean().Seconds()
 	return d
 }
 
-// outlasts reports whether first tries are refused although they alone would leave room: what keeps them out is what came back, and the cause
+// outlastsCause reports whether first tries are refused although they alone would leave room: what keeps them out is what came back, and the cause
 // of the overload may be gone.
-func (d demand) outlasts(room float64) bool {
-	return d.tries > 0 && float64(d.refused) >= refusedPart*float64(d.tries) && d.alone <= underRoom*room
+func (d demand) outlastsCause(room float64) bool {
+	return d.firstTries > 0 && float64(d.refusedFirstTries) >= overloadRefusedShare*float64(d.firstTries) && d.firstTriesAlone <= sufficientRoomShare*room
 }
 
 // countTry counts a stream that its caller asks for the first time, and countRefused one of them that is refused.
@@ -61,7 +61,7 @@
 	if q := h.queueOf(f.r.group.Service().Name); !f.returned {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		q.tries.Add(h.clock.Now())
+		q.firstTries.Add(h.clock.Now())
 	}
 }
 
@@ -72,7 +72,7 @@
 	q := h.queueOf(f.r.group.Service().Name)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.refused.Add(h.clock.Now())
+	q.refusedFirstTries.Add(h.clock.Now())
 }
 
 // measureDemand tells who asks for the room of a service, against the instance's part of that room.
@@ -84,13 +84,13 @@
 	h.gauge("returned_under_way", "service", name, int64(d.returnedUnderWay))
 	h.gauge("streams_waiting", "service", name, int64(d.waiting))
 	h.gauge("returned_waiting", "service", name, int64(d.returnedWaiting))
-	h.gauge("told_to_come_back", "service", name, int64(d.told))
-	h.gauge("first_tries_recent", "service", name, int64(d.tries))
-	h.gauge("first_tries_refused_recent", "service", name, int64(d.refused))
-	h.gauge("first_tries_alone", "service", name, int64(d.alone))
+	h.gauge("told_to_come_back", "service", name, int64(d.toldToRetry))
+	h.gauge("first_tries_recent", "service", name, int64(d.firstTries))
+	h.gauge("first_tries_refused_recent", "service", name, int64(d.refusedFirstTries))
+	h.gauge("first_tries_alone", "service", name, int64(d.firstTriesAlone))
 	h.gauge("room_part", "service", name, int64(room))
 	outlasts := int64(0)
-	if d.outlasts(room) {
+	if d.outlastsCause(room) {
 		outlasts = 1
 	}
 	h.gauge("overload_outlasts", "service", name, outlasts)
--- a/forward/demand_test.go
+++ b/forward/demand_test.go
@@ -11,7 +11,7 @@
 	"junctioncross/retry"
 )
 
-func TestWhatIsLongAgoIsNoLongerCounted(t *testing.T) {
+func TestOldEventsAreNoLongerCounted(t *testing.T) {
 	c := retry.NewTally(recentSlots, slotTime)
 	now := time.Unix(1000, 0)
 	for n := range 30 {
@@ -32,11 +32,11 @@
 		return &inflight{r: &request{group: g, route: &catalog.Route{}, meta: call.Meta{}}, returned: returned}
 	}
 	for range 3 {
-		q.enter(stream(true), clock.Now())
+		q.addUnderWay(stream(true), clock.Now())
 	}
-	q.enter(stream(false), clock.Now())
+	q.addUnderWay(stream(false), clock.Now())
 	q.join(stream(true))
-	q.promised = append(q.promised, clock.Now().Add(time.Second), clock.Now().Add(time.Minute))
+	q.retryTimes = append(q.retryTimes, clock.Now().Add(time.Second), clock.Now().Add(time.Minute))
 	for range 20 {
 		h.countTry(stream(false))
 		h.countTry(stream(true))
@@ -54,12 +54,12 @@
 		require.Contains(t, got, want+"\n")
 	}
 	for range 2 {
-		q.refused.Add(clock.Now())
+		q.refusedFirstTries.Add(clock.Now())
 	}
 	require.Contains(t, measure(), `jx_overload_outlasts{service="s"} 1`, "a tenth is refused, and the room is many times what they need")
 	for range 8000 {
 		h.countTry(stream(false))
-		q.refused.Add(clock.Now())
+		q.refusedFirstTries.Add(clock.Now())
 	}
 	require.Contains(t, measure(), `jx_overload_outlasts{service="s"} 0`, "they ask for more than the room: the cause is there")
 	clock.Advance(time.Minute)
@@ -70,7 +70,7 @@
 func BenchmarkMeasureDemand(b *testing.B) {
 	q, now := newQueue(), time.Unix(1000, 0)
 	for range 10000 {
-		q.enter(&inflight{}, now)
+		q.addUnderWay(&inflight{}, now)
 	}
 	for b.Loop() {
 		q.demand(now)
--- a/forward/forecast_test.go
+++ b/forward/forecast_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// livesOf returns a sample that holds nothing but one life.
-func livesOf(life time.Duration) *sample {
-	s := newSample(lifeAtFirst)
+// constantSample returns a sample that holds nothing but one life.
+func constantSample(life time.Duration) *sample {
+	s := newSample(initialLifetime)
 	for range sampleMost {
 		s.add(life)
 	}
@@ -18,7 +18,7 @@
 }
 
 func TestASampleForgetsTheOldest(t *testing.T) {
-	s := livesOf(2 * time.Second)
+	s := constantSample(2 * time.Second)
 	require.Equal(t, 2*time.Second, s.mean())
 	require.Len(t, s.sorted, sampleMost)
 	require.Equal(t, 2*time.Second, s.sorted[0], "what was assumed at first is gone")
@@ -29,64 +29,64 @@
 	require.Equal(t, 2*time.Second, s.quantile(0.6))
 }
 
-func TestWhatHasLastedLongEndsSoonIfSuchThingsDo(t *testing.T) {
-	s := livesOf(2 * time.Second)
-	require.InDelta(t, 0, s.within(0, time.Second), 0.01, "a young stream")
-	require.InDelta(t, 1, s.within(1900*time.Millisecond, 200*time.Millisecond), 0.01, "an old one")
-	require.InDelta(t, 0.28, s.within(3*time.Second, time.Second), 0.01, "older than any that was seen: as long again")
-	require.InDelta(t, 1900, s.until(100*time.Millisecond, 0.9, time.Minute).Milliseconds(), float64(timeStep.Milliseconds()))
-	require.Equal(t, time.Second, s.until(100*time.Millisecond, 0.9, time.Second), "not before the limit")
+func TestTheLikelihoodOfAnEndDependsOnTheAge(t *testing.T) {
+	s := constantSample(2 * time.Second)
+	require.InDelta(t, 0, s.endLikelihood(0, time.Second), 0.01, "a young stream")
+	require.InDelta(t, 1, s.endLikelihood(1900*time.Millisecond, 200*time.Millisecond), 0.01, "an old one")
+	require.InDelta(t, 0.28, s.endLikelihood(3*time.Second, time.Second), 0.01, "older than any that was seen: as long again")
+	require.InDelta(t, 1900, s.timeToEnd(100*time.Millisecond, 0.9, time.Minute).Milliseconds(), float64(timePrecision.Milliseconds()))
+	require.Equal(t, time.Second, s.timeToEnd(100*time.Millisecond, 0.9, time.Second), "not before the limit")
 }
 
 func TestRoomIsPredictedFromTheStreamsThatEnd(t *testing.T) {
-	c := forecast{lives: livesOf(2 * time.Second), gain: 1}
+	c := forecast{lifetimes: constantSample(2 * time.Second), placesPerEnd: 1}
 	for i := range 20 {
 		c.ages = append(c.ages, time.Duration(i)*100*time.Millisecond)
 	}
-	require.InDelta(t, 1, c.rooms(100*time.Millisecond), 0.05, "one of twenty streams of two seconds ends in a tenth of a second")
-	require.InDelta(t, 3, c.rooms(300*time.Millisecond), 0.15)
-	require.InDelta(t, 30, c.rooms(3*time.Second), 0.3, "those that follow them end at the same rate")
+	require.InDelta(t, 1, c.expectedPlaces(100*time.Millisecond), 0.05, "one of twenty streams of two seconds ends in a tenth of a second")
+	require.InDelta(t, 3, c.expectedPlaces(300*time.Millisecond), 0.15)
+	require.InDelta(t, 30, c.expectedPlaces(3*time.Second), 0.3, "those that follow them end at the same rate")
 	require.Greater(t, c.likelihood(1, 300*time.Millisecond), 0.85)
 	require.Less(t, c.likelihood(6, 300*time.Millisecond), 0.2, "for the sixth it takes longer")
 	require.Zero(t, c.likelihood(1, 0))
-	require.InDelta(t, 700, c.by(6, median, time.Minute).Milliseconds(), 150)
-	c.gain = 2
-	require.InDelta(t, 2, c.rooms(100*time.Millisecond), 0.2, "the streams of others make room as well")
+	require.InDelta(t, 700, c.timeFor(6, median, time.Minute).Milliseconds(), 150)
+	c.placesPerEnd = 2
+	require.InDelta(t, 2, c.expectedPlaces(100*time.Millisecond), 0.2, "the streams of others make room as well")
 }
 
-// drawLife draws the life of a stream: a second and more.
-func drawLife(random *rand.Rand) time.Duration {
+// drawLifetime draws the life of a stream: a second and more.
+func drawLifetime(random *rand.Rand) time.Duration {
 	return time.Duration((1 + random.ExpFloat64()) * float64(time.Second))
 }
 
 // drawStream draws the age and the life of a stream that is met under way: long ones are met more often, each at any age alike.
 func drawStream(random *rand.Rand) (age, life time.Duration) {
 	for {
-		life = drawLife(random)
+		life = drawLifetime(random)
 		if random.Float64()*float64(10*time.Second) < float64(life) {
 			return time.Duration(random.Float64() * float64(life)), life
 		}
 	}
 }
 
-// TestPredictedWaitsComeTrueAsOftenAsStated draws streams with fixed seeds, of which one instance sees some and another number makes
+// TestPredictedLikelihoodsAreCalibrated draws streams with fixed seeds, of which one instance sees some and another number makes
 // room, and counts how often the n-th room came in time.
-func TestPredictedWaitsComeTrueAsOftenAsStated(t *testing.T) {
+func TestPredictedLikelihoodsAreCalibrated(t *testing.T) {
 	const streams, rounds, places = 30, 4000, 4
 	within := 300 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
 	stated, came := 0.0, 0.0
 	for range rounds {
-		lives := newSample(lifeAtFirst)
+		lives := newSample(initialLifetime)
 		for range sampleMost {
-			lives.add(drawLife(random))
+			lives.add(drawLifetime(random))
 		}
-		c, rooms := forecast{lives: &lives, gain: 1}, 0
+		c, rooms := forecast{lifetimes: &lives, placesPerEnd: 1}, 0
 		for range streams {
 			age, _ := drawStream(random)
 			c.ages = append(c.ages, age)
 		}
-		rate := (random.ExpFloat64() + random.ExpFloat64() + random.ExpFloat64()) / evenness
+		rate := (random.ExpFloat64() + random.ExpFloat64() + random.ExpFloat64()) / dispersion
 		for range int(streams*rate + 0.5) {
 			if age, life := drawStream(random); life-age <= within {
 				rooms++
--- a/forward/gauges.go
+++ b/forward/gauges.go
@@ -55,6 +55,6 @@
 	h.gauge("memory_word_age_ms", "service", name, oldest.Milliseconds())
 }
 
-func (h *Handler) gauge(what, label, of string, value int64) {
-	h.stats.Gauge(fmt.Sprintf("%s{%s=%q}", what, label, of)).Update(value)
+func (h *Handler) gauge(name, label, labelValue string, value int64) {
+	h.stats.Gauge(fmt.Sprintf("%s{%s=%q}", name, label, labelValue)).Update(value)
 }
--- a/forward/gauges_test.go
+++ b/forward/gauges_test.go
@@ -35,7 +35,7 @@
 	require.Contains(t, scrape(t, h), `jx_repeats_left{service="s"} 10`, "no request counts any more, and no repeat")
 }
 
-func TestServersPathsAndTheAgeOfTheirWordAreGauges(t *testing.T) {
+func TestServersPathsAndReportAgesAreGauges(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	for _, s := range g.Servers() {
--- a/forward/lanelog.go
+++ b/forward/lanelog.go
@@ -13,15 +13,15 @@
 	name := group.Service().Name
 	lanes, changed := h.laneBook(name).get(group, now)
 	if changed && h.lanesTold.may(name, now) {
-		h.tellLanes(name, lanes)
+		h.logLanes(name, lanes)
 	}
 	return lanes
 }
 
 func sameLane(a, b chain.Lane) bool { return a.Sequences == b.Sequences && a.Domain == b.Domain }
 
-// tellLanes writes how many sequences the lanes of the own domain, of others, and those that cross have memory for.
-func (h *Handler) tellLanes(service string, lanes []chain.Lane) {
+// logLanes writes how many sequences the lanes of the own domain, of others, and those that cross have memory for.
+func (h *Handler) logLanes(service string, lanes []chain.Lane) {
 	own, others, crossing := h.sequences(lanes)
 	h.record.Routine("", "lanes", decision.Fields{
 		"service": service, "lanes": len(lanes), "own_domain": own, "other_domains": others, "crossing": crossing,
--- a/forward/lanes.go
+++ b/forward/lanes.go
@@ -17,14 +17,14 @@
 	// spare is memory for the next states.
 	spare []serverState
 	lanes []chain.Lane
-	// without is since when there has been no lane, as far as asked.
-	without time.Time
-	// crossing is since when all lanes cross domains, while there has been no other; zero when there is none.
-	crossing time.Time
-	// had is true once there was a lane that is likely to stay.
-	had bool
-	// back is when there is a lane again, as last worked out.
-	back laneReturn
+	// withoutLaneSince is since when there has been no lane, as far as asked.
+	withoutLaneSince time.Time
+	// crossingSince is since when all lanes cross domains, while there has been no other; zero when there is none.
+	crossingSince time.Time
+	// hadSettledLane is true once there was a lane that is likely to stay.
+	hadSettledLane bool
+	// recovery is when there is a lane again, as last worked out.
+	recovery laneRecovery
 }
 
 // serverState is what the lanes depend on beside the group.
@@ -47,7 +47,7 @@
 	}
 	b.group, b.states, b.spare = group, states, b.states
 	// When there is a lane again depends on all servers, not only on those that want nothing.
-	b.back = laneReturn{}
+	b.recovery = laneRecovery{}
 	former := b.lanes
 	b.lanes = usualLanes(group, func(i int) bool { return states[i].usable }, func(i int) float64 { return states[i].pace })
 	return b.lanes, !slices.EqualFunc(former, b.lanes, sameLane)
@@ -61,9 +61,9 @@
 }
 
 const (
-	// pathlessTime is how long a service may lack a whole path before the instance asks for no more callers: repairs and
+	// maxPathOutage is how long a service may lack a whole path before the instance asks for no more callers: repairs and
 	// loads of spare servers take about as long.
-	pathlessTime = time.Second
+	maxPathOutage = time.Second
 	// settleTime is how long a first path that crosses domains must have stood: while domains lack layers the leader moves servers
 	// every 0.2 s, and an instance hears of that some 0.3 s later.
 	settleTime = time.Second
@@ -80,16 +80,16 @@
 		if group.Graph() == nil {
 			continue
 		}
-		without, had := h.laneBook(name).pathless(group, now)
-		if !had && starting || had && without >= pathlessTime && h.cutOff(group, now) {
+		without, had := h.laneBook(name).outage(group, now)
+		if !had && starting || had && without >= maxPathOutage && h.partitioned(group, now) {
 			return name
 		}
 	}
 	return ""
 }
 
-// cutOff reports whether no server of another domain can be used, although there are some.
-func (h *Handler) cutOff(group *backend.Group, now time.Time) bool {
+// partitioned reports whether no server of another domain can be used, although there are some.
+func (h *Handler) partitioned(group *backend.Group, now time.Time) bool {
 	others := false
 	for _, s := range group.Servers() {
 		if s.Domain() == h.terms.Load().Domain || s.Leaving() {
@@ -104,20 +104,20 @@
 	return others
 }
 
-// pathless returns for how long there has been no lane, as far as asked, and whether there ever was one that is likely to stay.
-func (b *laneBook) pathless(group *backend.Group, now time.Time) (without time.Duration, had bool) {
+// outage returns for how long there has been no lane, as far as asked, and whether there ever was one that is likely to stay.
+func (b *laneBook) outage(group *backend.Group, now time.Time) (without time.Duration, had bool) {
 	lanes, _ := b.get(group, now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(lanes) > 0 {
-		b.without, b.had = time.Time{}, b.had || b.settledLocked(lanes, now)
-		return 0, b.had
+		b.withoutLaneSince, b.hadSettledLane = time.Time{}, b.hadSettledLane || b.settledLocked(lanes, now)
+		return 0, b.hadSettledLane
 	}
-	b.crossing = time.Time{}
-	if b.without.IsZero() {
-		b.without = now
+	b.crossingSince = time.Time{}
+	if b.withoutLaneSince.IsZero() {
+		b.withoutLaneSince = now
 	}
-	return now.Sub(b.without), b.had
+	return now.Sub(b.withoutLaneSince), b.hadSettledLane
 }
 
 // settledLocked reports whether the first lanes are likely to stay: servers move while their domain lacks layers.
@@ -125,8 +125,8 @@
 	if slices.ContainsFunc(lanes, func(l chain.Lane) bool { return l.Crossings == 0 }) {
 		return true
 	}
-	if b.crossing.IsZero() {
-		b.crossing = now
+	if b.crossingSince.IsZero() {
+		b.crossingSince = now
 	}
-	return now.Sub(b.crossing) >= settleTime
+	return now.Sub(b.crossingSince) >= settleTime
 }
--- a/forward/lanes_test.go
+++ b/forward/lanes_test.go
@@ -53,7 +53,7 @@
 	near := newLaneChoice(g, lanes, "a", 1, now)
 	require.GreaterOrEqual(t, near.pick(), 0)
 	for i := range near.load {
-		near.load[i] = fullShare
+		near.load[i] = maxLaneLoad
 	}
 	require.Equal(t, -1, near.pick(), "a full fleet has no lane")
 	far := newLaneChoice(g, lanes, "b", 1, now)
@@ -72,31 +72,31 @@
 	return backend.NewGroup(g.Service(), servers)
 }
 
-// TestAFirstPathThatCrossesDomainsCountsOnceItHasStood shows a fleet that is being placed: both domains still lack layers, so that
+// TestAFirstPathAcrossDomainsCountsOnceItHasSettled shows a fleet that is being placed: both domains still lack layers, so that
 // servers are about to move.
-func TestAFirstPathThatCrossesDomainsCountsOnceItHasStood(t *testing.T) {
+func TestAFirstPathAcrossDomainsCountsOnceItHasSettled(t *testing.T) {
 	var b laneBook
 	now := time.Unix(100, 0)
-	_, had := b.pathless(halves(), now)
+	_, had := b.outage(halves(), now)
 	require.False(t, had, "servers are about to move")
-	_, had = b.pathless(halves(), now.Add(settleTime-1))
+	_, had = b.outage(halves(), now.Add(settleTime-1))
 	require.False(t, had)
-	_, had = b.pathless(halves(), now.Add(settleTime))
+	_, had = b.outage(halves(), now.Add(settleTime))
 	require.True(t, had, "domains that cannot hold the model by themselves are served as well")
 }
 
-func TestAFirstPathThatIsInterruptedHasToStandAnew(t *testing.T) {
+func TestAnInterruptedFirstPathHasToSettleAgain(t *testing.T) {
 	var b laneBook
 	now := time.Unix(100, 0)
-	b.pathless(halves(), now)
-	b.pathless(backend.NewGroup(halves().Service(), halves().Servers()[:1]), now.Add(settleTime/2))
-	_, had := b.pathless(halves(), now.Add(settleTime))
+	b.outage(halves(), now)
+	b.outage(backend.NewGroup(halves().Service(), halves().Servers()[:1]), now.Add(settleTime/2))
+	_, had := b.outage(halves(), now.Add(settleTime))
 	require.False(t, had)
 }
 
 func TestAFirstPathWithinADomainCountsAtOnce(t *testing.T) {
 	var b laneBook
-	without, had := b.pathless(twoCopies(), time.Unix(100, 0))
+	without, had := b.outage(twoCopies(), time.Unix(100, 0))
 	require.Zero(t, without)
 	require.True(t, had, "servers of a domain that lacks nothing stay where they are")
 }
--- a/forward/pass.go
+++ b/forward/pass.go
@@ -14,8 +14,8 @@
 		return errMalformed
 	}
 	q := h.queueOf(f.first.Service())
-	q.enter(f, f.r.x.Arrived())
-	defer q.exit(f)
+	q.addUnderWay(f, f.r.x.Arrived())
+	defer q.removeUnderWay(f)
 	reader := httputil.NewChunkedReader(s.conn.Reader)
 	buffer := make([]byte, streamBuffer)
 	for {
@@ -62,7 +62,7 @@
 		h.stats.Histogram("pause_ms").Update(waited.Milliseconds())
 		return
 	}
-	h.queueOf(f.first.Service()).began(waited)
+	h.queueOf(f.first.Service()).observeFirstEvent(waited)
 	f.firstEvent = h.clock.Since(f.r.x.Arrived())
 	h.stats.Histogram("first_event_ms").Update(f.firstEvent.Milliseconds())
 	predicted := time.Duration(f.expected.Load())
--- a/forward/path.go
+++ b/forward/path.go
@@ -16,40 +16,40 @@
 	if prompt == 0 {
 		prompt = engine.UsualPrompt
 	}
-	answer := expectedAnswer(r.meta.HintTokens, engine.UsualAnswer)
+	answer := expectedAnswerTokens(r.meta.HintTokens, engine.UsualAnswer)
 	if r.meta.AnswerTokens > 0 {
 		answer = min(answer, r.meta.AnswerTokens)
 	}
 	return chain.Need{Prompt: prompt, Tokens: prompt + answer, Domain: h.terms.Load().Domain}
 }
 
-// hintTrust is the weight of a caller's estimate against the usual answer, on a scale of orders of magnitude: estimates are
+// hintWeight is the weight of a caller's estimate against the usual answer, on a scale of orders of magnitude: estimates are
 // right in the middle, but often off by half, while answers differ by as much as their length.
-const hintTrust = 0.7
+const hintWeight = 0.7
 
-// expectedAnswer returns the tokens that an answer is expected to have.
-func expectedAnswer(hint, usual int) int {
+// expectedAnswerTokens returns the tokens that an answer is expected to have.
+func expectedAnswerTokens(hint, usual int) int {
 	if hint < 1 || usual < 1 {
 		return max(hint, usual)
 	}
-	return int(math.Pow(float64(hint), hintTrust) * math.Pow(float64(usual), 1-hintTrust))
+	return int(math.Pow(float64(hint), hintWeight) * math.Pow(float64(usual), 1-hintWeight))
 }
 
 // streamSlack covers answers that are longer and steps that are slower than expected.
 const streamSlack = 2.0
 
 const (
-	// Callers leave a stream after the longest of leastPatience, so many times the objective, and so many times the accepted
+	// Callers leave a stream after the longest of minPatience, so many times the objective, and so many times the accepted
 	// pause without an event, as the users' clients do.
-	leastPatience      = 2 * time.Second
-	objectivesPatience = 4
-	pausesPatience     = 8
+	minPatience          = 2 * time.Second
+	patiencePerObjective = 4
+	patiencePerPause     = 8
 )
 
 // patienceOf returns how long callers wait for the next event before they leave; a stream that cannot go on within that time
 // is better broken off at once.
 func patienceOf(r *catalog.Route) time.Duration {
-	return max(leastPatience, objectivesPatience*r.Objective, pausesPatience*r.PauseObjective)
+	return max(minPatience, patiencePerObjective*r.Objective, patiencePerPause*r.PauseObjective)
 }
 
 // choosePath returns a path for a whole stream: a lane with room, or when there is none because servers are missing, any
@@ -68,7 +68,7 @@
 	lanes := h.lanesOf(group, now)
 	if len(lanes) > 0 {
 		choice := newLaneChoice(group, lanes, h.terms.Load().Domain, h.census.Instances(), now)
-		choice.steps, choice.left = int(streamSlack*float64(f.need.Tokens-f.need.Prompt)), h.remaining(f.r)
+		choice.steps, choice.timeLeft = int(streamSlack*float64(f.need.Tokens-f.need.Prompt)), h.remaining(f.r)
 		i := choice.pick()
 		if i < 0 {
 			return placed{}, false
--- a/forward/queue.go
+++ b/forward/queue.go
@@ -13,18 +13,18 @@
 const (
 	// roomPoll is how often a waiting request looks for room.
 	roomPoll = 15 * time.Millisecond
-	// lifeAtFirst, firstEventAtFirst and pathlessAtFirst are the mean life of a stream, the mean time to its first event and the mean
+	// initialLifetime, initialFirstEvent and initialOutage are the mean life of a stream, the mean time to its first event and the mean
 	// time without a path that are assumed before any was seen: an answer of usual length, a prompt that is read at once, and more
 	// than a caller waits, since it is not known that a path comes back in time.
-	lifeAtFirst       = 3 * time.Second
-	firstEventAtFirst = 100 * time.Millisecond
-	pathlessAtFirst   = 3 * time.Second
-	// usualPart is the part of first events that come within the usual time.
-	usualPart = 0.75
-	// gainAtFirst is the weight of the assumption that each own stream that ends makes one room, in streams; gainMost is the
+	initialLifetime   = 3 * time.Second
+	initialFirstEvent = 100 * time.Millisecond
+	initialOutage     = 3 * time.Second
+	// usualQuantile is the part of first events that come within the usual time.
+	usualQuantile = 0.75
+	// initialEnds is the weight of the assumption that each own stream that ends makes one room, in streams; maxEnds is the
 	// number of ends after which older ones count half.
-	gainAtFirst = 8.0
-	gainMost    = 64.0
+	initialEnds = 8.0
+	maxEnds     = 64.0
 )
 
 // queue holds the requests of one service that wait for room: the more urgent first, among these those whose callers have come back,
@@ -35,25 +35,25 @@
 	waiting []*inflight
 	// underWay holds the streams that have room, and when they arrived.
 	underWay map[*inflight]time.Time
-	// lives, firsts and spells are how long streams take, how long their first events take and how long there was no path.
-	lives, firsts, spells sample
+	// lifetimes, firstEvents and outages are how long streams take, how long their first events take and how long there was no path.
+	lifetimes, firstEvents, outages sample
 	// ratios are how long answers took against what was predicted, in ratioUnit.
 	ratios sample
-	// without is since when there has been no path, as far as asked; zero while there is one.
-	without time.Time
-	// ends and gains count own streams that ended while a request waited, and those that found room after a wait.
-	ends, gains float64
-	// promised holds when refused callers were told to come back, in no order.
-	promised []time.Time
-	// tries and refused count the latest first tries, and those of them that were refused.
-	tries, refused *retry.Tally
+	// outageSince is since when there has been no path, as far as asked; zero while there is one.
+	outageSince time.Time
+	// endedWhileWaiting and admitted count own streams that ended while a request waited, and those that found room after a wait.
+	endedWhileWaiting, admitted float64
+	// retryTimes holds when refused callers were told to come back, in no order.
+	retryTimes []time.Time
+	// firstTries and refusedFirstTries count the latest first tries, and those of them that were refused.
+	firstTries, refusedFirstTries *retry.Tally
 }
 
 func newQueue() *queue {
 	return &queue{
-		lives: newSample(lifeAtFirst), firsts: newSample(firstEventAtFirst), spells: newSample(pathlessAtFirst), ratios: newSample(ratioUnit),
-		ends: gainAtFirst, gains: gainAtFirst, underWay: map[*inflight]time.Time{},
-		tries: retry.NewTally(recentSlots, slotTime), refused: retry.NewTally(recentSlots, slotTime),
+		lifetimes: newSample(initialLifetime), firstEvents: newSample(initialFirstEvent), outages: newSample(initialOutage), ratios: newSample(ratioUnit),
+		endedWhileWaiting: initialEnds, admitted: initialEnds, underWay: map[*inflight]time.Time{},
+		firstTries: retry.NewTally(recentSlots, slotTime), refusedFirstTries: retry.NewTally(recentSlots, slotTime),
 	}
 }
 
@@ -69,14 +69,14 @@
 	return at
 }
 
-// mostOvertaken is how often more urgent requests may go before one that has waited longer, so that under lasting overload the less
+// maxOvertaken is how often more urgent requests may go before one that has waited longer, so that under lasting overload the less
 // urgent ones still get a quarter of the turns.
-const mostOvertaken = 3
+const maxOvertaken = 3
 
 // before reports whether a request goes before one that has waited longer.
 func (f *inflight) before(other *inflight) bool {
 	if c := f.r.urgency.compare(other.r.urgency); c != 0 {
-		return c < 0 && other.r.overtaken < mostOvertaken
+		return c < 0 && other.r.overtaken < maxOvertaken
 	}
 	return f.returned && !other.returned
 }
@@ -95,22 +95,22 @@
 	}
 }
 
-// first reports whether it is a request's turn.
-func (q *queue) first(f *inflight) bool {
+// isFirst reports whether it is a request's turn.
+func (q *queue) isFirst(f *inflight) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.waiting) > 0 && q.waiting[0] == f
 }
 
-// enter notes that a stream which arrived at a moment has room.
-func (q *queue) enter(f *inflight, arrived time.Time) {
+// addUnderWay notes that a stream which arrived at a moment has room.
+func (q *queue) addUnderWay(f *inflight, arrived time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.underWay[f] = arrived
 }
 
-// exit notes that a stream has given its room back.
-func (q *queue) exit(f *inflight) {
+// removeUnderWay notes that a stream has given its room back.
+func (q *queue) removeUnderWay(f *inflight) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.underWay, f)
@@ -120,38 +120,38 @@
 func (q *queue) ended(life time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.lives.add(life)
+	q.lifetimes.add(life)
 	if len(q.waiting) > 0 {
-		q.ends++
+		q.endedWhileWaiting++
 	}
-	if q.ends > gainMost {
-		q.ends, q.gains = q.ends/2, q.gains/2
+	if q.endedWhileWaiting > maxEnds {
+		q.endedWhileWaiting, q.admitted = q.endedWhileWaiting/2, q.admitted/2
 	}
 }
 
-// pathless notes whether there is a path now, and returns for how long there has been none, or was none until now.
-func (q *queue) pathless(path bool, now time.Time) (spell time.Duration, none bool) {
+// observePath notes whether there is a path now, and returns for how long there has been none, or was none until now.
+func (q *queue) observePath(path bool, now time.Time) (outage time.Duration, ongoing bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.without.IsZero() {
-		spell = now.Sub(q.without)
+	if !q.outageSince.IsZero() {
+		outage = now.Sub(q.outageSince)
 	}
 	switch {
-	case path && spell > 0:
-		q.spells.add(spell)
-		q.without = time.Time{}
-	case !path && q.without.IsZero():
-		q.without = now
+	case path && outage > 0:
+		q.outages.add(outage)
+		q.outageSince = time.Time{}
+	case !path && q.outageSince.IsZero():
+		q.outageSince = now
 	}
-	return spell, !path
+	return outage, !path
 }
 
 // forecastLocked returns what is predicted from the streams under way that move, by their ages: one that stands still gives no
 // room back, as when the instance is cut off.
-func (q *queue) forecastLocked(now time.Time, still func(*inflight) bool) forecast {
-	c := forecast{lives: &q.lives, ages: make([]time.Duration, 0, len(q.underWay)), gain: q.gains / q.ends}
+func (q *queue) forecastLocked(now time.Time, stalled func(*inflight) bool) forecast {
+	c := forecast{lifetimes: &q.lifetimes, ages: make([]time.Duration, 0, len(q.underWay)), placesPerEnd: q.admitted / q.endedWhileWaiting}
 	for f, arrived := range q.underWay {
-		if !still(f) {
+		if !stalled(f) {
 			c.ages = append(c.ages, now.Sub(arrived))
 		}
 	}
@@ -169,16 +169,16 @@
 		places += other.places()
 	}
 	if !f.returned {
-		places += float64(q.dueLocked(now, until))
+		places += float64(q.dueRetriesLocked(now, until))
 	}
 	return places
 }
 
-// dueLocked returns how many refused callers come back until a moment, and forgets those who should have come already.
-func (q *queue) dueLocked(now, until time.Time) int {
-	q.promised = slices.DeleteFunc(q.promised, func(at time.Time) bool { return at.Before(now) })
+// dueRetriesLocked returns how many refused callers come back until a moment, and forgets those who should have come already.
+func (q *queue) dueRetriesLocked(now, until time.Time) int {
+	q.retryTimes = slices.DeleteFunc(q.retryTimes, func(at time.Time) bool { return at.Before(now) })
 	due := 0
-	for _, at := range q.promised {
+	for _, at := range q.retryTimes {
 		if !at.After(until) {
 			due++
 		}
@@ -186,32 +186,32 @@
 	return due
 }
 
-// gained notes that a request found room after a wait.
-func (q *queue) gained() {
+// countAdmitted notes that a request found room after a wait.
+func (q *queue) countAdmitted() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gains++
+	q.admitted++
 }
 
-// began takes the time to a first event into account.
-func (q *queue) began(after time.Duration) {
+// observeFirstEvent takes the time to a first event into account.
+func (q *queue) observeFirstEvent(after time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.firsts.add(after)
+	q.firstEvents.add(after)
 }
 
-// usualFirst returns the time in which most first events come.
-func (q *queue) usualFirst() time.Duration {
+// usualFirstEvent returns the time in which most first events come.
+func (q *queue) usualFirstEvent() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.firsts.quantile(usualPart)
+	return q.firstEvents.quantile(usualQuantile)
 }
 
 // awaitPath returns the path for the next attempt. A first attempt waits its turn for room, as long as that is likely to leave time
 // for the answer to begin within its objective, and not at all otherwise.
 func (h *Handler) awaitPath(ctx context.Context, f *inflight) (chain.Path, bool) {
 	r, q := f.r, h.queueOf(f.r.group.Service().Name)
-	h.pathless(r, q, h.clock.Now())
+	h.lanesAndOutage(r, q, h.clock.Now())
 	// While nobody waits there is nobody to go before: those that arrive together all take the room that there is.
 	if q.empty() {
 		if path, ok := h.choosePath(f); ok {
@@ -220,7 +220,7 @@
 	}
 	q.join(f)
 	defer q.leave(f)
-	return h.awaitTurn(ctx, f, q, r.x.Arrived().Add(h.mayWait(f, q)))
+	return h.awaitTurn(ctx, f, q, r.x.Arrived().Add(h.maxWait(f, q)))
 }
 
 // awaitRoom looks for a path until a moment, whenever it is the request's turn.
--- a/forward/queue_test.go
+++ b/forward/queue_test.go
@@ -13,64 +13,64 @@
 	"junctioncross/front"
 )
 
-// waiting returns a request that waits for room.
-func waiting(u urgency, returned bool) *inflight {
+// newWaiting returns a request that waits for room.
+func newWaiting(u urgency, returned bool) *inflight {
 	return &inflight{r: &request{urgency: u}, returned: returned}
 }
 
 func TestRequestsWaitInTheOrderInWhichTheyCame(t *testing.T) {
 	q := newQueue()
-	a, b := waiting(urgency{}, false), waiting(urgency{}, false)
+	a, b := newWaiting(urgency{}, false), newWaiting(urgency{}, false)
 	require.Zero(t, q.join(a))
 	require.Equal(t, 1, q.join(b))
-	require.True(t, q.first(a))
-	require.False(t, q.first(b))
+	require.True(t, q.isFirst(a))
+	require.False(t, q.isFirst(b))
 	q.leave(a)
-	require.True(t, q.first(b))
+	require.True(t, q.isFirst(b))
 }
 
-func TestCallersWhoCameBackGoFirst(t *testing.T) {
+func TestReturningCallersGoFirst(t *testing.T) {
 	q := newQueue()
-	early, late := waiting(urgency{}, false), waiting(urgency{}, false)
-	back, backLater := waiting(urgency{}, true), waiting(urgency{}, true)
+	early, late := newWaiting(urgency{}, false), newWaiting(urgency{}, false)
+	back, backLater := newWaiting(urgency{}, true), newWaiting(urgency{}, true)
 	q.join(early)
 	require.Zero(t, q.join(back))
 	require.Equal(t, 1, q.join(backLater))
 	require.Equal(t, 3, q.join(late))
 	for _, f := range []*inflight{back, backLater, early, late} {
-		require.True(t, q.first(f))
+		require.True(t, q.isFirst(f))
 		q.leave(f)
 	}
 }
 
-func TestCallersWhoHaveUsedUpSomeOfTheirTimeHaveComeBack(t *testing.T) {
+func TestCallersWithLessTimeThanUsualAreReturning(t *testing.T) {
 	w := waits{}
-	require.False(t, w.returned("r", 20*time.Second))
-	require.True(t, w.returned("r", 16*time.Second))
-	require.False(t, w.returned("r", 19900*time.Millisecond), "it was sent again at once")
-	require.False(t, w.returned("other", 5*time.Second))
+	require.False(t, w.isReturning("r", 20*time.Second))
+	require.True(t, w.isReturning("r", 16*time.Second))
+	require.False(t, w.isReturning("r", 19900*time.Millisecond), "it was sent again at once")
+	require.False(t, w.isReturning("other", 5*time.Second))
 	for range 2000 {
-		w.returned("r", 10*time.Second)
+		w.isReturning("r", 10*time.Second)
 	}
-	require.False(t, w.returned("r", 10*time.Second), "callers have become less patient")
+	require.False(t, w.isReturning("r", 10*time.Second), "callers have become less patient")
 }
 
-func TestTimesWithoutAPathAreKeptWhenTheyEnd(t *testing.T) {
+func TestPathOutagesAreRecordedWhenTheyEnd(t *testing.T) {
 	q, start := newQueue(), time.Unix(100, 0)
 	for _, step := range []struct {
 		at    time.Duration
 		path  bool
 		spell time.Duration
 	}{{0, true, 0}, {1, false, 0}, {3, false, 2}, {6, true, 5}, {9, true, 0}, {20, false, 0}, {21, false, 1}} {
-		spell, none := q.pathless(step.path, start.Add(step.at*time.Second))
+		spell, none := q.observePath(step.path, start.Add(step.at*time.Second))
 		require.Equal(t, !step.path, none)
 		require.Equal(t, step.spell*time.Second, spell)
 	}
-	require.Len(t, q.spells.latest, sampleFirst+1)
-	require.Equal(t, 5*time.Second, q.spells.latest[sampleFirst], "the one that is under way has not ended")
+	require.Len(t, q.outages.latest, initialSamples+1)
+	require.Equal(t, 5*time.Second, q.outages.latest[initialSamples], "the one that is under way has not ended")
 }
 
-func TestLongAnswersCountForSeveral(t *testing.T) {
+func TestLongAnswersCountForSeveralPlaces(t *testing.T) {
 	g := twoCopies()
 	f := &inflight{r: &request{group: g}, need: chain.Need{Prompt: 100, Tokens: 140}}
 	require.InDelta(t, 1, f.places(), 1e-9, "the usual answer")
@@ -79,12 +79,12 @@
 	f.need.Tokens = 180
 	require.InDelta(t, 2, f.places(), 1e-9)
 	f.need.Tokens = 5000
-	require.InDelta(t, mostPlaces, f.places(), 1e-9, "it is never left without a chance")
+	require.InDelta(t, maxPlaces, f.places(), 1e-9, "it is never left without a chance")
 }
 
-// TestThoseWhoArriveTogetherTakeTheRoomThatThereIs lets requests arrive at an idle instance at one moment: nothing under way would
+// TestRequestsThatArriveTogetherAllTakeTheFreeRoom lets requests arrive at an idle instance at one moment: nothing under way would
 // end soon, but there is room for all.
-func TestThoseWhoArriveTogetherTakeTheRoomThatThereIs(t *testing.T) {
+func TestRequestsThatArriveTogetherAllTakeTheFreeRoom(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	clock.Advance(time.Minute)
@@ -106,30 +106,30 @@
 // TestMoreUrgentRequestsGoFirst lets the less urgent ones come first, and one of them come back.
 func TestMoreUrgentRequestsGoFirst(t *testing.T) {
 	q := newQueue()
-	lessAccount, lessRoute := waiting(urgency{account: 2, route: 0}, true), waiting(urgency{account: 1, route: 2}, false)
-	most, mostLater := waiting(urgency{account: 1, route: 1}, false), waiting(urgency{account: 1, route: 1}, false)
+	lessAccount, lessRoute := newWaiting(urgency{account: 2, route: 0}, true), newWaiting(urgency{account: 1, route: 2}, false)
+	most, mostLater := newWaiting(urgency{account: 1, route: 1}, false), newWaiting(urgency{account: 1, route: 1}, false)
 	for _, f := range []*inflight{lessAccount, lessRoute, most, mostLater} {
 		q.join(f)
 	}
 	for _, f := range []*inflight{most, mostLater, lessRoute, lessAccount} {
-		require.True(t, q.first(f))
+		require.True(t, q.isFirst(f))
 		q.leave(f)
 	}
 }
 
-// TestLessUrgentRequestsAreNotPassedByForGood lets more urgent ones come all the time, one for each turn.
-func TestLessUrgentRequestsAreNotPassedByForGood(t *testing.T) {
+// TestLessUrgentRequestsAreNotOvertakenForever lets more urgent ones come all the time, one for each turn.
+func TestLessUrgentRequestsAreNotOvertakenForever(t *testing.T) {
 	q := newQueue()
-	less := waiting(urgency{account: 2}, false)
+	less := newWaiting(urgency{account: 2}, false)
 	q.join(less)
-	for range mostOvertaken {
-		f := waiting(urgency{account: 1}, false)
+	for range maxOvertaken {
+		f := newWaiting(urgency{account: 1}, false)
 		q.join(f)
-		require.True(t, q.first(f))
+		require.True(t, q.isFirst(f))
 		q.leave(f)
 	}
-	q.join(waiting(urgency{account: 1}, false))
-	require.True(t, q.first(less))
+	q.join(newWaiting(urgency{account: 1}, false))
+	require.True(t, q.isFirst(less))
 }
 
 func TestTheAccountIsRankedBeforeTheRoute(t *testing.T) {
--- a/forward/starve_test.go
+++ b/forward/resumable_test.go
@@ -10,9 +10,9 @@
 	"junctioncross/backend"
 )
 
-// TestStreamsThatCannotLeaveKeepNoOthersFromLeaving lets many long answers that may not be resumed start at a server that leaves, with a
+// TestStreamsThatMayNotBeResumedDoNotKeepOthersFromLeaving lets many long answers that may not be resumed start at a server that leaves, with a
 // shorter one that may.
-func TestStreamsThatCannotLeaveKeepNoOthersFromLeaving(t *testing.T) {
+func TestStreamsThatMayNotBeResumedDoNotKeepOthersFromLeaving(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	for n := range 2 * mostTries {
--- a/forward/sample.go
+++ b/forward/sample.go
@@ -9,8 +9,8 @@
 const (
 	// sampleMost is the number of durations that a sample keeps: some ten seconds of a busy instance's streams.
 	sampleMost = 256
-	// sampleFirst is the number of durations that stand for what is assumed before any was seen.
-	sampleFirst = 16
+	// initialSamples is the number of durations that stand for what is assumed before any was seen.
+	initialSamples = 16
 )
 
 // sample is the distribution of the latest durations of one kind.
@@ -25,8 +25,8 @@
 // newSample returns a sample of durations that end at a constant rate, until others are seen.
 func newSample(mean time.Duration) sample {
 	var s sample
-	for i := range sampleFirst {
-		s.add(time.Duration(-math.Log(1-(float64(i)+0.5)/sampleFirst) * float64(mean)))
+	for i := range initialSamples {
+		s.add(time.Duration(-math.Log(1-(float64(i)+0.5)/initialSamples) * float64(mean)))
 	}
 	return s
 }
@@ -55,27 +55,27 @@
 	return s.sorted[min(int(part*float64(len(s.sorted))), len(s.sorted)-1)]
 }
 
-// within returns the likelihood that what has lasted for a time ends within some more. What has lasted longer than anything seen
+// endLikelihood returns the likelihood that what has lasted for a time ends within some more. What has lasted longer than anything seen
 // is taken to last as long again in the mean, with the weight of one duration.
-func (s *sample) within(age, more time.Duration) float64 {
+func (s *sample) endLikelihood(age, more time.Duration) float64 {
 	past, _ := slices.BinarySearch(s.sorted, age+1)
 	ended, _ := slices.BinarySearch(s.sorted, age+more+1)
 	tail := 1 - math.Exp(-float64(more)/float64(max(s.mean(), age)))
 	return (float64(ended-past) + tail) / float64(len(s.sorted)-past+1)
 }
 
-// until returns after how much more time what has lasted for a time has ended with a likelihood, at most a limit.
-func (s *sample) until(age time.Duration, likelihood float64, limit time.Duration) time.Duration {
-	return leastTime(limit, func(more time.Duration) bool { return s.within(age, more) >= likelihood })
+// timeToEnd returns after how much more time what has lasted for a time has ended with a likelihood, at most a limit.
+func (s *sample) timeToEnd(age time.Duration, likelihood float64, limit time.Duration) time.Duration {
+	return minTime(limit, func(more time.Duration) bool { return s.endLikelihood(age, more) >= likelihood })
 }
 
-// timeStep is the precision to which times are worked out; a few looks for room.
-const timeStep = 4 * roomPoll
+// timePrecision is the precision to which times are worked out; a few looks for room.
+const timePrecision = 4 * roomPoll
 
-// leastTime returns the least time for which something holds that holds ever after, at most a limit.
-func leastTime(limit time.Duration, holds func(time.Duration) bool) time.Duration {
+// minTime returns the least time for which something holds that holds ever after, at most a limit.
+func minTime(limit time.Duration, holds func(time.Duration) bool) time.Duration {
 	low, high := time.Duration(0), limit
-	for high-low > timeStep {
+	for high-low > timePrecision {
 		middle := (low + high) / 2
 		if holds(middle) {
 			high = middle
--- a/forward/services_test.go
+++ b/forward/services_test.go
@@ -11,8 +11,8 @@
 	"junctioncross/catalog"
 )
 
-// TestALookAtOneServiceChangesNoPathOfAnother lets streams of two chained services stand still, one of which passes a server that leaves.
-func TestALookAtOneServiceChangesNoPathOfAnother(t *testing.T) {
+// TestWatchingOneServiceRepairsNoStreamOfAnother lets streams of two chained services stand still, one of which passes a server that leaves.
+func TestWatchingOneServiceRepairsNoStreamOfAnother(t *testing.T) {
 	g := twoCopies()
 	service := &catalog.Service{Name: "t", Engine: g.Service().Engine}
 	var servers []*backend.Server
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -37,9 +37,9 @@
 	return follow.News{}, ctx.Err()
 }
 
-// TestKeysAreNotBelievedAfterASuspension lets the machine be suspended for 8 s while its steady clock stands: keys may have been taken away
+// TestKeysAreNotTrustedAfterASuspension lets the machine be suspended for 8 s while its steady clock stands: keys may have been taken away
 // meanwhile, and a refusal that says that there is no such key may be wrong as well.
-func TestKeysAreNotBelievedAfterASuspension(t *testing.T) {
+func TestKeysAreNotTrustedAfterASuspension(t *testing.T) {
 	var asleep atomic.Int64
 	fake := clockwork.NewFakeClock()
 	begun := fake.Now()
--- a/forward/lasting_test.go
+++ b/forward/unreachable_test.go
@@ -9,8 +9,8 @@
 	"junctioncross/backend"
 )
 
-// TestAStreamThatWaitsForTheEndOfAServerHearsOfIt lets the last server that a stream ran on leave without a word and still answer at first.
-func TestAStreamThatWaitsForTheEndOfAServerHearsOfIt(t *testing.T) {
+// TestAWaitingStreamGoesOnOnceItsFormerServerHasEnded lets the last server that a stream ran on leave without a word and still answer at first.
+func TestAWaitingStreamGoesOnOnceItsFormerServerHasEnded(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	h, clock := testHandler(t, e)
@@ -45,16 +45,16 @@
 	require.Fail(t, "the stream still waits two seconds after the end of the server")
 }
 
-// TestAServerThatRanAStreamTwiceIsOneServer resumes a stream where it ran before, as after a reset of its connection.
-func TestAServerThatRanAStreamTwiceIsOneServer(t *testing.T) {
+// TestAServerThatRanAStreamTwiceCountsOnce resumes a stream where it ran before, as after a reset of its connection.
+func TestAServerThatRanAStreamTwiceCountsOnce(t *testing.T) {
 	g := twoCopies()
 	require.Equal(t, 1, begun(g, 2, 0, 0).r.standing())
 	require.Equal(t, 2, begun(g, 2, 0, 2, 0).r.standing())
 }
 
-// TestAStreamThatMovesIsNotCutSinceNobodyListensAnyMore lets a server take no more connections and finish what it has, as servers do
+// TestAStreamThatGetsEventsIsNotCutWhenItsServerStopsListening lets a server take no more connections and finish what it has, as servers do
 // that stop in an orderly way.
-func TestAStreamThatMovesIsNotCutSinceNobodyListensAnyMore(t *testing.T) {
+func TestAStreamThatGetsEventsIsNotCutWhenItsServerStopsListening(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g, 0))
 	still, stillConn := connected(t, h, g, "still", 0, 1)
@@ -67,9 +67,9 @@
 	require.True(t, isOpen(movingConn), "the one that moves stays")
 }
 
-// TestAStreamThatMayNotRunAgainIsNotCutForASilentFirstPart lets nothing listen at the first part of a stream that cannot be resumed:
+// TestAStreamThatMayNotRunAgainStaysWithASilentFirstServer lets nothing listen at the first part of a stream that cannot be resumed:
 // what comes yet is all that its caller can get.
-func TestAStreamThatMayNotRunAgainIsNotCutForASilentFirstPart(t *testing.T) {
+func TestAStreamThatMayNotRunAgainStaysWithASilentFirstServer(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g, 0))
 	f, conn := connected(t, h, g, "one", 0, 1)
@@ -82,8 +82,8 @@
 	require.True(t, isOpen(conn))
 }
 
-// TestASilentFirstPartIsLeftAlsoForAPathThatCrossesDomains leaves no other path than one between domains.
-func TestASilentFirstPartIsLeftAlsoForAPathThatCrossesDomains(t *testing.T) {
+// TestASilentFirstServerIsLeftEvenForAPathAcrossDomains leaves no other path than one between domains.
+func TestASilentFirstServerIsLeftEvenForAPathAcrossDomains(t *testing.T) {
 	g := twoCopies()
 	servers := append([]*backend.Server(nil), g.Servers()[:2]...)
 	servers = append(servers, backend.NewServer(backend.Entry{
--- a/forward/returns.go
+++ b/forward/usable.go
@@ -10,13 +10,13 @@
 	"junctioncross/backend"
 )
 
-// returnsIn returns after which time the service can run requests again that it cannot run now only because servers want nothing yet; false
+// usableIn returns after which time the service can run requests again that it cannot run now only because servers want nothing yet; false
 // means that it can now, or that there is another reason.
-func (h *Handler) returnsIn(group *backend.Group, now time.Time) (time.Duration, bool) {
+func (h *Handler) usableIn(group *backend.Group, now time.Time) (time.Duration, bool) {
 	var at time.Time
 	var known bool
 	if group.Graph() == nil {
-		at, known = firstReturn(group.Servers(), h.census.Instances(), now)
+		at, known = firstUsableAt(group.Servers(), h.census.Instances(), now)
 	} else {
 		at, known = h.laneBook(group.Service().Name).returns(group, now)
 	}
@@ -26,8 +26,8 @@
 	return at.Sub(now), true
 }
 
-// firstReturn returns when the first of servers returns of which none may get work now.
-func firstReturn(servers []*backend.Server, instances int, now time.Time) (time.Time, bool) {
+// firstUsableAt returns when the first of servers returns of which none may get work now.
+func firstUsableAt(servers []*backend.Server, instances int, now time.Time) (time.Time, bool) {
 	var first time.Time
 	for _, s := range servers {
 		if s.Usable(now) && s.WithinLimit(instances, now) {
@@ -40,15 +40,15 @@
 	return first, !first.IsZero()
 }
 
-// returning is a server that wants nothing until a moment.
-type returning struct {
+// backedOffServer is a server that wants nothing until a moment.
+type backedOffServer struct {
 	server int
 	at     time.Time
 }
 
-// laneReturn is when a service without a lane has one again, and the servers that it was worked out from.
-type laneReturn struct {
-	from  []returning
+// laneRecovery is when a service without a lane has one again, and the servers that it was worked out from.
+type laneRecovery struct {
+	from  []backedOffServer
 	at    time.Time
 	known bool
 }
@@ -60,27 +60,27 @@
 	if len(lanes) > 0 {
 		return time.Time{}, false
 	}
-	var from []returning
+	var from []backedOffServer
 	for i, s := range group.Servers() {
 		if at, ok := s.Returns(now); ok {
-			from = append(from, returning{server: i, at: at})
+			from = append(from, backedOffServer{server: i, at: at})
 		}
 	}
 	if len(from) == 0 {
 		return time.Time{}, false
 	}
-	slices.SortFunc(from, func(x, y returning) int { return cmp.Or(x.at.Compare(y.at), x.server-y.server) })
+	slices.SortFunc(from, func(x, y backedOffServer) int { return cmp.Or(x.at.Compare(y.at), x.server-y.server) })
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !slices.Equal(from, b.back.from) {
-		b.back = laneReturn{from: from}
-		b.back.at, b.back.known = firstLane(group, from, now)
+	if !slices.Equal(from, b.recovery.from) {
+		b.recovery = laneRecovery{from: from}
+		b.recovery.at, b.recovery.known = firstLaneAt(group, from, now)
 	}
-	return b.back.at, b.back.known
+	return b.recovery.at, b.recovery.known
 }
 
-// firstLane returns when there is a lane once servers return one after the other; false means that there is none even with all of them.
-func firstLane(group *backend.Group, from []returning, now time.Time) (time.Time, bool) {
+// firstLaneAt returns when there is a lane once servers return one after the other; false means that there is none even with all of them.
+func firstLaneAt(group *backend.Group, from []backedOffServer, now time.Time) (time.Time, bool) {
 	servers := group.Servers()
 	// More servers never make fewer lanes than one.
 	last := sort.Search(len(from), func(last int) bool {
@@ -99,7 +99,7 @@
 	return from[last].at, true
 }
 
-// spreadReturn returns when a caller may come back to a service that can run nothing for some time: not all in the same moment.
-func spreadReturn(after time.Duration) time.Duration {
-	return after + time.Duration(rand.Float64()*returnSpread*float64(after))
+// withRetryJitter returns when a caller may come back to a service that can run nothing for some time: not all in the same moment.
+func withRetryJitter(after time.Duration) time.Duration {
+	return after + time.Duration(rand.Float64()*retryJitter*float64(after))
 }
--- a/forward/wait_test.go
+++ b/forward/wait_test.go
@@ -14,28 +14,28 @@
 	"junctioncross/front"
 )
 
-// fill lets all servers of a group tell that a part of their memory is taken.
-func fill(g *backend.Group, part float64, now time.Time) {
+// reportFilled lets all servers of a group tell that a part of their memory is taken.
+func reportFilled(g *backend.Group, part float64, now time.Time) {
 	for _, s := range g.Servers() {
 		s.SetMemory(part, 1, 0, now)
 	}
 }
 
-// streamsOf lets streams of a service be under way, whose lives are all alike, with ages that are evenly apart.
-func streamsOf(h *Handler, count int, life time.Duration, age func(i int) time.Duration) *queue {
+// startStreams lets streams of a service be under way, whose lives are all alike, with ages that are evenly apart.
+func startStreams(h *Handler, count int, life time.Duration, age func(i int) time.Duration) *queue {
 	q := h.queueOf("s")
-	q.lives = *livesOf(life)
+	q.lifetimes = *constantSample(life)
 	for i := range count {
 		f := &inflight{r: &request{route: &catalog.Route{PauseObjective: time.Minute}}}
 		f.moved.Store(true)
 		f.touch(h)
-		q.enter(f, h.clock.Now().Add(-age(i)))
+		q.addUnderWay(f, h.clock.Now().Add(-age(i)))
 	}
 	return q
 }
 
-// waiter returns a request of a group that has not begun.
-func waiter(h *Handler, g *backend.Group) *inflight {
+// newUnbegun returns a request of a group that has not begun.
+func newUnbegun(h *Handler, g *backend.Group) *inflight {
 	r := &request{
 		x: &front.Exchange{}, group: g, route: &catalog.Route{Objective: 500 * time.Millisecond}, meta: call.Meta{Wait: 20 * time.Second},
 		deadline: h.clock.Now().Add(20 * time.Second),
@@ -49,9 +49,9 @@
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	clock.Advance(time.Minute)
-	fill(g, 1, clock.Now())
-	q := streamsOf(h, 20, 2*time.Second, func(int) time.Duration { return 100 * time.Millisecond })
-	f := waiter(h, g)
+	reportFilled(g, 1, clock.Now())
+	q := startStreams(h, 20, 2*time.Second, func(int) time.Duration { return 100 * time.Millisecond })
+	f := newUnbegun(h, g)
 	q.join(f)
 	// It would block on the clock, which stands still, if it waited.
 	_, ok := h.awaitTurn(t.Context(), f, q, clock.Now().Add(400*time.Millisecond))
@@ -63,32 +63,32 @@
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	clock.Advance(time.Minute)
-	fill(g, 1, clock.Now())
-	q := streamsOf(h, 20, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 100 * time.Millisecond })
-	f := waiter(h, g)
+	reportFilled(g, 1, clock.Now())
+	q := startStreams(h, 20, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 100 * time.Millisecond })
+	f := newUnbegun(h, g)
 	q.join(f)
 	got := make(chan bool, 1)
 	go func() {
 		_, ok := h.awaitTurn(t.Context(), f, q, clock.Now().Add(400*time.Millisecond))
 		got <- ok
 	}()
-	waitOn(t, clock)
+	waitForSleepers(t, clock)
 	require.Empty(t, got)
-	fill(g, 0, clock.Now())
+	reportFilled(g, 0, clock.Now())
 	clock.Advance(roomPoll)
 	require.True(t, <-got)
 	require.EqualValues(t, 1, h.stats.Histogram(`wait_seen_ms{came="true"}`).Count())
-	require.InDelta(t, (gainAtFirst+1)/gainAtFirst, q.gains/q.ends, 1e-9, "no own stream ended: others make room as well")
+	require.InDelta(t, (initialEnds+1)/initialEnds, q.admitted/q.endedWhileWaiting, 1e-9, "no own stream ended: others make room as well")
 }
 
-// TestAWaitEndsWhenItHasBecomeHopeless lets the streams that were to end stand still, as when the instance is cut off.
-func TestAWaitEndsWhenItHasBecomeHopeless(t *testing.T) {
+// TestAWaitEndsWhenRoomBecomesUnlikely lets the streams that were to end stand still, as when the instance is cut off.
+func TestAWaitEndsWhenRoomBecomesUnlikely(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	clock.Advance(time.Minute)
-	fill(g, 1, clock.Now())
-	q := streamsOf(h, 20, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 100 * time.Millisecond })
-	f := waiter(h, g)
+	reportFilled(g, 1, clock.Now())
+	q := startStreams(h, 20, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 100 * time.Millisecond })
+	f := newUnbegun(h, g)
 	q.join(f)
 	got := make(chan bool, 1)
 	start := clock.Now()
@@ -96,31 +96,31 @@
 		_, ok := h.awaitTurn(t.Context(), f, q, start.Add(400*time.Millisecond))
 		got <- ok
 	}()
-	waitOn(t, clock)
+	waitForSleepers(t, clock)
 	q.mu.Lock()
 	for f := range q.underWay {
 		f.lastAt.Store(int64(-time.Hour))
 	}
 	q.mu.Unlock()
-	for clock.Since(start) < reviewTime+roomPoll && len(got) == 0 {
+	for clock.Since(start) < reviewInterval+roomPoll && len(got) == 0 {
 		clock.Advance(roomPoll)
-		if clock.Since(start) < reviewTime {
-			waitOn(t, clock)
+		if clock.Since(start) < reviewInterval {
+			waitForSleepers(t, clock)
 		}
 	}
 	require.False(t, <-got)
 	require.EqualValues(t, 1, h.stats.Histogram(`wait_seen_ms{came="false"}`).Count())
 }
 
-// waitOn waits until the tickers of the watcher and of the prober, and the request, sleep.
-func waitOn(t *testing.T, clock *clockwork.FakeClock) {
+// waitForSleepers waits until the tickers of the watcher and of the prober, and the request, sleep.
+func waitForSleepers(t *testing.T, clock *clockwork.FakeClock) {
 	t.Helper()
 	const sleepers = 3
 	require.NoError(t, clock.BlockUntilContext(t.Context(), sleepers))
 }
 
-// TestWithoutAPathARequestWaitsAsLongAsSuchTimesLasted lets the service be without a path for short times, and then for long ones.
-func TestWithoutAPathARequestWaitsAsLongAsSuchTimesLasted(t *testing.T) {
+// TestWithoutAPathARequestWaitsAsLongAsFormerOutagesLasted lets the service be without a path for short times, and then for long ones.
+func TestWithoutAPathARequestWaitsAsLongAsFormerOutagesLasted(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	clock.Advance(time.Minute)
@@ -128,74 +128,76 @@
 	for _, s := range g.Servers() {
 		s.SetAside(clock.Now().Add(time.Hour))
 	}
-	f := waiter(h, g)
+	f := newUnbegun(h, g)
 	until := func() time.Time { return clock.Now().Add(400 * time.Millisecond) }
-	require.Less(t, h.expect(f, q, until()).likelihood, enough, "nothing is known yet")
-	q.spells = *livesOf(200 * time.Millisecond)
-	require.Greater(t, h.expect(f, q, until()).likelihood, 0.9)
+	require.Less(t, h.predictWait(f, q, until()).likelihood, minLikelihoodToStart, "nothing is known yet")
+	q.outages = *constantSample(200 * time.Millisecond)
+	require.Greater(t, h.predictWait(f, q, until()).likelihood, 0.9)
 	clock.Advance(time.Second)
-	require.Less(t, h.expect(f, q, until()).likelihood, enough, "this time has lasted longer already")
+	require.Less(t, h.predictWait(f, q, until()).likelihood, minLikelihoodToStart, "this time has lasted longer already")
 }
 
-// TestCallersComeBackWhenThereIsRoomForThoseBeforeThem refuses many callers at one moment.
-func TestCallersComeBackWhenThereIsRoomForThoseBeforeThem(t *testing.T) {
+// TestRetryAfterLeavesTimeForRequestsAhead refuses many callers at one moment.
+func TestRetryAfterLeavesTimeForRequestsAhead(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	clock.Advance(time.Minute)
-	fill(g, 1, clock.Now())
-	q := streamsOf(h, 40, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 50 * time.Millisecond })
-	f := waiter(h, g)
+	reportFilled(g, 1, clock.Now())
+	q := startStreams(h, 40, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 50 * time.Millisecond })
+	f := newUnbegun(h, g)
 	q.mu.Lock()
-	predicted := q.roomLocked(q.forecastLocked(clock.Now(), h.watch.still), clock.Now(), time.Minute)
+	predicted := q.timeToRoomLocked(q.forecastLocked(clock.Now(), h.watch.still), clock.Now(), time.Minute)
 	q.mu.Unlock()
 	first := h.comeBack(f.r)
-	require.GreaterOrEqual(t, first, min(predicted, heed(f.r)))
-	known := time.Duration((1 - returnedShare) * float64(f.r.meta.Wait))
+	require.GreaterOrEqual(t, first, min(predicted, maxRetryAfter(f.r)))
+	known := time.Duration((1 - returningShare) * float64(f.r.meta.Wait))
 	require.GreaterOrEqual(t, first, known, "late enough to be known again")
-	require.LessOrEqual(t, first, max(time.Duration((1+returnSpread)*float64(predicted)), known))
+	require.LessOrEqual(t, first, max(time.Duration((1+retryJitter)*float64(predicted)), known))
 	for range 6 {
 		h.comeBack(f.r)
 	}
 	q.mu.Lock()
-	then := q.roomLocked(q.forecastLocked(clock.Now(), h.watch.still), clock.Now(), time.Minute)
+	then := q.timeToRoomLocked(q.forecastLocked(clock.Now(), h.watch.still), clock.Now(), time.Minute)
 	q.mu.Unlock()
 	require.Greater(t, then, predicted+500*time.Millisecond, "those told before are waited for")
 	for range 1000 {
-		require.LessOrEqual(t, h.comeBack(f.r), heed(f.r), "not longer than the caller heeds")
+		require.LessOrEqual(t, h.comeBack(f.r), maxRetryAfter(f.r), "not longer than the caller heeds")
 	}
 	clock.Advance(20 * time.Second)
-	require.Zero(t, q.dueLocked(clock.Now(), clock.Now().Add(time.Minute)), "those who should have come are forgotten")
+	require.Zero(t, q.dueRetriesLocked(clock.Now(), clock.Now().Add(time.Minute)), "those who should have come are forgotten")
 }
 
-// heed returns the longest time that a caller of a request that has just come heeds.
-func heed(r *request) time.Duration { return time.Duration(heedPart * float64(r.meta.Wait)) }
+// maxRetryAfter returns the longest time that a caller of a request that has just come heeds.
+func maxRetryAfter(r *request) time.Duration {
+	return time.Duration(maxRetryAfterShare * float64(r.meta.Wait))
+}
 
-// TestThoseToldToComeBackGoBeforeNewCallers promises room to callers who are due within the time of a new one.
-func TestThoseToldToComeBackGoBeforeNewCallers(t *testing.T) {
+// TestReturningCallersGoBeforeNewCallers promises room to callers who are due within the time of a new one.
+func TestReturningCallersGoBeforeNewCallers(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	clock.Advance(time.Minute)
-	q := streamsOf(h, 20, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 100 * time.Millisecond })
+	q := startStreams(h, 20, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 100 * time.Millisecond })
 	until := clock.Now().Add(400 * time.Millisecond)
-	f, back := waiter(h, g), waiter(h, g)
+	f, back := newUnbegun(h, g), newUnbegun(h, g)
 	back.returned = true
-	before := h.expect(f, q, until)
-	q.promised = []time.Time{clock.Now().Add(100 * time.Millisecond), clock.Now().Add(200 * time.Millisecond), clock.Now().Add(time.Minute)}
-	require.InDelta(t, before.places+2, h.expect(f, q, until).places, 1e-9)
-	require.Less(t, h.expect(f, q, until).likelihood, before.likelihood)
-	require.InDelta(t, 1, h.expect(back, q, until).places, 1e-9, "who comes back waits for no promise")
+	before := h.predictWait(f, q, until)
+	q.retryTimes = []time.Time{clock.Now().Add(100 * time.Millisecond), clock.Now().Add(200 * time.Millisecond), clock.Now().Add(time.Minute)}
+	require.InDelta(t, before.places+2, h.predictWait(f, q, until).places, 1e-9)
+	require.Less(t, h.predictWait(f, q, until).likelihood, before.likelihood)
+	require.InDelta(t, 1, h.predictWait(back, q, until).places, 1e-9, "who comes back waits for no promise")
 }
 
-// TestCallersWhoCameBackAreServedAsLongAsTheyWait compares the times that requests may wait.
-func TestCallersWhoCameBackAreServedAsLongAsTheyWait(t *testing.T) {
+// TestReturningCallersMayWaitAsLongAsTheirPatience compares the times that requests may wait.
+func TestReturningCallersMayWaitAsLongAsTheirPatience(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g))
 	q := h.queueOf("s")
-	q.firsts = *livesOf(80 * time.Millisecond)
-	f := waiter(h, g)
-	require.Equal(t, 420*time.Millisecond, h.mayWait(f, q))
+	q.firstEvents = *constantSample(80 * time.Millisecond)
+	f := newUnbegun(h, g)
+	require.Equal(t, 420*time.Millisecond, h.maxWait(f, q))
 	f.returned = true
-	require.Equal(t, patienceOf(f.r.route)-80*time.Millisecond, h.mayWait(f, q))
+	require.Equal(t, patienceOf(f.r.route)-80*time.Millisecond, h.maxWait(f, q))
 	f.returned, f.r.runs = false, 1
-	require.Equal(t, patienceOf(f.r.route)-80*time.Millisecond, h.mayWait(f, q), "it has run: it can't be refused any more")
+	require.Equal(t, patienceOf(f.r.route)-80*time.Millisecond, h.maxWait(f, q), "it has run: it can't be refused any more")
 }
