--- a/forward/choice.go
+++ b/forward/choice.go
@@ -10,42 +10,44 @@
 )
 
 const (
-	// maxLaneLoad is the part of a lane's memory beyond which it gets no new streams. What is under way grows by about as much as
-	// what ends gives back; a server that is full turns work away or preempts the newest stream.
+	// maxLaneLoad is the used share of a lane's memory above which it gets no new streams. Running streams grow by about as
+	// much as ending streams free; a server whose memory is full refuses work or preempts its newest stream.
 	maxLaneLoad = 0.98
-	// ownDomainWeight is how many times more a lane of the own domain is worth: one elsewhere is lost when a domain is cut off, and needs
-	// a connection of its own that is rarely used again. A domain that is nearly full sends its streams elsewhere all the same.
+	// ownDomainWeight multiplies the weight of lanes in the own domain. A lane elsewhere is lost when a domain is partitioned,
+	// and it needs a connection of its own that is rarely reused. A domain that is nearly full sends its streams to other
+	// domains all the same.
 	ownDomainWeight = 16.0
-	// crossDomainWeight is what a lane that crosses domains is worth: each crossing carries all activations.
+	// crossDomainWeight multiplies the weight of a lane that crosses domains, since each crossing carries all activations.
 	crossDomainWeight = 0.02
-	// maxEqualInstances bounds the instances that are taken to have as much work on a server as this one while it has not told, as just
-	// after a start.
+	// maxEqualInstances limits how many instances are assumed to have as much work on a server as this one, while the server
+	// has not reported its load, as just after a start.
 	maxEqualInstances = 6.0
-	// maxAddingInstances bounds those that are taken to have added as much as this one since a server last told: the last half second of
-	// one says little of the others.
+	// maxAddingInstances limits how many instances are assumed to have added as much work as this one since a server's last
+	// report: what one instance did in the last half second says little about the others.
 	maxAddingInstances = 2.0
-	// tooSlowWeight is what a lane is worth on which an answer is not expected to end in time.
+	// tooSlowWeight multiplies the weight of a lane on which the answer is not expected to end in time.
 	tooSlowWeight = 0.01
-	// speedExponent says how much faster lanes are preferred: a stream takes memory for as long as it lasts, so that the same memory
-	// carries more streams on a fast lane.
+	// speedExponent is the power of the relative speed by which fast lanes are preferred. A stream holds memory for as long as
+	// it lasts, so the same memory carries more streams on a fast lane.
 	speedExponent = 2.0
-	// wordAge is how old a server's word on its work may be; after that only the own work counts.
+	// wordAge is the greatest age at which a server's report on its load is used; after that only this instance's own streams
+	// count.
 	wordAge = 5 * time.Second
 )
 
-// laneChoice draws a lane for one request.
+// laneChoice draws a lane for one request at random, by weight.
 type laneChoice struct {
 	lanes  []chain.Lane
 	domain string
-	// steps is the number of tokens that the answer may have and left the time for them; a lane that is too slow gets nothing while
-	// another one is fast enough.
+	// steps is the expected length of the answer in tokens, with slack, and timeLeft the time left for it. A lane that is too
+	// slow for that gets almost no streams while another one is fast enough.
 	steps    int
 	timeLeft time.Duration
-	// load holds the part of each lane's memory that is taken, as far as known.
+	// load is the used share of each lane's memory, as far as known.
 	load []float64
 }
 
-// newLaneChoice returns a choice of so many instances that choose alike.
+// newLaneChoice returns a choice for one of the given number of instances, which all choose in the same way.
 func newLaneChoice(group *backend.Group, lanes []chain.Lane, domain string, instances int, now time.Time) *laneChoice {
 	c := &laneChoice{lanes: lanes, domain: domain, load: make([]float64, len(lanes))}
 	width := map[int]float64{}
@@ -55,7 +57,7 @@
 	for i := range lanes {
 		l := &lanes[i]
 		if !group.Servers()[l.Hops[0].Server].WithinLimit(instances, now) {
-			// Without a turn at its first server a lane is as good as full.
+			// While the rate limit of its first server allows no request, a lane counts as full.
 			c.load[i] = 1
 			continue
 		}
@@ -72,7 +74,7 @@
 	return c
 }
 
-// highestFilled returns the part of the memory that is taken on the fullest server of a lane; false means that none has told.
+// highestFilled returns the used share of memory of the fullest server of a lane; false means that no server has reported.
 func highestFilled(group *backend.Group, l *chain.Lane, instances int, now time.Time) (float64, bool) {
 	highest, reported := 0.0, false
 	for _, hop := range l.Hops {
@@ -84,8 +86,8 @@
 	return highest, reported
 }
 
-// pick returns the index of a lane that is drawn by what it is worth, or -1 when all are full. Instances that know the same
-// spread their streams in that way without talking to each other.
+// pick returns the index of a lane drawn at random by weight, or -1 when all lanes are full. Because of the random draw,
+// instances with the same information spread their streams without talking to each other.
 func (c *laneChoice) pick() int {
 	weights := make([]float64, len(c.lanes))
 	total, fastest := 0.0, c.fastest()
@@ -109,7 +111,8 @@
 	return last
 }
 
-// weight weighs the room that a lane has left, its speed against the fastest one's and where it lies.
+// weight returns the weight of a lane: its free memory, times its speed relative to the fastest lane, times a factor for its
+// domain.
 func (c *laneChoice) weight(i int, fastest time.Duration) float64 {
 	l := &c.lanes[i]
 	free := l.Sequences * (maxLaneLoad - c.load[i])
@@ -127,7 +130,7 @@
 	}
 }
 
-// fastest returns the least time between tokens of any lane.
+// fastest returns the shortest time between tokens among all lanes.
 func (c *laneChoice) fastest() time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for i := range c.lanes {
--- a/forward/choice_test.go
+++ b/forward/choice_test.go
@@ -30,7 +30,7 @@
 		lane("a", 10*time.Millisecond, 0), lane("b", 10*time.Millisecond, 1), lane("b", 20*time.Millisecond, 2),
 	}}
 	s := drawnShares(c)
-	require.InEpsilon(t, ownDomainWeight, s[0]/s[1], 0.25, "the own domain first")
+	require.InEpsilon(t, ownDomainWeight, s[0]/s[1], 0.25, "lanes of the own domain are preferred")
 	require.InEpsilon(t, 4, s[1]/s[2], 0.4, "half as fast is worth a quarter")
 	c.load[0] = maxLaneLoad
 	s = drawnShares(c)
@@ -39,8 +39,8 @@
 	require.Equal(t, -1, c.pick(), "a full fleet has no lane")
 }
 
-// TestALaneCountsAsFullAfterItsServerTurnedWorkAway lets one server of two lanes refuse work for want of memory.
-func TestALaneCountsAsFullAfterItsServerTurnedWorkAway(t *testing.T) {
+// TestALaneCountsAsFullAfterItsServerRefusedWork has two lanes, and one server refuses work for want of memory.
+func TestALaneCountsAsFullAfterItsServerRefusedWork(t *testing.T) {
 	g := twoCopies()
 	var b laneBook
 	now := time.Unix(100, 0)
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestALaneIsAsFullAsItsFullestServer reports memory of one server; the work of other instances shows in no answer.
+// TestALaneIsAsFullAsItsFullestServer reports nearly full memory for the second server of a lane only. Without the
+// report, the work of other instances would not show.
 func TestALaneIsAsFullAsItsFullestServer(t *testing.T) {
 	g := twoCopies()
 	var b laneBook
--- a/forward/cold.go
+++ b/forward/cold.go
@@ -6,11 +6,13 @@
 	"junctioncross/backend"
 )
 
-// coldSpread keeps those that a cold service refused from coming back together.
+// coldSpread is the greatest random part of the Retry-After time of a cold service; it keeps refused callers from coming back
+// all at once.
 const coldSpread = 2 * time.Second
 
-// coldService returns how much longer the request's service will have no path at all, if that is known. Waiting for the first path
-// takes seconds and would come too late; who has come back already waits all the same, since it has hardly another chance.
+// coldService returns how much longer the request's service is expected to have no path at all, if that is known. Waiting for a
+// first path takes seconds and would be too late for most callers. A returning caller waits all the same, since it hardly has
+// another chance.
 func (h *Handler) coldService(r *request) (time.Duration, bool) {
 	if r.group.Graph() == nil {
 		return 0, false
@@ -19,8 +21,9 @@
 	return left, cold && !h.hasReturned(r)
 }
 
-// coldTimeLeft returns how much longer the instance expects to have no path for a service that is still being placed: it has had none
-// since its start, and some layer has no holder in any domain. False means that a path may come at any moment, or is there.
+// coldTimeLeft returns how much longer the instance expects to have no path for a cold service. A service is cold while it is
+// still being placed: it has had no path since the instance started, and some layer has no holder in any domain. False means
+// that a path may appear at any moment, or exists.
 func (h *Handler) coldTimeLeft(group *backend.Group) (time.Duration, bool) {
 	now := h.clock.Now()
 	left := firstPathTime - now.Sub(h.watch.start)
--- a/forward/cold_test.go
+++ b/forward/cold_test.go
@@ -8,8 +8,8 @@
 	"junctioncross/backend"
 )
 
-// TestAServiceThatWasNeverPlacedIsColdUntilItsFirstPathIsExpected asks for a service of which some layers have had no holder since the
-// instance started.
+// TestAServiceThatWasNeverPlacedIsColdUntilItsFirstPathIsExpected has a service of which some layers have had no holder since
+// the instance started.
 func TestAServiceThatWasNeverPlacedIsColdUntilItsFirstPathIsExpected(t *testing.T) {
 	h, clock := testHandler(t, nil)
 	cold := backend.NewGroup(halves().Service(), halves().Servers()[:1])
@@ -25,12 +25,13 @@
 func TestAServiceIsNotColdWhileItsServersAreNotKnownOrHoldAllLayers(t *testing.T) {
 	h, _ := testHandler(t, nil)
 	_, isCold := h.coldTimeLeft(backend.NewGroup(halves().Service(), nil))
-	require.False(t, isCold, "the servers are heard of in a moment")
+	require.False(t, isCold, "the servers will be known in a moment")
 	_, isCold = h.coldTimeLeft(halves())
 	require.False(t, isCold, "there is a path, though it may not stay")
 }
 
-// TestAServiceThatHadAPathIsNotCold loses a server: its layers are loaded elsewhere or asked for in another domain.
+// TestAServiceThatHadAPathIsNotCold removes a server from a whole service: its layers are loaded elsewhere or served from
+// another domain, so a path may be back at any moment.
 func TestAServiceThatHadAPathIsNotCold(t *testing.T) {
 	h, clock := testHandler(t, nil)
 	g := twoCopies()
--- a/forward/demand.go
+++ b/forward/demand.go
@@ -7,29 +7,31 @@
 )
 
 const (
-	// recentSlots and slotTime are the parts of the time over which first tries are counted, ten seconds in all: longer than most answers last.
+	// First tries, which are the requests of callers that were not refused before, are counted over recentSlots intervals of
+	// slotTime. That is ten seconds in all: longer than most answers last.
 	recentSlots = 10
 	slotTime    = time.Second
-	// overloadRefusedShare is the part of the first tries that are refused from which overload shows, and sufficientRoomShare the part of the room that first tries
-	// alone would take up to which the room should be enough for them.
+	// overloadRefusedShare is the part of the first tries that must be refused for a service to count as overloaded.
+	// sufficientRoomShare is the part of the room that first tries alone may take up if the room is to count as sufficient for
+	// them.
 	overloadRefusedShare = 0.1
 	sufficientRoomShare  = 0.9
 )
 
-// demand is who asks for the room of a service.
+// demand describes who needs the room of a service.
 type demand struct {
-	// underWay, waiting and told are the streams that have room, those that wait for it, and the callers who were told to come back later;
-	// of the first two, returned ones had been refused before.
+	// underWay is the number of streams that have room, waiting those that wait for it, and toldToRetry the callers who were
+	// told to come back later. The returned ones are those of returning callers.
 	underWay, returnedUnderWay int
 	waiting, returnedWaiting   int
 	toldToRetry                int
-	// firstTries are the first tries of the last while, refusedFirstTries those of them that were refused, and firstTriesAlone the streams that first tries would
-	// keep under way if each was served at once.
+	// firstTries are the recent first tries, refusedFirstTries those of them that were refused, and firstTriesAlone the number
+	// of streams that would be under way if there were only first tries and each was served at once.
 	firstTries, refusedFirstTries int
 	firstTriesAlone               float64
 }
 
-// demand returns who asks for room now.
+// demand returns who needs room now.
 func (q *queue) demand(now time.Time) demand {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -50,13 +52,14 @@
 	return d
 }
 
-// outlastsCause reports whether first tries are refused although they alone would leave room: what keeps them out is what came back, and the cause
-// of the overload may be gone.
+// outlastsCause reports whether first tries are refused although there would be room for them alone. The load is then kept up
+// by retries, and the original cause of the overload may be gone (metastable overload).
 func (d demand) outlastsCause(room float64) bool {
-	return d.firstTries > 0 && float64(d.refusedFirstTries) >= overloadRefusedShare*float64(d.firstTries) && d.firstTriesAlone <= sufficientRoomShare*room
+	return d.firstTries > 0 && float64(d.refusedFirstTries) >= overloadRefusedShare*float64(d.firstTries) &&
+		d.firstTriesAlone <= sufficientRoomShare*room
 }
 
-// countTry counts a stream that its caller asks for the first time, and countRefused one of them that is refused.
+// countTry counts a stream if it is the first try of its caller.
 func (h *Handler) countTry(f *inflight) {
 	if q := h.queueOf(f.r.group.Service().Name); !f.returned {
 		q.mu.Lock()
@@ -65,6 +68,7 @@
 	}
 }
 
+// countRefused counts a stream if it is the first try of its caller and is refused.
 func (h *Handler) countRefused(f *inflight, last outcome) {
 	if _, ok := last.(notRun); !ok || f.returned || f.r.x.Begun() {
 		return
@@ -75,7 +79,7 @@
 	q.refusedFirstTries.Add(h.clock.Now())
 }
 
-// measureDemand tells who asks for the room of a service, against the instance's part of that room.
+// measureDemand exports who needs the room of a service, and how much of that room is this instance's share.
 func (h *Handler) measureDemand(name string, group *backend.Group, now time.Time) {
 	d := h.queueOf(name).demand(now)
 	own, others, _ := h.sequences(h.lanesOf(group, now))
--- a/forward/demand_test.go
+++ b/forward/demand_test.go
@@ -23,7 +23,7 @@
 	require.Zero(t, c.Sum(last.Add(time.Hour)))
 }
 
-// TestOverloadThatOutlastsItsCauseIsAGauge counts first tries of which some are refused, while callers who come back have the room.
+// TestOverloadThatOutlastsItsCauseIsAGauge refuses some first tries while returning callers take up the room.
 func TestOverloadThatOutlastsItsCauseIsAGauge(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -61,12 +61,12 @@
 		h.countTry(stream(false))
 		q.refusedFirstTries.Add(clock.Now())
 	}
-	require.Contains(t, measure(), `jx_overload_outlasts{service="s"} 0`, "they ask for more than the room: the cause is there")
+	require.Contains(t, measure(), `jx_overload_outlasts{service="s"} 0`, "first tries alone exceed the room: the cause persists")
 	clock.Advance(time.Minute)
 	require.Contains(t, measure(), `jx_first_tries_recent{service="s"} 0`)
 }
 
-// BenchmarkMeasureDemand counts 10,000 streams under way, as a scrape does each few seconds.
+// BenchmarkMeasureDemand measures the demand with 10,000 streams under way, as each scrape does every few seconds.
 func BenchmarkMeasureDemand(b *testing.B) {
 	q, now := newQueue(), time.Unix(1000, 0)
 	for range 10000 {
--- a/forward/forecast.go
+++ b/forward/forecast.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// dispersion is how evenly rooms come: the rate itself is not known well, since other instances make room and take it, and three
-// fits the waits that were seen (docs/DECISIONS.md); rooms that come independently of each other would have an infinite one.
+// dispersion is the size parameter of the negative binomial distribution of the places that become free. Their rate is not
+// known well, since other instances free and take places too; three fits the waits that were seen (docs/DECISIONS.md). If
+// places became free independently of each other (a Poisson process), it would be infinite.
 const dispersion = 3.0
 
-// forecast predicts when room comes from the streams of a service that are under way.
+// forecast predicts when places become free, from the streams of a service that are under way.
 type forecast struct {
 	lifetimes *sample
 	ages      []time.Duration
-	// placesPerEnd is how many rooms come for each own stream that ends.
+	// placesPerEnd is how many places become free for each own stream that ends.
 	placesPerEnd float64
 }
 
-// expectedPlaces returns how many places are expected within a time: first from the streams under way, by their ages, and beyond a mean life
-// from those that follow them.
+// expectedPlaces returns how many places are expected to become free within a time: up to a mean lifetime from the streams
+// under way, by their ages, and after that at the mean rate of the streams that follow them.
 func (c *forecast) expectedPlaces(within time.Duration) float64 {
 	mean := c.lifetimes.mean()
 	near, far := min(within, mean), max(within-mean, 0)
@@ -29,7 +30,7 @@
 	return ends * c.placesPerEnd
 }
 
-// likelihood returns how likely it is that so many rooms come within a time.
+// likelihood returns how likely at least so many places become free within a time.
 func (c *forecast) likelihood(places float64, within time.Duration) float64 {
 	if within <= 0 {
 		return 0
@@ -37,13 +38,13 @@
 	return atLeast(int(math.Ceil(places)), c.expectedPlaces(within))
 }
 
-// timeFor returns the least time in which so many rooms come with a likelihood, at most a limit.
+// timeFor returns the shortest time in which so many places become free with the given likelihood, at most limit.
 func (c *forecast) timeFor(places, likelihood float64, limit time.Duration) time.Duration {
 	return minTime(limit, func(within time.Duration) bool { return c.likelihood(places, within) >= likelihood })
 }
 
-// atLeast returns the likelihood of at least n events where so many are expected, at a rate that is itself spread by its evenness
-// (a negative binomial distribution).
+// atLeast returns the likelihood of at least n events when expected ones are expected and their rate is itself uncertain, by a
+// negative binomial distribution with the size parameter dispersion.
 func atLeast(n int, expected float64) float64 {
 	part := expected / (dispersion + expected)
 	term := math.Pow(1-part, dispersion)
--- a/forward/forecast_test.go
+++ b/forward/forecast_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// constantSample returns a sample that holds nothing but one life.
+// constantSample returns a full sample in which all durations are alike.
 func constantSample(life time.Duration) *sample {
 	s := newSample(initialLifetime)
 	for range sampleMost {
@@ -54,12 +54,13 @@
 	require.InDelta(t, 2, c.expectedPlaces(100*time.Millisecond), 0.2, "the streams of others make room as well")
 }
 
-// drawLifetime draws the life of a stream: a second and more.
+// drawLifetime draws the lifetime of a stream: one second and an exponentially distributed time.
 func drawLifetime(random *rand.Rand) time.Duration {
 	return time.Duration((1 + random.ExpFloat64()) * float64(time.Second))
 }
 
-// drawStream draws the age and the life of a stream that is met under way: long ones are met more often, each at any age alike.
+// drawStream draws the age and lifetime of a stream that is under way at a random moment: longer streams are more likely, and
+// all ages are equally likely.
 func drawStream(random *rand.Rand) (age, life time.Duration) {
 	for {
 		life = drawLifetime(random)
@@ -69,19 +70,20 @@
 	}
 }
 
-// TestPredictedLikelihoodsAreCalibrated draws streams with fixed seeds, of which one instance sees some and another number makes
-// room, and counts how often the n-th room came in time.
+// TestPredictedLikelihoodsAreCalibrated draws streams with fixed seeds and compares the likelihood that was predicted with how
+// often the n-th place did become free in time. The instance sees only some of the streams; the number of those that make room
+// varies.
 func TestPredictedLikelihoodsAreCalibrated(t *testing.T) {
 	const streams, rounds, places = 30, 4000, 4
 	within := 300 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
 	stated, came := 0.0, 0.0
 	for range rounds {
-		lives := newSample(initialLifetime)
+		lifetimes := newSample(initialLifetime)
 		for range sampleMost {
-			lives.add(drawLifetime(random))
+			lifetimes.add(drawLifetime(random))
 		}
-		c, rooms := forecast{lifetimes: &lives, placesPerEnd: 1}, 0
+		c, rooms := forecast{lifetimes: &lifetimes, placesPerEnd: 1}, 0
 		for range streams {
 			age, _ := drawStream(random)
 			c.ages = append(c.ages, age)
--- a/forward/gauges.go
+++ b/forward/gauges.go
@@ -7,7 +7,7 @@
 	"junctioncross/backend"
 )
 
-// Measure brings the gauges of what the Handler believes up to date; it is called for each scrape.
+// Measure updates the gauges that describe the Handler's view of the servers; it is called for each scrape.
 func (h *Handler) Measure() {
 	now := h.clock.Now()
 	h.measureRepeats()
@@ -20,7 +20,7 @@
 	}
 }
 
-// measureServers tells how many servers of a service may get new work, how many leave, and how many want nothing yet.
+// measureServers exports how many servers of a service are usable, how many are leaving, and how many are backed off.
 func (h *Handler) measureServers(name string, group *backend.Group, now time.Time) {
 	usable, leaving, backedOff := 0, 0, 0
 	for _, s := range group.Servers() {
@@ -39,8 +39,8 @@
 	h.gauge("servers_backed_off", "service", name, int64(backedOff))
 }
 
-// measureLanes tells for how many sequences a service has memory on its paths, and how old the oldest word of a usable server on its
-// memory is; a word that is older than wordAge counts for nothing, and so does none.
+// measureLanes exports for how many sequences the lanes of a service have memory, and the age of the oldest memory report of a
+// usable server. A report that is too old to be used counts with the greatest usable age, and so does a missing one.
 func (h *Handler) measureLanes(name string, group *backend.Group, now time.Time) {
 	own, others, crossing := h.sequences(h.lanesOf(group, now))
 	h.gauge("own_domain_sequences", "service", name, int64(own))
--- a/forward/gauges_test.go
+++ b/forward/gauges_test.go
@@ -12,7 +12,7 @@
 	"junctioncross/retry"
 )
 
-// scrape returns what the handler's metrics say.
+// scrape returns the metrics of the handler.
 func scrape(t *testing.T, h *Handler) string {
 	h.Measure()
 	var out strings.Builder
@@ -64,7 +64,7 @@
 	require.Contains(t, got, `jx_own_domain_sequences{service="s"} 0`)
 }
 
-// TestFirstEventsAreComparedWithWhatWasPredicted lets a first event take half as long again as predicted.
+// TestFirstEventsAreComparedWithWhatWasPredicted has a first event that takes one and a half times as long as predicted.
 func TestFirstEventsAreComparedWithWhatWasPredicted(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
--- a/forward/lanelog.go
+++ b/forward/lanelog.go
@@ -8,7 +8,7 @@
 	"junctioncross/decision"
 )
 
-// lanesOf returns the lanes of a group and writes a line when they have changed.
+// lanesOf returns the lanes of a group and logs them when they have changed.
 func (h *Handler) lanesOf(group *backend.Group, now time.Time) []chain.Lane {
 	name := group.Service().Name
 	lanes, changed := h.laneBook(name).get(group, now)
@@ -20,7 +20,8 @@
 
 func sameLane(a, b chain.Lane) bool { return a.Sequences == b.Sequences && a.Domain == b.Domain }
 
-// logLanes writes how many sequences the lanes of the own domain, of others, and those that cross have memory for.
+// logLanes logs for how many sequences there is memory in the lanes of the own domain, in those of other domains, and in those
+// that cross domains.
 func (h *Handler) logLanes(service string, lanes []chain.Lane) {
 	own, others, crossing := h.sequences(lanes)
 	h.record.Routine("", "lanes", decision.Fields{
@@ -28,7 +29,8 @@
 	})
 }
 
-// sequences returns for how many sequences the lanes of the own domain, of others, and those that cross have memory.
+// sequences returns for how many sequences there is memory in the lanes of the own domain, in those of other domains, and in
+// those that cross domains.
 func (h *Handler) sequences(lanes []chain.Lane) (own, others, crossing int) {
 	var sums [3]float64
 	for i := range lanes {
--- a/forward/lanes.go
+++ b/forward/lanes.go
@@ -9,25 +9,25 @@
 	"junctioncross/chain"
 )
 
-// laneBook keeps the lanes of one service's servers.
+// laneBook caches the lanes of one service's servers.
 type laneBook struct {
 	mu     sync.Mutex
 	group  *backend.Group
 	states []serverState
-	// spare is memory for the next states.
+	// spare is the backing array for the states of the next call.
 	spare []serverState
 	lanes []chain.Lane
-	// withoutLaneSince is since when there has been no lane, as far as asked.
+	// withoutLaneSince is when a call first found no lane; zero while there is one.
 	withoutLaneSince time.Time
-	// crossingSince is since when all lanes cross domains, while there has been no other; zero when there is none.
+	// crossingSince is when a call first found only lanes that cross domains; zero while there is no lane at all.
 	crossingSince time.Time
-	// hadSettledLane is true once there was a lane that is likely to stay.
+	// hadSettledLane is true once there has been a lane that is likely to stay.
 	hadSettledLane bool
-	// recovery is when there is a lane again, as last worked out.
+	// recovery caches when there is a lane again.
 	recovery laneRecovery
 }
 
-// serverState is what the lanes depend on beside the group.
+// serverState is what the lanes depend on besides the group.
 type serverState struct {
 	usable bool
 	pace   float64
@@ -46,7 +46,7 @@
 		return b.lanes, false
 	}
 	b.group, b.states, b.spare = group, states, b.states
-	// When there is a lane again depends on all servers, not only on those that want nothing.
+	// When there is a lane again depends on all servers, not only on those that are backed off.
 	b.recovery = laneRecovery{}
 	former := b.lanes
 	b.lanes = usualLanes(group, func(i int) bool { return states[i].usable }, func(i int) float64 { return states[i].pace })
@@ -61,18 +61,19 @@
 }
 
 const (
-	// maxPathOutage is how long a service may lack a whole path before the instance asks for no more callers: repairs and
-	// loads of spare servers take about as long.
+	// maxPathOutage is how long a service may have no path before the instance reports that it is not ready; repairs and
+	// loading the layers on spare servers take about that long.
 	maxPathOutage = time.Second
-	// settleTime is how long a first path that crosses domains must have stood: while domains lack layers the leader moves servers
-	// every 0.2 s, and an instance hears of that some 0.3 s later.
+	// settleTime is how long a first path that crosses domains must have existed before it counts. While domains lack layers,
+	// the leader moves servers every 0.2 s, and an instance learns of that about 0.3 s later.
 	settleTime = time.Second
-	// firstPathTime is how long an instance that has started waits for a first path before it takes callers without one.
+	// firstPathTime is how long an instance that has started waits for a first path before it accepts callers without one.
 	firstPathTime = 5 * time.Second
 )
 
-// Pathless returns the name of a service that callers had better ask for elsewhere, or an empty string: one for which the
-// instance has had no settled path since its start, or has none because it reaches no server of any other domain.
+// Pathless returns the name of a service that callers should ask another instance for, or an empty string. That is a service
+// for which this instance has had no settled path since its start, or has lost its path because it reaches no server in other
+// domains.
 func (h *Handler) Pathless() string {
 	now := h.clock.Now()
 	starting := now.Sub(h.watch.start) < firstPathTime
@@ -88,14 +89,14 @@
 	return ""
 }
 
-// partitioned reports whether no server of another domain can be used, although there are some.
+// partitioned reports whether there are servers in other domains, but none of them is usable.
 func (h *Handler) partitioned(group *backend.Group, now time.Time) bool {
 	others := false
 	for _, s := range group.Servers() {
 		if s.Domain() == h.terms.Load().Domain || s.Leaving() {
 			continue
 		}
-		// A server that wants nothing yet has answered.
+		// A server that is backed off has answered, so it can be reached.
 		if s.Usable(now) || s.BackedOff(now) {
 			return false
 		}
@@ -104,7 +105,8 @@
 	return others
 }
 
-// outage returns for how long there has been no lane, as far as asked, and whether there ever was one that is likely to stay.
+// outage returns for how long there has been no lane, counted from the first call that found none, and whether there has ever
+// been one that is likely to stay.
 func (b *laneBook) outage(group *backend.Group, now time.Time) (without time.Duration, had bool) {
 	lanes, _ := b.get(group, now)
 	b.mu.Lock()
@@ -120,7 +122,8 @@
 	return now.Sub(b.withoutLaneSince), b.hadSettledLane
 }
 
-// settledLocked reports whether the first lanes are likely to stay: servers move while their domain lacks layers.
+// settledLocked reports whether the lanes are likely to stay. Lanes that cross domains may not: servers are moved while their
+// domain lacks layers.
 func (b *laneBook) settledLocked(lanes []chain.Lane, now time.Time) bool {
 	if slices.ContainsFunc(lanes, func(l chain.Lane) bool { return l.Crossings == 0 }) {
 		return true
--- a/forward/lanes_test.go
+++ b/forward/lanes_test.go
@@ -27,7 +27,7 @@
 	return backend.NewGroup(service, servers)
 }
 
-func TestLanesAvoidAServerFromTheMomentThatItTurnsWorkAway(t *testing.T) {
+func TestLanesAvoidAServerFromTheMomentThatItRefusesWork(t *testing.T) {
 	g := twoCopies()
 	var b laneBook
 	now := time.Unix(100, 0)
@@ -60,7 +60,7 @@
 	require.GreaterOrEqual(t, far.pick(), 0, "another domain's lanes are used when there is none in the own")
 }
 
-// halves returns a group whose servers hold half of a model in each of two domains.
+// halves returns a group of two servers in two domains, each of which holds half of the model.
 func halves() *backend.Group {
 	g := twoCopies()
 	var servers []*backend.Server
@@ -72,8 +72,8 @@
 	return backend.NewGroup(g.Service(), servers)
 }
 
-// TestAFirstPathAcrossDomainsCountsOnceItHasSettled shows a fleet that is being placed: both domains still lack layers, so that
-// servers are about to move.
+// TestAFirstPathAcrossDomainsCountsOnceItHasSettled has a fleet that is still being placed: both domains lack layers, so
+// servers are about to be moved and the first path is about to vanish.
 func TestAFirstPathAcrossDomainsCountsOnceItHasSettled(t *testing.T) {
 	var b laneBook
 	now := time.Unix(100, 0)
--- a/forward/pass.go
+++ b/forward/pass.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// passEvents passes whole events on as they come; nil means that the stream ended as it should.
+// passEvents sends whole events on to the caller as they arrive; nil means that the stream ended as it should.
 func (h *Handler) passEvents(f *inflight, s *sent) error {
 	if s.head.ContentLength() != -1 {
 		return errMalformed
@@ -43,7 +43,7 @@
 
 var errCallerGone = errors.New("forward: caller cannot be reached")
 
-// ran returns how long the present server has run the stream for, as far as its events tell; 0 before the first.
+// ran returns for how long the current server has been running the stream, counted from its first event; 0 before that.
 func (f *inflight) ran(h *Handler) time.Duration {
 	if !f.moved.Load() {
 		return 0
@@ -51,7 +51,7 @@
 	return h.clock.Since(f.ranSince)
 }
 
-// observePause keeps the distributions of first events and pauses.
+// observePause records the time to the first event, or the pause between two events.
 func (h *Handler) observePause(f *inflight) {
 	waited := f.pause(h)
 	if f.moved.CompareAndSwap(false, true) {
@@ -78,7 +78,7 @@
 	f.r.x.BeginStream(h.codec.AppendAnswer(nil, &s.head), out)
 }
 
-// endStream ends the answer after the last chunk of the server; a part of an event that is left means that it broke off.
+// endStream ends the answer after the server's last chunk. An incomplete event at the end means that the stream broke off.
 func (h *Handler) endStream(f *inflight, s *sent) error {
 	if len(f.events.pending) > 0 {
 		return errMalformed
--- a/forward/path.go
+++ b/forward/path.go
@@ -9,7 +9,7 @@
 	"junctioncross/chain"
 )
 
-// needOf returns what the request asks of a path.
+// needOf returns the number of tokens that a path must have memory for, and the instance's domain.
 func (h *Handler) needOf(r *request) chain.Need {
 	engine := r.group.Graph().Engine()
 	prompt := r.meta.PromptTokens
@@ -23,11 +23,12 @@
 	return chain.Need{Prompt: prompt, Tokens: prompt + answer, Domain: h.terms.Load().Domain}
 }
 
-// hintWeight is the weight of a caller's estimate against the usual answer, on a scale of orders of magnitude: estimates are
-// right in the middle, but often off by half, while answers differ by as much as their length.
+// hintWeight is the weight of a caller's estimate against the service's usual answer length, both on a logarithmic scale. The
+// median of the estimates is right, but they are often off by half, while the lengths of answers vary by as much as the length
+// itself.
 const hintWeight = 0.7
 
-// expectedAnswerTokens returns the tokens that an answer is expected to have.
+// expectedAnswerTokens returns the expected length of an answer, in tokens, from the caller's estimate and the usual length.
 func expectedAnswerTokens(hint, usual int) int {
 	if hint < 1 || usual < 1 {
 		return max(hint, usual)
@@ -35,25 +36,25 @@
 	return int(math.Pow(float64(hint), hintWeight) * math.Pow(float64(usual), 1-hintWeight))
 }
 
-// streamSlack covers answers that are longer and steps that are slower than expected.
+// streamSlack covers answers that are longer, and steps that are slower, than expected.
 const streamSlack = 2.0
 
 const (
-	// Callers leave a stream after the longest of minPatience, so many times the objective, and so many times the accepted
-	// pause without an event, as the users' clients do.
+	// Callers give up on a stream after the longest of minPatience, patiencePerObjective times the objective, and
+	// patiencePerPause times the accepted pause between events, as the users' clients do.
 	minPatience          = 2 * time.Second
 	patiencePerObjective = 4
 	patiencePerPause     = 8
 )
 
-// patienceOf returns how long callers wait for the next event before they leave; a stream that cannot go on within that time
-// is better broken off at once.
+// patienceOf returns how long callers wait for the next event before they leave. A stream that cannot continue within that time
+// is better ended at once.
 func patienceOf(r *catalog.Route) time.Duration {
 	return max(minPatience, patiencePerObjective*r.Objective, patiencePerPause*r.PauseObjective)
 }
 
-// choosePath returns a path for a whole stream: a lane with room, or when there is none because servers are missing, any
-// path whose servers are thought to have room.
+// choosePath returns a path for a whole stream: a lane with room or, when missing servers leave no lane, any path whose servers
+// are expected to have room.
 func (h *Handler) choosePath(f *inflight) (chain.Path, bool) {
 	p, ok := h.placeIn(f, f.r.group)
 	if ok {
@@ -62,7 +63,7 @@
 	return p.path, ok
 }
 
-// placeIn returns a path through the servers of a group.
+// placeIn returns a path through the servers of a group, chosen as by choosePath.
 func (h *Handler) placeIn(f *inflight, group *backend.Group) (placed, bool) {
 	now := h.clock.Now()
 	lanes := h.lanesOf(group, now)
@@ -90,7 +91,7 @@
 	return b
 }
 
-// chainState returns what is known of the servers of a group.
+// chainState returns what is known about the servers of a group.
 func (h *Handler) chainState(group *backend.Group, now time.Time) *chainState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/forward/queue.go
+++ b/forward/queue.go
@@ -13,51 +13,53 @@
 const (
 	// roomPoll is how often a waiting request looks for room.
 	roomPoll = 15 * time.Millisecond
-	// initialLifetime, initialFirstEvent and initialOutage are the mean life of a stream, the mean time to its first event and the mean
-	// time without a path that are assumed before any was seen: an answer of usual length, a prompt that is read at once, and more
-	// than a caller waits, since it is not known that a path comes back in time.
+	// initialLifetime, initialFirstEvent and initialOutage are the mean lifetime of a stream, the mean time to its first event
+	// and the mean length of a path outage that are assumed before any have been seen: an answer of usual length, a prompt that
+	// is processed at once, and longer than a caller waits, since nothing shows yet that a path comes back in time.
 	initialLifetime   = 3 * time.Second
 	initialFirstEvent = 100 * time.Millisecond
 	initialOutage     = 3 * time.Second
-	// usualQuantile is the part of first events that come within the usual time.
+	// usualQuantile is the part of the first events that arrive within the usual time.
 	usualQuantile = 0.75
-	// initialEnds is the weight of the assumption that each own stream that ends makes one room, in streams; maxEnds is the
-	// number of ends after which older ones count half.
+	// initialEnds is the weight of the initial assumption that each own stream that ends makes one place free, in streams;
+	// after maxEnds ends, older ones count half.
 	initialEnds = 8.0
 	maxEnds     = 64.0
 )
 
-// queue holds the requests of one service that wait for room: the more urgent first, among these those whose callers have come back,
-// then the others, each in the order in which they came. It knows
-// from what room is predicted.
+// queue holds the requests of one service that wait for room. The order is by urgency, then returning callers before others,
+// then by arrival. It also keeps the statistics from which room is predicted.
 type queue struct {
 	mu      sync.Mutex
 	waiting []*inflight
-	// underWay holds the streams that have room, and when they arrived.
+	// underWay holds the streams that have room, with the arrival time of their requests.
 	underWay map[*inflight]time.Time
-	// lifetimes, firstEvents and outages are how long streams take, how long their first events take and how long there was no path.
+	// lifetimes, firstEvents and outages are samples of how long streams last, how long their first events take, and how long
+	// the service has no path.
 	lifetimes, firstEvents, outages sample
-	// ratios are how long answers took against what was predicted, in ratioUnit.
+	// ratios are the durations of answers as a multiple of the predicted ones, in ratioUnit.
 	ratios sample
-	// outageSince is since when there has been no path, as far as asked; zero while there is one.
+	// outageSince is when a call first found no path; zero while there is one.
 	outageSince time.Time
-	// endedWhileWaiting and admitted count own streams that ended while a request waited, and those that found room after a wait.
+	// endedWhileWaiting counts own streams that ended while a request was waiting, and admitted the requests that found room
+	// after a wait.
 	endedWhileWaiting, admitted float64
-	// retryTimes holds when refused callers were told to come back, in no order.
+	// retryTimes holds the moments at which refused callers were told to come back, in no particular order.
 	retryTimes []time.Time
-	// firstTries and refusedFirstTries count the latest first tries, and those of them that were refused.
+	// firstTries and refusedFirstTries count the recent first tries, and those of them that were refused.
 	firstTries, refusedFirstTries *retry.Tally
 }
 
 func newQueue() *queue {
 	return &queue{
-		lifetimes: newSample(initialLifetime), firstEvents: newSample(initialFirstEvent), outages: newSample(initialOutage), ratios: newSample(ratioUnit),
+		lifetimes: newSample(initialLifetime), firstEvents: newSample(initialFirstEvent),
+		outages: newSample(initialOutage), ratios: newSample(ratioUnit),
 		endedWhileWaiting: initialEnds, admitted: initialEnds, underWay: map[*inflight]time.Time{},
 		firstTries: retry.NewTally(recentSlots, slotTime), refusedFirstTries: retry.NewTally(recentSlots, slotTime),
 	}
 }
 
-// join adds a request and returns how many are before it.
+// join adds a request and returns the number of requests ahead of it.
 func (q *queue) join(f *inflight) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -69,11 +71,11 @@
 	return at
 }
 
-// maxOvertaken is how often more urgent requests may go before one that has waited longer, so that under lasting overload the less
-// urgent ones still get a quarter of the turns.
+// maxOvertaken is how often more urgent requests may overtake one that has waited longer. Under lasting overload it leaves the
+// less urgent requests a quarter of the turns.
 const maxOvertaken = 3
 
-// before reports whether a request goes before one that has waited longer.
+// before reports whether a request goes ahead of one that has waited longer.
 func (f *inflight) before(other *inflight) bool {
 	if c := f.r.urgency.compare(other.r.urgency); c != 0 {
 		return c < 0 && other.r.overtaken < maxOvertaken
@@ -95,28 +97,28 @@
 	}
 }
 
-// isFirst reports whether it is a request's turn.
+// isFirst reports whether a request is at the head of the queue.
 func (q *queue) isFirst(f *inflight) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.waiting) > 0 && q.waiting[0] == f
 }
 
-// addUnderWay notes that a stream which arrived at a moment has room.
+// addUnderWay notes that a stream whose request arrived at the given time now has room.
 func (q *queue) addUnderWay(f *inflight, arrived time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.underWay[f] = arrived
 }
 
-// removeUnderWay notes that a stream has given its room back.
+// removeUnderWay notes that a stream no longer needs its room.
 func (q *queue) removeUnderWay(f *inflight) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.underWay, f)
 }
 
-// ended takes the life of a stream into account.
+// ended adds the lifetime of a stream that has ended to the statistics.
 func (q *queue) ended(life time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -129,7 +131,8 @@
 	}
 }
 
-// observePath notes whether there is a path now, and returns for how long there has been none, or was none until now.
+// observePath notes whether there is a path now. It returns how long the current outage has lasted, or the one that ends with
+// this call, and whether there is still no path.
 func (q *queue) observePath(path bool, now time.Time) (outage time.Duration, ongoing bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -146,8 +149,8 @@
 	return outage, !path
 }
 
-// forecastLocked returns what is predicted from the streams under way that move, by their ages: one that stands still gives no
-// room back, as when the instance is cut off.
+// forecastLocked returns a forecast from the ages of the streams under way, without those that are stalled: these make no room,
+// as when the instance is partitioned from the servers.
 func (q *queue) forecastLocked(now time.Time, stalled func(*inflight) bool) forecast {
 	c := forecast{lifetimes: &q.lifetimes, ages: make([]time.Duration, 0, len(q.underWay)), placesPerEnd: q.admitted / q.endedWhileWaiting}
 	for f, arrived := range q.underWay {
@@ -158,8 +161,8 @@
 	return c
 }
 
-// placesLocked returns how many rooms must come before a request has its own: for those before it, for those who were told to come
-// back until a moment and go first, and for itself.
+// placesLocked returns how many places must become free before a request gets room: those for the requests ahead of it, for
+// callers who were told to come back by the time until and go first, and its own.
 func (q *queue) placesLocked(f *inflight, now, until time.Time) float64 {
 	places := f.places()
 	for _, other := range q.waiting {
@@ -174,7 +177,8 @@
 	return places
 }
 
-// dueRetriesLocked returns how many refused callers come back until a moment, and forgets those who should have come already.
+// dueRetriesLocked returns how many refused callers were told to come back by the time until. It forgets those whose time has
+// passed.
 func (q *queue) dueRetriesLocked(now, until time.Time) int {
 	q.retryTimes = slices.DeleteFunc(q.retryTimes, func(at time.Time) bool { return at.Before(now) })
 	due := 0
@@ -186,33 +190,33 @@
 	return due
 }
 
-// countAdmitted notes that a request found room after a wait.
+// countAdmitted counts a request that found room after a wait.
 func (q *queue) countAdmitted() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.admitted++
 }
 
-// observeFirstEvent takes the time to a first event into account.
+// observeFirstEvent adds the time to a first event to the statistics.
 func (q *queue) observeFirstEvent(after time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.firstEvents.add(after)
 }
 
-// usualFirstEvent returns the time in which most first events come.
+// usualFirstEvent returns the time within which most first events arrive.
 func (q *queue) usualFirstEvent() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.firstEvents.quantile(usualQuantile)
 }
 
-// awaitPath returns the path for the next attempt. A first attempt waits its turn for room, as long as that is likely to leave time
-// for the answer to begin within its objective, and not at all otherwise.
+// awaitPath returns the path for the next attempt. A first attempt waits its turn for room while that is likely to leave time
+// for the answer to begin within its objective; otherwise it does not wait at all.
 func (h *Handler) awaitPath(ctx context.Context, f *inflight) (chain.Path, bool) {
 	r, q := f.r, h.queueOf(f.r.group.Service().Name)
 	h.lanesAndOutage(r, q, h.clock.Now())
-	// While nobody waits there is nobody to go before: those that arrive together all take the room that there is.
+	// While the queue is empty there is nobody to overtake, so requests that arrive together all take the room there is.
 	if q.empty() {
 		if path, ok := h.choosePath(f); ok {
 			return path, true
@@ -223,7 +227,7 @@
 	return h.awaitTurn(ctx, f, q, r.x.Arrived().Add(h.maxWait(f, q)))
 }
 
-// awaitRoom looks for a path until a moment, whenever it is the request's turn.
+// awaitRoom looks for a path until the given time, whenever it is the request's turn.
 func (h *Handler) awaitRoom(ctx context.Context, f *inflight, turn func() bool, until time.Time) (chain.Path, bool) {
 	for {
 		if turn() {
--- a/forward/queue_test.go
+++ b/forward/queue_test.go
@@ -58,16 +58,16 @@
 func TestPathOutagesAreRecordedWhenTheyEnd(t *testing.T) {
 	q, start := newQueue(), time.Unix(100, 0)
 	for _, step := range []struct {
-		at    time.Duration
-		path  bool
-		spell time.Duration
+		at     time.Duration
+		path   bool
+		outage time.Duration
 	}{{0, true, 0}, {1, false, 0}, {3, false, 2}, {6, true, 5}, {9, true, 0}, {20, false, 0}, {21, false, 1}} {
-		spell, none := q.observePath(step.path, start.Add(step.at*time.Second))
-		require.Equal(t, !step.path, none)
-		require.Equal(t, step.spell*time.Second, spell)
+		outage, ongoing := q.observePath(step.path, start.Add(step.at*time.Second))
+		require.Equal(t, !step.path, ongoing)
+		require.Equal(t, step.outage*time.Second, outage)
 	}
 	require.Len(t, q.outages.latest, initialSamples+1)
-	require.Equal(t, 5*time.Second, q.outages.latest[initialSamples], "the one that is under way has not ended")
+	require.Equal(t, 5*time.Second, q.outages.latest[initialSamples], "the present outage has not ended")
 }
 
 func TestLongAnswersCountForSeveralPlaces(t *testing.T) {
@@ -79,11 +79,11 @@
 	f.need.Tokens = 180
 	require.InDelta(t, 2, f.places(), 1e-9)
 	f.need.Tokens = 5000
-	require.InDelta(t, maxPlaces, f.places(), 1e-9, "it is never left without a chance")
+	require.InDelta(t, maxPlaces, f.places(), 1e-9, "it is bounded, so that long answers are not always refused")
 }
 
-// TestRequestsThatArriveTogetherAllTakeTheFreeRoom lets requests arrive at an idle instance at one moment: nothing under way would
-// end soon, but there is room for all.
+// TestRequestsThatArriveTogetherAllTakeTheFreeRoom sends requests to an idle instance at one moment. No stream is under way
+// whose end would make room, so a request that queued behind the others would be refused although there is room for all.
 func TestRequestsThatArriveTogetherAllTakeTheFreeRoom(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestMoreUrgentRequestsGoFirst lets the less urgent ones come first, and one of them come back.
+// TestMoreUrgentRequestsGoFirst queues the less urgent requests first, one of them from a returning caller.
 func TestMoreUrgentRequestsGoFirst(t *testing.T) {
 	q := newQueue()
 	lessAccount, lessRoute := newWaiting(urgency{account: 2, route: 0}, true), newWaiting(urgency{account: 1, route: 2}, false)
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestLessUrgentRequestsAreNotOvertakenForever lets more urgent ones come all the time, one for each turn.
+// TestLessUrgentRequestsAreNotOvertakenForever lets a more urgent request arrive for each turn.
 func TestLessUrgentRequestsAreNotOvertakenForever(t *testing.T) {
 	q := newQueue()
 	less := newWaiting(urgency{account: 2}, false)
@@ -141,7 +141,7 @@
 	require.Negative(t, urgencyOf(nil, urgent).compare(urgencyOf(account, urgent)), "a public route is ranked by itself")
 }
 
-// TestARequestThatWaitsForRoomEndsWhenItsCallerLeaves lets it never be the request's turn.
+// TestARequestThatWaitsForRoomEndsWhenItsCallerLeaves cancels a request that never gets its turn.
 func TestARequestThatWaitsForRoomEndsWhenItsCallerLeaves(t *testing.T) {
 	// The tickers of the watcher and of the prober, and the request.
 	const sleepers = 3
--- a/forward/resumable_test.go
+++ b/forward/resumable_test.go
@@ -10,8 +10,9 @@
 	"junctioncross/backend"
 )
 
-// TestStreamsThatMayNotBeResumedDoNotKeepOthersFromLeaving lets many long answers that may not be resumed start at a server that leaves, with a
-// shorter one that may.
+// TestStreamsThatMayNotBeResumedDoNotKeepOthersFromLeaving starts many long streams that may not be resumed at a server that
+// leaves, and a shorter one that may. Each round tries to move only a few streams, the longest first; if failed moves did not
+// count, the long ones would use up every round.
 func TestStreamsThatMayNotBeResumedDoNotKeepOthersFromLeaving(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
--- a/forward/retryafter.go
+++ b/forward/retryafter.go
@@ -3,20 +3,23 @@
 import "time"
 
 const (
-	// soon is when a refused caller may come back where nothing better is known.
+	// soon is the Retry-After time where nothing better is known.
 	soon = time.Second
-	// returningRoomShare is the part of the room which comes that callers who come back are to take: the rest is for new ones, which can
-	// still be served in time.
+	// returningRoomShare is the part of the room that becomes free that is meant for returning callers; the rest is for new
+	// ones, which can still be served in time.
 	returningRoomShare = 0.5
-	// retryJitter is the random part of that time, which keeps those refused together by several instances apart.
+	// retryJitter is the greatest random part of a Retry-After time. It keeps callers apart that several instances refuse at
+	// the same time.
 	retryJitter = 0.5
-	// maxRetryAfterShare is the part of its remaining time up to which a caller heeds when it is told to come back, by the users' pages.
+	// maxRetryAfterShare is the part of its remaining time up to which a caller follows a Retry-After, according to the users'
+	// documentation.
 	maxRetryAfterShare = 1.0 / 3
 )
 
-// comeBack returns when a refused caller may come back: once there is a server again where all want nothing yet; for a stream, when there
-// is room for all who are before it as likely as not, since it then goes first and can wait a while, and no later than it heeds. What it is
-// told is remembered, so that those told later come after it.
+// comeBack returns the Retry-After time for a refused caller. If all servers are backed off, it is when the first one accepts
+// work again. For a stream, it is when there is as likely as not room for all requests ahead of it, because the caller then
+// goes first and can wait a while; but it is not later than the caller would follow. The time is remembered, so that callers
+// refused later are sent behind this one.
 func (h *Handler) comeBack(r *request) time.Duration {
 	now := h.clock.Now()
 	if r.group.Graph() != nil {
@@ -28,7 +31,7 @@
 	return soon
 }
 
-// retryAfterForStream is comeBack for a stream.
+// retryAfterForStream returns the Retry-After time for the caller of a stream.
 func (h *Handler) retryAfterForStream(r *request, now time.Time) time.Duration {
 	q := h.queueOf(r.group.Service().Name)
 	lanes, outage := h.lanesAndOutage(r, q, now)
@@ -37,6 +40,7 @@
 		usableIn, known = h.usableIn(r.group, now)
 	}
 	limit := time.Duration(maxRetryAfterShare * float64(max(h.remaining(r), 0)))
+	// A caller that comes back sooner than that could not be told from a new one.
 	minimum := min(time.Duration((1-returningShare)*float64(r.meta.Wait)), limit)
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -55,13 +59,14 @@
 	return after
 }
 
-// placesBeforeRetryLocked returns how many rooms must come before one who is refused now has its own: for those that wait, for those who were told
-// to come back within most, and for itself.
+// placesBeforeRetryLocked returns how many places must become free before a caller that is refused now gets room: those for the
+// waiting requests, for callers who were told to come back within limit, and its own.
 func (q *queue) placesBeforeRetryLocked(now time.Time, limit time.Duration) float64 {
 	return float64(len(q.waiting) + q.dueRetriesLocked(now, now.Add(limit)) + 1)
 }
 
-// timeToRoomLocked returns when there is room for one more than wait and were told to come back, if those get their part of it.
+// timeToRoomLocked returns when there is room for one more than the waiting requests and the callers who were told to come
+// back, if these get the share of the room that is meant for them.
 func (q *queue) timeToRoomLocked(c forecast, now time.Time, limit time.Duration) time.Duration {
 	if len(c.ages) == 0 {
 		return min(q.lifetimes.mean(), limit)
--- a/forward/returning.go
+++ b/forward/returning.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// returningShare is the part of the longest time that callers of a route wait below which a caller must have been elsewhere
-	// before: it has used up some of its time.
+	// returningShare detects returning callers: if a caller is ready to wait for less than this part of the longest wait of its
+	// route, it has used up some of its time elsewhere.
 	returningShare = 0.98
-	// longestWaitDecay is what is left of the longest time after each request, so that it follows callers that become less patient.
+	// longestWaitDecay multiplies the longest wait with each request, so that it follows callers that become less patient.
 	longestWaitDecay = 0.9995
-	// maxRoutes bounds the routes that are remembered; their names change with configurations.
+	// maxRoutes bounds the routes that are kept; their names change with configurations.
 	maxRoutes = 4096
 )
 
 // waits keeps the longest time that callers of each route are ready to wait.
 type waits map[string]time.Duration
 
-// isReturning takes a caller's time into account and reports whether it is one that has come back.
+// isReturning records how long a caller is ready to wait, and reports whether it is a returning one.
 func (w waits) isReturning(route string, wait time.Duration) bool {
 	if len(w) >= maxRoutes {
 		clear(w)
@@ -25,7 +25,7 @@
 	return float64(wait) < returningShare*float64(longest)
 }
 
-// hasReturned reports whether a request's caller was refused before, or goes on with a stream that broke off.
+// hasReturned reports whether the caller of a request was refused before, or resumes a stream that broke off.
 func (h *Handler) hasReturned(r *request) bool {
 	if r.meta.ResumeAfter != "" {
 		return true
--- a/forward/sample.go
+++ b/forward/sample.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// sampleMost is the number of durations that a sample keeps: some ten seconds of a busy instance's streams.
+	// sampleMost is the number of durations that a sample keeps: about ten seconds of the streams of a busy instance.
 	sampleMost = 256
-	// initialSamples is the number of durations that stand for what is assumed before any was seen.
+	// initialSamples is the number of assumed durations that a sample starts with.
 	initialSamples = 16
 )
 
-// sample is the distribution of the latest durations of one kind.
+// sample is the empirical distribution of the latest durations of one kind.
 type sample struct {
-	// latest holds them in the order in which they came, from next on, and sorted by length.
+	// latest is a ring buffer of the durations in order of arrival, with the oldest at next; sorted holds the same by length.
 	latest []time.Duration
 	next   int
 	sorted []time.Duration
 	sum    time.Duration
 }
 
-// newSample returns a sample of durations that end at a constant rate, until others are seen.
+// newSample returns a sample that starts with exponentially distributed durations of the given mean.
 func newSample(mean time.Duration) sample {
 	var s sample
 	for i := range initialSamples {
@@ -31,7 +31,7 @@
 	return s
 }
 
-// add takes a duration in and forgets the oldest one when there are enough.
+// add adds a duration and drops the oldest one when the sample is full.
 func (s *sample) add(d time.Duration) {
 	if len(s.latest) < sampleMost {
 		s.latest = append(s.latest, d)
@@ -47,16 +47,15 @@
 	s.sum += d
 }
 
-// mean returns the mean duration.
 func (s *sample) mean() time.Duration { return max(s.sum/time.Duration(len(s.latest)), 1) }
 
-// quantile returns the duration below which a part of them lie.
+// quantile returns the duration below which the given part of the sample lies.
 func (s *sample) quantile(part float64) time.Duration {
 	return s.sorted[min(int(part*float64(len(s.sorted))), len(s.sorted)-1)]
 }
 
-// endLikelihood returns the likelihood that what has lasted for a time ends within some more. What has lasted longer than anything seen
-// is taken to last as long again in the mean, with the weight of one duration.
+// endLikelihood returns the likelihood that something that has lasted for age ends within more. What has lasted longer than
+// everything in the sample is expected to last about as long again; that assumption has the weight of one duration.
 func (s *sample) endLikelihood(age, more time.Duration) float64 {
 	past, _ := slices.BinarySearch(s.sorted, age+1)
 	ended, _ := slices.BinarySearch(s.sorted, age+more+1)
@@ -64,15 +63,15 @@
 	return (float64(ended-past) + tail) / float64(len(s.sorted)-past+1)
 }
 
-// timeToEnd returns after how much more time what has lasted for a time has ended with a likelihood, at most a limit.
+// timeToEnd returns the time within which something that has lasted for age ends with the given likelihood, at most limit.
 func (s *sample) timeToEnd(age time.Duration, likelihood float64, limit time.Duration) time.Duration {
 	return minTime(limit, func(more time.Duration) bool { return s.endLikelihood(age, more) >= likelihood })
 }
 
-// timePrecision is the precision to which times are worked out; a few looks for room.
+// timePrecision is the precision to which minTime works out a time: a few polls for room.
 const timePrecision = 4 * roomPoll
 
-// minTime returns the least time for which something holds that holds ever after, at most a limit.
+// minTime returns the shortest time for which holds is true, at most limit. Holds must stay true for all longer times.
 func minTime(limit time.Duration, holds func(time.Duration) bool) time.Duration {
 	low, high := time.Duration(0), limit
 	for high-low > timePrecision {
--- a/forward/services_test.go
+++ b/forward/services_test.go
@@ -11,7 +11,8 @@
 	"junctioncross/catalog"
 )
 
-// TestWatchingOneServiceRepairsNoStreamOfAnother lets streams of two chained services stand still, one of which passes a server that leaves.
+// TestWatchingOneServiceRepairsNoStreamOfAnother has stalled streams of two chained services. The path of one passes a server
+// that leaves, but only the other service is looked at.
 func TestWatchingOneServiceRepairsNoStreamOfAnother(t *testing.T) {
 	g := twoCopies()
 	service := &catalog.Service{Name: "t", Engine: g.Service().Engine}
@@ -24,10 +25,10 @@
 	other := backend.NewGroup(service, servers)
 	e := newEngines(g)
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1)
+	stalled := flying(h, g, "still", 0, 0, 1)
 	flying(h, other, "other", 0, 0, 1)
 	clock.Advance(140 * time.Millisecond)
 	leave(servers[1])
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	h.watch.look(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.NotContains(t, e.repairs, "other")
 }
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -37,8 +37,9 @@
 	return follow.News{}, ctx.Err()
 }
 
-// TestKeysAreNotTrustedAfterASuspension lets the machine be suspended for 8 s while its steady clock stands: keys may have been taken away
-// meanwhile, and a refusal that says that there is no such key may be wrong as well.
+// TestKeysAreNotTrustedAfterASuspension suspends the machine for 8 s while its monotonic clock stands still. Keys may have been
+// revoked meanwhile, so the last confirmation is too old for keyed requests, and a denial for an unknown key may be wrong as
+// well.
 func TestKeysAreNotTrustedAfterASuspension(t *testing.T) {
 	var asleep atomic.Int64
 	fake := clockwork.NewFakeClock()
--- a/forward/unreachable_test.go
+++ b/forward/unreachable_test.go
@@ -9,7 +9,8 @@
 	"junctioncross/backend"
 )
 
-// TestAWaitingStreamGoesOnOnceItsFormerServerHasEnded lets the last server that a stream ran on leave without a word and still answer at first.
+// TestAWaitingStreamGoesOnOnceItsFormerServerHasEnded has a stream whose last server left without notice and still answers at
+// first, so that the stream may not run on one more server. It must go on soon after that server stops answering.
 func TestAWaitingStreamGoesOnOnceItsFormerServerHasEnded(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
@@ -31,7 +32,7 @@
 	e.mu.Lock()
 	e.dead[leaver.Addr()] = true
 	e.mu.Unlock()
-	// The other copy is whole without the server that has left.
+	// The other copy of the model is whole without the server that has left.
 	for range 2 * time.Second / roomPoll {
 		clock.Advance(roomPoll)
 		time.Sleep(time.Millisecond)
@@ -45,30 +46,30 @@
 	require.Fail(t, "the stream still waits two seconds after the end of the server")
 }
 
-// TestAServerThatRanAStreamTwiceCountsOnce resumes a stream where it ran before, as after a reset of its connection.
+// TestAServerThatRanAStreamTwiceCountsOnce resumes a stream on a server that ran it before, as after a connection reset.
 func TestAServerThatRanAStreamTwiceCountsOnce(t *testing.T) {
 	g := twoCopies()
 	require.Equal(t, 1, begun(g, 2, 0, 0).r.standing())
 	require.Equal(t, 2, begun(g, 2, 0, 2, 0).r.standing())
 }
 
-// TestAStreamThatGetsEventsIsNotCutWhenItsServerStopsListening lets a server take no more connections and finish what it has, as servers do
-// that stop in an orderly way.
+// TestAStreamThatGetsEventsIsNotCutWhenItsServerStopsListening has a server that accepts no new connections but finishes what
+// it has, as in an orderly shutdown.
 func TestAStreamThatGetsEventsIsNotCutWhenItsServerStopsListening(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g, 0))
-	still, stillConn := connected(t, h, g, "still", 0, 1)
-	moving, movingConn := connected(t, h, g, "moving", 0, 1)
+	stalled, stalledConn := connected(t, h, g, "still", 0, 1)
+	progressing, progressingConn := connected(t, h, g, "moving", 0, 1)
 	clock.Advance(140 * time.Millisecond)
-	moving.touch(h)
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	progressing.touch(h)
+	h.watch.look(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.True(t, g.Servers()[0].Ended())
-	require.False(t, isOpen(stillConn), "the one that stands still goes on elsewhere")
-	require.True(t, isOpen(movingConn), "the one that moves stays")
+	require.False(t, isOpen(stalledConn), "the stalled one goes on elsewhere")
+	require.True(t, isOpen(progressingConn), "the one that makes progress stays")
 }
 
-// TestAStreamThatMayNotRunAgainStaysWithASilentFirstServer lets nothing listen at the first part of a stream that cannot be resumed:
-// what comes yet is all that its caller can get.
+// TestAStreamThatMayNotRunAgainStaysWithASilentFirstServer has a stream that cannot be resumed and whose first server does not
+// listen: the events that may still arrive are all that its caller can get.
 func TestAStreamThatMayNotRunAgainStaysWithASilentFirstServer(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g, 0))
@@ -82,7 +83,7 @@
 	require.True(t, isOpen(conn))
 }
 
-// TestASilentFirstServerIsLeftEvenForAPathAcrossDomains leaves no other path than one between domains.
+// TestASilentFirstServerIsLeftEvenForAPathAcrossDomains leaves only a path that crosses domains as an alternative.
 func TestASilentFirstServerIsLeftEvenForAPathAcrossDomains(t *testing.T) {
 	g := twoCopies()
 	servers := append([]*backend.Server(nil), g.Servers()[:2]...)
--- a/forward/urgency.go
+++ b/forward/urgency.go
@@ -9,8 +9,8 @@
 // urgency ranks requests that compete for the same room; 0 is the most urgent.
 type urgency struct{ account, route int }
 
-// urgencyOf returns the rank of a request: its client account counts before its route. A request without an account, on a public
-// route, is ranked by its route alone.
+// urgencyOf returns the rank of a request, first by the priority of its client account, then by that of its route. A request
+// without an account, on a public route, is ranked by its route alone.
 func urgencyOf(account *catalog.Account, route *catalog.Route) urgency {
 	if account == nil {
 		return urgency{account: route.Priority, route: route.Priority}
@@ -18,7 +18,7 @@
 	return urgency{account: account.Priority, route: route.Priority}
 }
 
-// compare is negative when a request is more urgent than another.
+// compare returns a negative number if u is more urgent than other.
 func (u urgency) compare(other urgency) int {
 	return cmp.Or(cmp.Compare(u.account, other.account), cmp.Compare(u.route, other.route))
 }
--- a/forward/usable.go
+++ b/forward/usable.go
@@ -10,8 +10,8 @@
 	"junctioncross/backend"
 )
 
-// usableIn returns after which time the service can run requests again that it cannot run now only because servers want nothing yet; false
-// means that it can now, or that there is another reason.
+// usableIn returns in how much time the service can run requests again, if only back-off or rate limits of servers keep it from
+// running them now. False means that it can run requests now, or that there is another reason.
 func (h *Handler) usableIn(group *backend.Group, now time.Time) (time.Duration, bool) {
 	var at time.Time
 	var known bool
@@ -26,7 +26,8 @@
 	return at.Sub(now), true
 }
 
-// firstUsableAt returns when the first of servers returns of which none may get work now.
+// firstUsableAt returns when the first of the servers becomes usable; false means that one is usable now, or that no server
+// names a time.
 func firstUsableAt(servers []*backend.Server, instances int, now time.Time) (time.Time, bool) {
 	var first time.Time
 	for _, s := range servers {
@@ -40,21 +41,21 @@
 	return first, !first.IsZero()
 }
 
-// backedOffServer is a server that wants nothing until a moment.
+// backedOffServer is a server that accepts no new requests before a given time.
 type backedOffServer struct {
 	server int
 	at     time.Time
 }
 
-// laneRecovery is when a service without a lane has one again, and the servers that it was worked out from.
+// laneRecovery is when a service without a lane has one again, and the backed-off servers from which this was computed.
 type laneRecovery struct {
 	from  []backedOffServer
 	at    time.Time
 	known bool
 }
 
-// returns returns when there is a lane again that lacks only servers which want nothing yet; false means that there is one now, or that others
-// are missing. It is worked out once for each change, since requests that wait ask for it again and again.
+// returns returns when there is a lane again, if only backed-off servers are missing for one. False means that there is a lane
+// now, or that other servers are missing too. The result is cached, since waiting requests ask for it again and again.
 func (b *laneBook) returns(group *backend.Group, now time.Time) (time.Time, bool) {
 	lanes, _ := b.get(group, now)
 	if len(lanes) > 0 {
@@ -79,10 +80,11 @@
 	return b.recovery.at, b.recovery.known
 }
 
-// firstLaneAt returns when there is a lane once servers return one after the other; false means that there is none even with all of them.
+// firstLaneAt returns when there is a lane again as the back-off of one server after the other ends; false means that there is
+// none even with all of them.
 func firstLaneAt(group *backend.Group, from []backedOffServer, now time.Time) (time.Time, bool) {
 	servers := group.Servers()
-	// More servers never make fewer lanes than one.
+	// Additional servers never reduce the lanes from some to none, so a binary search is correct.
 	last := sort.Search(len(from), func(last int) bool {
 		back := make([]bool, len(servers))
 		for _, one := range from[:last+1] {
@@ -99,7 +101,8 @@
 	return from[last].at, true
 }
 
-// withRetryJitter returns when a caller may come back to a service that can run nothing for some time: not all in the same moment.
+// withRetryJitter adds a random part to the time after which a caller may come back, so that callers do not all come back at
+// once.
 func withRetryJitter(after time.Duration) time.Duration {
 	return after + time.Duration(rand.Float64()*retryJitter*float64(after))
 }
--- a/forward/wait.go
+++ b/forward/wait.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// minLikelihoodToStart is the likelihood of room within its time from which a request waits. A wait in vain costs its caller time and the
-	// chance elsewhere.
+	// minLikelihoodToStart is the likelihood of getting room in time that a request needs to start waiting. A wait in vain
+	// costs its caller time and the chance to be served elsewhere.
 	minLikelihoodToStart = 0.7
-	// minLikelihoodToContinue is the likelihood below which a wait that was begun ends: less than at its start, since a part of its price is paid.
+	// minLikelihoodToContinue is the likelihood below which a wait ends. It is lower than minLikelihoodToStart, since part of
+	// the cost of waiting has been paid already.
 	minLikelihoodToContinue = 0.4
-	// median is the likelihood at which something happens as often sooner as later.
+	// median is the likelihood at which something is as likely to happen earlier as later.
 	median = 0.5
-	// reviewInterval is how often the likelihood is worked out again for those that wait: some streams end in between.
+	// reviewInterval is how often the likelihood is computed again for a waiting request; some streams end in between.
 	reviewInterval = 100 * time.Millisecond
-	// maxPlaces bounds the places of the longest answers, so that none is left without a chance.
+	// maxPlaces bounds the places of the longest answers, so that these are not always refused.
 	maxPlaces = 4.0
 )
 
-// places returns how many rooms a request counts for: when there is not room for all, those with long answers are refused first,
-// since each takes the memory and the time of several others.
+// places returns how many places a request counts for; one place is the room for a stream of usual length. When there is not
+// room for all, long answers are refused first, since each takes the memory and time of several others.
 func (f *inflight) places() float64 {
 	usual := float64(f.r.group.Graph().Engine().UsualAnswer)
 	answer := float64(f.need.Tokens - f.need.Prompt)
@@ -35,20 +36,20 @@
 	return min(answer/usual, maxPlaces)
 }
 
-// expectation is what is predicted for a request that waits.
+// expectation is what is predicted for a waiting request.
 type expectation struct {
-	// places are the rooms that must come before the request has its own.
+	// places is the number of places that must become free before the request gets room.
 	places float64
-	// streams are under way here and move.
+	// streams is the number of this instance's streams under way that make progress.
 	streams int
-	// left is how long the request may wait yet, and likelihood how likely it has a path by then.
+	// left is how long the request may still wait, and likelihood how likely it gets a path by then.
 	left       time.Duration
 	likelihood float64
-	// wait is when it has one as likely as not.
+	// wait is the time by which it gets a path with a likelihood of one half.
 	wait time.Duration
 }
 
-// awaitTurn waits for a request's turn and for room, as long as both are likely to come until a moment.
+// awaitTurn waits for a request's turn and for room, while it is likely to get both by the time until.
 func (h *Handler) awaitTurn(ctx context.Context, f *inflight, q *queue, until time.Time) (chain.Path, bool) {
 	start := h.clock.Now()
 	initial := h.predictWait(f, q, until)
@@ -71,8 +72,8 @@
 	return chain.Path{}, false
 }
 
-// maxWait returns how long after its arrival a request may get its path. A caller who was refused before, or whose request has run
-// somewhere, is late already and hardly has another chance: it is served as long as it waits.
+// maxWait returns how long after its arrival a request may get its path. A returning caller, or one whose request has already
+// run on some server, is late already and hardly has another chance, so it is served within the whole time that callers wait.
 func (h *Handler) maxWait(f *inflight, q *queue) time.Duration {
 	limit := f.r.route.Objective
 	if f.returned || f.r.runs > 0 {
@@ -81,7 +82,7 @@
 	return limit - q.usualFirstEvent()
 }
 
-// predictWait predicts whether a request that waits has a path in time.
+// predictWait predicts whether a waiting request gets a path in time.
 func (h *Handler) predictWait(f *inflight, q *queue, until time.Time) expectation {
 	now := h.clock.Now()
 	expected := expectation{left: max(until.Sub(now), 0)}
@@ -94,7 +95,7 @@
 	defer q.mu.Unlock()
 	expected.places = q.placesLocked(f, now, until)
 	if known {
-		// Servers have said when they take work again: a wait that ends before is in vain.
+		// The servers have said when they accept work again: a wait that ends before that is in vain.
 		expected.wait = usableIn
 		if usableIn <= expected.left {
 			expected.likelihood = 1
@@ -111,7 +112,7 @@
 	expected.likelihood = c.likelihood(expected.places, expected.left)
 	expected.wait = c.timeFor(expected.places, median, expected.left)
 	if turns, limited := h.turnsIn(f.r.group, lanes, expected.places, now); limited {
-		// Beside room the request needs a turn, which comes at a known moment.
+		// Besides room, the request needs the rate limit of the first servers to allow it, which happens at a known time.
 		expected.wait = max(expected.wait, turns)
 		if turns > expected.left {
 			expected.likelihood = 0
@@ -120,7 +121,8 @@
 	return expected
 }
 
-// lanesAndOutage returns the lanes of the service, and for how long it has had none or had none until now; it keeps how long such times lasted.
+// lanesAndOutage returns the lanes of the service, and how long the current path outage has lasted or the one that has just
+// ended. It records outages that have ended.
 func (h *Handler) lanesAndOutage(r *request, q *queue, now time.Time) ([]chain.Lane, time.Duration) {
 	lanes := h.lanesOf(r.group, now)
 	outage, ongoing := q.observePath(len(lanes) > 0, now)
@@ -131,7 +133,7 @@
 	return lanes, outage
 }
 
-// observeWait keeps what was predicted for a wait and what came of it.
+// observeWait records what was predicted for a wait, and its outcome.
 func (h *Handler) observeWait(f *inflight, predicted expectation, waited time.Duration, found bool) {
 	band := math.Floor(predicted.likelihood*10) / 10
 	h.stats.Counter(fmt.Sprintf("waits_total{likelihood=\"%.1f\",came=\"%t\"}", band, found)).Inc(1)
@@ -145,7 +147,7 @@
 	h.record.Routine(f.r.meta.ID, "waited for room", fields)
 }
 
-// expectationFields returns what a line tells of an expectation.
+// expectationFields returns the log fields of an expectation.
 func (h *Handler) expectationFields(f *inflight, predicted expectation) decision.Fields {
 	return h.fields(f.r, decision.Fields{
 		"places": predicted.places, "streams": predicted.streams, "left_ms": predicted.left.Milliseconds(), "likelihood": predicted.likelihood,
--- a/forward/wait_test.go
+++ b/forward/wait_test.go
@@ -14,14 +14,14 @@
 	"junctioncross/front"
 )
 
-// reportFilled lets all servers of a group tell that a part of their memory is taken.
+// reportFilled makes all servers of a group report that a part of their memory is used.
 func reportFilled(g *backend.Group, part float64, now time.Time) {
 	for _, s := range g.Servers() {
 		s.SetMemory(part, 1, 0, now)
 	}
 }
 
-// startStreams lets streams of a service be under way, whose lives are all alike, with ages that are evenly apart.
+// startStreams adds streams of a service that are under way, with the given ages; all streams seen before lasted for life.
 func startStreams(h *Handler, count int, life time.Duration, age func(i int) time.Duration) *queue {
 	q := h.queueOf("s")
 	q.lifetimes = *constantSample(life)
@@ -34,7 +34,7 @@
 	return q
 }
 
-// newUnbegun returns a request of a group that has not begun.
+// newUnbegun returns a stream of a group that has not been sent yet.
 func newUnbegun(h *Handler, g *backend.Group) *inflight {
 	r := &request{
 		x: &front.Exchange{}, group: g, route: &catalog.Route{Objective: 500 * time.Millisecond}, meta: call.Meta{Wait: 20 * time.Second},
@@ -43,8 +43,8 @@
 	return &inflight{r: r, need: chain.Need{Prompt: 10, Tokens: 20}}
 }
 
-// TestARequestIsRefusedAtOnceWhereNoStreamEndsInTime lets all streams be young: at their mean rate one would end in time, but
-// none does.
+// TestARequestIsRefusedAtOnceWhereNoStreamEndsInTime has only young streams: at their mean rate one would end in time, but by
+// their ages none does.
 func TestARequestIsRefusedAtOnceWhereNoStreamEndsInTime(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -53,12 +53,12 @@
 	q := startStreams(h, 20, 2*time.Second, func(int) time.Duration { return 100 * time.Millisecond })
 	f := newUnbegun(h, g)
 	q.join(f)
-	// It would block on the clock, which stands still, if it waited.
+	// If it waited, it would block on the clock, which does not advance.
 	_, ok := h.awaitTurn(t.Context(), f, q, clock.Now().Add(400*time.Millisecond))
 	require.False(t, ok)
 }
 
-// TestARequestWaitsWhereRoomIsLikelyToComeInTime frees the servers while the request waits.
+// TestARequestWaitsWhereRoomIsLikelyToComeInTime frees the servers' memory while the request waits.
 func TestARequestWaitsWhereRoomIsLikelyToComeInTime(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -81,7 +81,8 @@
 	require.InDelta(t, (initialEnds+1)/initialEnds, q.admitted/q.endedWhileWaiting, 1e-9, "no own stream ended: others make room as well")
 }
 
-// TestAWaitEndsWhenRoomBecomesUnlikely lets the streams that were to end stand still, as when the instance is cut off.
+// TestAWaitEndsWhenRoomBecomesUnlikely stalls all streams during the wait, as when the instance is partitioned from the
+// servers: streams that are stalled make no room.
 func TestAWaitEndsWhenRoomBecomesUnlikely(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -119,7 +120,8 @@
 	require.NoError(t, clock.BlockUntilContext(t.Context(), sleepers))
 }
 
-// TestWithoutAPathARequestWaitsAsLongAsFormerOutagesLasted lets the service be without a path for short times, and then for long ones.
+// TestWithoutAPathARequestWaitsAsLongAsFormerOutagesLasted has a service without a path whose former outages were short, so
+// that a request waits until the present one has lasted longer.
 func TestWithoutAPathARequestWaitsAsLongAsFormerOutagesLasted(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -130,14 +132,15 @@
 	}
 	f := newUnbegun(h, g)
 	until := func() time.Time { return clock.Now().Add(400 * time.Millisecond) }
-	require.Less(t, h.predictWait(f, q, until()).likelihood, minLikelihoodToStart, "nothing is known yet")
+	require.Less(t, h.predictWait(f, q, until()).likelihood, minLikelihoodToStart, "no outage has been seen yet")
 	q.outages = *constantSample(200 * time.Millisecond)
 	require.Greater(t, h.predictWait(f, q, until()).likelihood, 0.9)
 	clock.Advance(time.Second)
-	require.Less(t, h.predictWait(f, q, until()).likelihood, minLikelihoodToStart, "this time has lasted longer already")
+	require.Less(t, h.predictWait(f, q, until()).likelihood, minLikelihoodToStart, "this outage has lasted longer already")
 }
 
-// TestRetryAfterLeavesTimeForRequestsAhead refuses many callers at one moment.
+// TestRetryAfterLeavesTimeForRequestsAhead refuses many callers at one moment. If all got the same Retry-After, there would be
+// room for only some of them when they come back.
 func TestRetryAfterLeavesTimeForRequestsAhead(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -150,29 +153,29 @@
 	q.mu.Unlock()
 	first := h.comeBack(f.r)
 	require.GreaterOrEqual(t, first, min(predicted, maxRetryAfter(f.r)))
-	known := time.Duration((1 - returningShare) * float64(f.r.meta.Wait))
-	require.GreaterOrEqual(t, first, known, "late enough to be known again")
-	require.LessOrEqual(t, first, max(time.Duration((1+retryJitter)*float64(predicted)), known))
+	recognised := time.Duration((1 - returningShare) * float64(f.r.meta.Wait))
+	require.GreaterOrEqual(t, first, recognised, "late enough to be recognised as returning")
+	require.LessOrEqual(t, first, max(time.Duration((1+retryJitter)*float64(predicted)), recognised))
 	for range 6 {
 		h.comeBack(f.r)
 	}
 	q.mu.Lock()
 	then := q.timeToRoomLocked(q.forecastLocked(clock.Now(), h.watch.still), clock.Now(), time.Minute)
 	q.mu.Unlock()
-	require.Greater(t, then, predicted+500*time.Millisecond, "those told before are waited for")
+	require.Greater(t, then, predicted+500*time.Millisecond, "callers refused before go first")
 	for range 1000 {
-		require.LessOrEqual(t, h.comeBack(f.r), maxRetryAfter(f.r), "not longer than the caller heeds")
+		require.LessOrEqual(t, h.comeBack(f.r), maxRetryAfter(f.r), "no longer than the caller follows it")
 	}
 	clock.Advance(20 * time.Second)
 	require.Zero(t, q.dueRetriesLocked(clock.Now(), clock.Now().Add(time.Minute)), "those who should have come are forgotten")
 }
 
-// maxRetryAfter returns the longest time that a caller of a request that has just come heeds.
+// maxRetryAfter returns the longest Retry-After that the caller of a request that has just arrived follows.
 func maxRetryAfter(r *request) time.Duration {
 	return time.Duration(maxRetryAfterShare * float64(r.meta.Wait))
 }
 
-// TestReturningCallersGoBeforeNewCallers promises room to callers who are due within the time of a new one.
+// TestReturningCallersGoBeforeNewCallers has refused callers who come back within the time that a new caller would wait.
 func TestReturningCallersGoBeforeNewCallers(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -185,10 +188,11 @@
 	q.retryTimes = []time.Time{clock.Now().Add(100 * time.Millisecond), clock.Now().Add(200 * time.Millisecond), clock.Now().Add(time.Minute)}
 	require.InDelta(t, before.places+2, h.predictWait(f, q, until).places, 1e-9)
 	require.Less(t, h.predictWait(f, q, until).likelihood, before.likelihood)
-	require.InDelta(t, 1, h.predictWait(back, q, until).places, 1e-9, "who comes back waits for no promise")
+	require.InDelta(t, 1, h.predictWait(back, q, until).places, 1e-9, "a returning caller waits for no other one")
 }
 
-// TestReturningCallersMayWaitAsLongAsTheirPatience compares the times that requests may wait.
+// TestReturningCallersMayWaitAsLongAsTheirPatience compares how long new and returning callers, and requests that have run, may
+// wait for a path.
 func TestReturningCallersMayWaitAsLongAsTheirPatience(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g))
