--- a/forward/lanelog.go
+++ b/forward/lanelog.go
@@ -8,27 +8,29 @@
 	"junctioncross/decision"
 )
 
-// lanesOf returns the lanes of a group and writes a line when they have changed.
+// lanesOf returns the lanes of a group and logs them when they have changed.
 func (h *Handler) lanesOf(group *backend.Group, now time.Time) []chain.Lane {
 	name := group.Service().Name
 	lanes, changed := h.laneBook(name).get(group, now)
 	if changed && h.lanesTold.may(name, now) {
-		h.tellLanes(name, lanes)
+		h.logLanes(name, lanes)
 	}
 	return lanes
 }
 
 func sameLane(a, b chain.Lane) bool { return a.Sequences == b.Sequences && a.Domain == b.Domain }
 
-// tellLanes writes how many sequences the lanes of the own domain, of others, and those that cross have memory for.
-func (h *Handler) tellLanes(service string, lanes []chain.Lane) {
+// logLanes logs for how many sequences there is memory in the lanes of the own domain, in those of other domains, and in those
+// that cross domains.
+func (h *Handler) logLanes(service string, lanes []chain.Lane) {
 	own, others, crossing := h.sequences(lanes)
 	h.record.Routine("", "lanes", decision.Fields{
 		"service": service, "lanes": len(lanes), "own_domain": own, "other_domains": others, "crossing": crossing,
 	})
 }
 
-// sequences returns for how many sequences the lanes of the own domain, of others, and those that cross have memory.
+// sequences returns for how many sequences there is memory in the lanes of the own domain, in those of other domains, and in
+// those that cross domains.
 func (h *Handler) sequences(lanes []chain.Lane) (own, others, crossing int) {
 	var sums [3]float64
 	for i := range lanes {
