--- a/forward/conclude.go
+++ b/forward/conclude.go
@@ -9,15 +9,15 @@
 	"junctioncross/models"
 )
 
-// refusedSends is the number of servers that may turn one request away before its caller is told.
-const refusedSends = 3
+// maxRefusals is the number of servers that may turn one request away before its caller is told.
+const maxRefusals = 3
 
 // again reports whether an attempt that ended so may be followed by another.
 func (h *Handler) again(r *request, last outcome, sends int) bool {
 	switch o := last.(type) {
 	case notRun:
 		h.stats.Retried(o.reason)
-		return sends < refusedSends+r.route.MaxAttempts
+		return sends < maxRefusals+r.route.MaxAttempts
 	case failed:
 		if !r.route.MayRepeat() || r.standing() >= r.route.MaxAttempts {
 			return false
--- a/forward/evacuate.go
+++ b/forward/evacuate.go
@@ -15,14 +15,14 @@
 	// evacuationTime is how long after a server was heard to leave the streams have left it that outlast it: less than the shortest
 	// notice that servers give, two seconds. They go at an even pace, since each of them has to be read anew by others.
 	evacuationTime = 1600 * time.Millisecond
-	// newsAge is how old the news that a server leaves may be when an instance hears of it through another one.
-	newsAge = 400 * time.Millisecond
-	// leastLeft keeps the pace bounded for streams that found no other path in that time.
-	leastLeft = 200 * time.Millisecond
-	// leastPace is the least number of streams that leave a server in a second, so that the last few do not linger.
-	leastPace = 20.0
-	// mostOwed bounds what has gathered while there was no other path, in rounds: those that leave together are read together.
-	mostOwed = 4
+	// propagationTime is how old the news that a server leaves may be when an instance hears of it through another one.
+	propagationTime = 400 * time.Millisecond
+	// minTimeLeft keeps the pace bounded for streams that found no other path in that time.
+	minTimeLeft = 200 * time.Millisecond
+	// minPace is the least number of streams that leave a server in a second, so that the last few do not linger.
+	minPace = 20.0
+	// maxBacklogRounds bounds what has gathered while there was no other path, in rounds: those that leave together are read together.
+	maxBacklogRounds = 4
 	// mostTries bounds the streams that one round looks for another path for, since each look searches all servers.
 	mostTries = 16
 )
@@ -33,31 +33,31 @@
 // evacuate lets streams go on without the servers that leave, or that give up layers, while these still work: a part that is replaced
 // stands still only for the reading, while one whose server has ended stands still until that is found, together with all others that
 // passed it. Streams that end before the server does stay.
-func (w *watcher) evacuate(ctx context.Context, owed departures, groupOf func(service string) *backend.Group) {
-	leaving := w.leaving()
-	for s := range owed {
-		if len(leaving[s]) == 0 {
-			delete(owed, s)
+func (w *watcher) evacuate(ctx context.Context, backlog departures, groupOf func(service string) *backend.Group) {
+	byServer := w.leaving()
+	for s := range backlog {
+		if len(byServer[s]) == 0 {
+			delete(backlog, s)
 		}
 	}
 	tries := 0
-	for s, streams := range leaving {
+	for s, streams := range byServer {
 		group := groupOf(s.Service())
 		if group == nil {
 			continue
 		}
 		pace := w.pace(s, len(streams))
-		owed[s] = min(owed[s]+pace, max(mostOwed*pace, 1))
+		backlog[s] = min(backlog[s]+pace, max(maxBacklogRounds*pace, 1))
 		for _, f := range streams {
-			if owed[s] < 1 || tries == mostTries {
+			if backlog[s] < 1 || tries == mostTries {
 				break
 			}
 			tries++
-			if w.leaveParts(ctx, f, group) {
-				owed[s]--
-				f.vain.Store(0)
+			if w.leaveStages(ctx, f, group) {
+				backlog[s]--
+				f.failedMoves.Store(0)
 			} else {
-				f.vain.Add(1)
+				f.failedMoves.Add(1)
 			}
 		}
 	}
@@ -69,9 +69,9 @@
 	since := s.LeavingFor(w.handler.clock.Now())
 	left := evacuationTime - since
 	if left < 0 {
-		left = w.handler.terms.Load().DrainTime - leastLeft - since
+		left = w.handler.terms.Load().DrainTime - minTimeLeft - since
 	}
-	return max(float64(streams)/max(left, leastLeft).Seconds(), leastPace) * watchPeriod.Seconds()
+	return max(float64(streams)/max(left, minTimeLeft).Seconds(), minPace) * watchPeriod.Seconds()
 }
 
 // leaving returns the streams that have to leave a server, by the one that they pass and that has been leaving for longest; those that
@@ -79,26 +79,26 @@
 func (w *watcher) leaving() map[*backend.Server][]*inflight {
 	h := w.handler
 	out := map[*backend.Server][]*inflight{}
-	for _, f := range w.flying() {
+	for _, f := range w.active() {
 		if s := h.partToLeave(f); s != nil {
 			out[s] = append(out[s], f)
 		}
 	}
 	for _, streams := range out {
-		h.sortByNeed(streams)
+		h.sortByPriority(streams)
 	}
 	return out
 }
 
-// sortByNeed puts the streams that would last longest first, after those that were looked at less often in vain.
-func (h *Handler) sortByNeed(streams []*inflight) {
+// sortByPriority puts the streams that would last longest first, after those that were looked at less often in vain.
+func (h *Handler) sortByPriority(streams []*inflight) {
 	type need struct {
 		vain int64
 		left time.Duration
 	}
 	needs := make(map[*inflight]need, len(streams))
 	for _, f := range streams {
-		needs[f] = need{vain: f.vain.Load(), left: f.left(h)}
+		needs[f] = need{vain: f.failedMoves.Load(), left: f.left(h)}
 	}
 	slices.SortFunc(streams, func(a, b *inflight) int {
 		return cmp.Or(cmp.Compare(needs[a].vain, needs[b].vain), cmp.Compare(needs[b].left, needs[a].left))
@@ -129,9 +129,9 @@
 // outlasts reports whether a stream is expected to need a part of its path for longer than that server runs it.
 func (h *Handler) outlasts(f *inflight, s *backend.Server, part models.Layers) bool {
 	if s.Departs() {
-		return f.left(h) > h.terms.Load().DrainTime-newsAge-s.LeavingFor(h.clock.Now())
+		return f.left(h) > h.terms.Load().DrainTime-propagationTime-s.LeavingFor(h.clock.Now())
 	}
-	return givesUp(s, part)
+	return droppedStage(s, part)
 }
 
 // passesLeaving reports whether a part of the stream's path behind the first leaves.
@@ -144,13 +144,13 @@
 	return false
 }
 
-// givesUp reports whether a server no longer holds a part, as far as its entry tells.
-func givesUp(s *backend.Server, part models.Layers) bool {
+// droppedStage reports whether a server no longer holds a part, as far as its entry tells.
+func droppedStage(s *backend.Server, part models.Layers) bool {
 	return !s.Layers().Holds(part)
 }
 
-// leaveParts lets a stream go on without the parts that will not last as long as it does, and reports whether it can.
-func (w *watcher) leaveParts(ctx context.Context, f *inflight, group *backend.Group) bool {
+// leaveStages lets a stream go on without the parts that will not last as long as it does, and reports whether it can.
+func (w *watcher) leaveStages(ctx context.Context, f *inflight, group *backend.Group) bool {
 	c := f.course()
 	if len(c.servers) == 0 {
 		return false
@@ -164,15 +164,15 @@
 // evacuateOne starts to give a stream a path with others in place of the parts behind the first that leave, and reports whether there
 // is one.
 func (w *watcher) evacuateOne(ctx context.Context, f *inflight, group *backend.Group) bool {
-	was := f.course()
-	now, ok := w.withoutLeaving(f, group, was)
-	if !ok || slices.Equal(was.servers, now.servers) || !f.startRepair() {
+	old := f.course()
+	next, ok := w.withoutLeaving(f, group, old)
+	if !ok || slices.Equal(old.servers, next.servers) || !f.startRepair() {
 		return false
 	}
 	go func() {
-		defer f.repaired()
+		defer f.endRepair()
 		// A failure is logged; a later round tries again.
-		_ = w.reroute(ctx, f, was, now, "evacuated")
+		_ = w.reroute(ctx, f, old, next, "evacuated")
 	}()
 	return true
 }
@@ -180,23 +180,23 @@
 // withoutLeaving returns a path with others in place of the servers that leave, if they have the memory and the path does not cross
 // domains more often than before: a link between domains takes few such streams a second, and all that cross it stand still
 // meanwhile. The server that starts in a release holds the part before the old one ends.
-func (w *watcher) withoutLeaving(f *inflight, group *backend.Group, was course) (course, bool) {
+func (w *watcher) withoutLeaving(f *inflight, group *backend.Group, old resolvedPath) (resolvedPath, bool) {
 	h := w.handler
-	old := indexed(group, was)
-	if len(old) == 0 {
-		return course{}, false
+	oldHops := groupHops(group, old)
+	if len(oldHops) == 0 {
+		return resolvedPath{}, false
 	}
-	r := f.without(old, func(i int) bool { return was.servers[i].Departs() || givesUp(was.servers[i], old[i].Layers) })
+	r := f.repairRequest(oldHops, func(i int) bool { return old.servers[i].Departs() || droppedStage(old.servers[i], oldHops[i].Layers) })
 	hops, ok := chain.Mend(group.Graph(), h.chainState(group, h.clock.Now()), r)
 	if !ok {
-		return course{}, false
+		return resolvedPath{}, false
 	}
-	now := was.onward(group, hops)
-	return now, now.crossings() <= was.crossings()
+	next := old.resolveHops(group, hops)
+	return next, next.crossings() <= old.crossings()
 }
 
 // crossings returns how often a path passes from one domain to another.
-func (c course) crossings() int {
+func (c resolvedPath) crossings() int {
 	n := 0
 	for i := 1; i < len(c.servers); i++ {
 		if c.servers[i].Domain() != c.servers[i-1].Domain() {
--- a/forward/evacuate_test.go
+++ b/forward/evacuate_test.go
@@ -15,8 +15,8 @@
 	s.Update(backend.Entry{ID: s.ID(), Leaving: true, Layers: s.Layers()})
 }
 
-// TestAStreamGoesOnWithoutAServerThatLeaves lets the second part of a path leave while another server holds its layers.
-func TestAStreamGoesOnWithoutAServerThatLeaves(t *testing.T) {
+// TestAStreamIsEvacuatedFromALeavingServer lets the second part of a path leave while another server holds its layers.
+func TestAStreamIsEvacuatedFromALeavingServer(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	h, _ := testHandler(t, e)
@@ -33,8 +33,8 @@
 	require.Nil(t, h.partToLeave(f))
 }
 
-// TestAStreamStaysWhereOnlyAnotherDomainCouldTakeItsPart leaves no other holder in the domain.
-func TestAStreamStaysWhereOnlyAnotherDomainCouldTakeItsPart(t *testing.T) {
+// TestAStreamIsNotEvacuatedToAnotherDomain leaves no other holder in the domain.
+func TestAStreamIsNotEvacuatedToAnotherDomain(t *testing.T) {
 	service := twoCopies().Service()
 	entry := func(id, domain string, first int) backend.Entry {
 		return backend.Entry{
@@ -51,8 +51,8 @@
 	require.Zero(t, f.repairs, "looking for a path costs none of the stream's repairs")
 }
 
-// TestStreamsLeaveAServerThatMayBeLeaving lets the entry of a part vanish around an outage of the store, and come back.
-func TestStreamsLeaveAServerThatMayBeLeaving(t *testing.T) {
+// TestStreamsAreEvacuatedFromAServerThatMayBeLeaving lets the entry of a part vanish around an outage of the store, and come back.
+func TestStreamsAreEvacuatedFromAServerThatMayBeLeaving(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	f := flying(h, g, "one", 0, 0, 1)
@@ -67,13 +67,13 @@
 	require.Nil(t, h.partToLeave(other))
 }
 
-// TestAStreamThatLastsAboutAsLongAsItsServerLeaves counts with news that are some time old.
-func TestAStreamThatLastsAboutAsLongAsItsServerLeaves(t *testing.T) {
+// TestAStreamThatMayOutlastItsServerIsEvacuated counts with news that are some time old.
+func TestAStreamThatMayOutlastItsServerIsEvacuated(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	f := flying(h, g, "one", 0, 0, 1)
 	goodbye(g.Servers()[1], clock)
-	f.life = h.terms.Load().DrainTime - newsAge
+	f.life = h.terms.Load().DrainTime - propagationTime
 	require.Nil(t, h.partToLeave(f))
 	f.life++
 	require.Equal(t, g.Servers()[1], h.partToLeave(f))
--- a/forward/events.go
+++ b/forward/events.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxEvent bounds one event; a server that sends more without an end does not speak the protocol.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event; a server that sends more without an end does not speak the protocol.
+const maxEventBytes = 1 << 20
 
-// errEvent means that bytes are not an event or not the one that is due.
-var errEvent = errors.New("forward: not the event that is due")
+// errBadEvent means that bytes are not an event or not the one that is due.
+var errBadEvent = errors.New("forward: not the event that is due")
 
 var (
 	eventEnd = []byte("\n\n")
@@ -29,8 +29,8 @@
 // next call; events that the caller already has are left out.
 func (e *events) feed(p []byte) ([]byte, error) {
 	e.pending = append(e.pending, p...)
-	if len(e.pending) > maxEvent {
-		return nil, errEvent
+	if len(e.pending) > maxEventBytes {
+		return nil, errBadEvent
 	}
 	end := bytes.LastIndex(e.pending, eventEnd)
 	if end < 0 {
@@ -38,14 +38,14 @@
 	}
 	whole := e.pending[:end+len(eventEnd)]
 	rest := e.pending[end+len(eventEnd):]
-	out, err := e.check(whole)
+	out, err := e.newEvents(whole)
 	// The rest moves to a new buffer, since the events still point into the old one.
 	e.pending = append(make([]byte, 0, cap(e.pending)), rest...)
 	return out, err
 }
 
-// check returns the events with ids above the last one.
-func (e *events) check(whole []byte) ([]byte, error) {
+// newEvents returns the events with ids above the last one.
+func (e *events) newEvents(whole []byte) ([]byte, error) {
 	start := 0
 	for at := 0; at < len(whole); {
 		end := at + bytes.Index(whole[at:], eventEnd) + len(eventEnd)
@@ -55,7 +55,7 @@
 		}
 		if id <= e.last {
 			if start != at {
-				return whole[start:at], errEvent
+				return whole[start:at], errBadEvent
 			}
 			start = end
 		} else {
@@ -72,12 +72,12 @@
 		if value, ok := bytes.CutPrefix(line, idField); ok {
 			id, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 			if err != nil {
-				return 0, errEvent
+				return 0, errBadEvent
 			}
 			return id, nil
 		}
 	}
-	return 0, errEvent
+	return 0, errBadEvent
 }
 
 // resumeAfter returns what to tell a server that is to go on with the stream.
@@ -88,5 +88,5 @@
 	return strconv.FormatInt(e.last, 10)
 }
 
-// restart forgets the part of an event that a former server did not finish.
-func (e *events) restart() { e.pending = e.pending[:0] }
+// dropPartial forgets the part of an event that a former server did not finish.
+func (e *events) dropPartial() { e.pending = e.pending[:0] }
--- a/forward/events_test.go
+++ b/forward/events_test.go
@@ -7,21 +7,21 @@
 	"pgregory.net/rapid"
 )
 
-func TestAnEventCutShortIsForgottenWhenAnotherServerGoesOn(t *testing.T) {
+func TestAPartialEventIsDroppedWhenAnotherServerResumes(t *testing.T) {
 	e := events{last: -1}
 	out, err := e.feed([]byte("id: 0\ndata: a\n\nid: 1\ndata: b"))
 	require.NoError(t, err)
 	require.Equal(t, "id: 0\ndata: a\n\n", string(out))
-	e.restart()
+	e.dropPartial()
 	out, err = e.feed([]byte("id: 1\ndata: bcd\n\n"))
 	require.NoError(t, err)
 	require.Equal(t, "id: 1\ndata: bcd\n\n", string(out))
 	require.Equal(t, "1", e.resumeAfter())
 }
 
-// TestEventsComeOutWholeHoweverTheyAreCut cuts a stream anywhere, breaks it off anywhere and goes on with a server that
+// TestEventsAreWholeHoweverTheStreamIsSplit cuts a stream anywhere, breaks it off anywhere and goes on with a server that
 // begins at any event that it has sent already.
-func TestEventsComeOutWholeHoweverTheyAreCut(t *testing.T) {
+func TestEventsAreWholeHoweverTheStreamIsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []string
 		for i := range rapid.IntRange(1, 12).Draw(t, "events") {
@@ -31,7 +31,7 @@
 		e := events{last: -1}
 		got := ""
 		for e.last < int64(len(all)-1) {
-			e.restart()
+			e.dropPartial()
 			from := rapid.Int64Range(max(e.last, 0), e.last+1).Draw(t, "from")
 			stream := ""
 			for _, event := range all[from:] {
@@ -56,10 +56,10 @@
 
 func itoa(i int) string { return string(rune('0'+i/10)) + string(rune('0'+i%10)) }
 
-func TestBytesThatAreNoEventAreAnError(t *testing.T) {
+func TestMalformedEventsAreRejected(t *testing.T) {
 	for _, bad := range []string{"data: x\n\n", "id: x\n\n", "id:\n\n"} {
 		e := events{last: -1}
 		_, err := e.feed([]byte(bad))
-		require.ErrorIs(t, err, errEvent, bad)
+		require.ErrorIs(t, err, errBadEvent, bad)
 	}
 }
--- a/forward/unbegun_test.go
+++ b/forward/firstevent_test.go
@@ -9,8 +9,8 @@
 	"junctioncross/catalog"
 )
 
-// TestARequestWhoseServerEndsBeforeTheFirstEventGoesOn lets the only server that may run a request at a time end by plan while it reads.
-func TestARequestWhoseServerEndsBeforeTheFirstEventGoesOn(t *testing.T) {
+// TestARequestIsRetriedIfItsServerEndsBeforeTheFirstEvent lets the only server that may run a request at a time end by plan while it reads.
+func TestARequestIsRetriedIfItsServerEndsBeforeTheFirstEvent(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g, 0))
 	f := begun(g, 1)
@@ -19,5 +19,5 @@
 	leave(f.first)
 	last := h.brokenStream(t.Context(), f, io.ErrUnexpectedEOF)
 	require.False(t, f.r.x.Begun())
-	require.True(t, h.goesOn(f, last, 1))
+	require.True(t, h.mayContinue(f, last, 1))
 }
--- a/forward/handover.go
+++ b/forward/handover.go
@@ -18,13 +18,13 @@
 // handOver lets a stream go on at another first part, after the last event that was passed on. It does so only when there is a path for
 // it and the request may run there, so that nothing is lost by leaving. Only a server that does not answer is left for a path that
 // crosses domains more often.
-func (w *watcher) handOver(f *inflight, first *backend.Server, group *backend.Group, why string) bool {
+func (w *watcher) handOver(f *inflight, first *backend.Server, group *backend.Group, text string) bool {
 	h := w.handler
 	if !f.r.route.MayRepeat() || !h.mayRunAgain(f, first) {
 		return false
 	}
 	next, ok := h.placeIn(f, group)
-	if !ok || !first.Suspected(h.clock.Now()) && newCourse(group, next.path.Hops).crossings() > f.course().crossings() {
+	if !ok || !first.Suspected(h.clock.Now()) && resolvePath(group, next.path.Hops).crossings() > f.course().crossings() {
 		return false
 	}
 	w.mu.Lock()
@@ -34,7 +34,7 @@
 	}
 	f.next.Store(&next)
 	h.stats.Counter("streams_handed_over_total").Inc(1)
-	h.record.Failure(f.r.meta.ID, why, decision.Fields{
+	h.record.Failure(f.r.meta.ID, text, decision.Fields{
 		"server": first.ID(), "address": first.Addr(), "still_ms": f.pause(h).Milliseconds(), "gone": first.Gone(),
 		"leaving_ms": first.LeavingFor(h.clock.Now()).Milliseconds(), "expected_left_ms": f.left(h).Milliseconds(),
 		"next": group.Servers()[next.path.Hops[0].Server].ID(),
@@ -49,7 +49,7 @@
 func (h *Handler) mayRunAgain(f *inflight, first *backend.Server) bool {
 	now, drain := h.clock.Now(), h.terms.Load().DrainTime
 	others := 0
-	for _, s := range standing(f.former()) {
+	for _, s := range activeServers(f.earlier()) {
 		if s == first {
 			continue
 		}
@@ -61,11 +61,11 @@
 	return 1+others < f.r.route.MaxAttempts
 }
 
-// former returns the servers that ran the stream before the present one.
-func (f *inflight) former() []*backend.Server {
+// earlier returns the servers that ran the stream before the present one.
+func (f *inflight) earlier() []*backend.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ranBefore
+	return f.earlierServers
 }
 
 // takeNext returns the path on which a stream that was handed over goes on, or nil.
@@ -75,7 +75,7 @@
 // it is silent.
 func (h *Handler) handedOverFrom(f *inflight, part models.Layers) outcome {
 	f.r.ranOn(f.first)
-	if f.first.Leaving() || givesUp(f.first, part) {
+	if f.first.Leaving() || droppedStage(f.first, part) {
 		f.first.Settled()
 	} else {
 		h.noteBreak(f.first)
--- a/forward/handover_test.go
+++ b/forward/handover_test.go
@@ -33,8 +33,8 @@
 	s.NoteLeaving(clock.Now())
 }
 
-// TestAStreamIsHandedOverBeforeItsFirstPartEnds lets the first part of one stream leave, announced or not.
-func TestAStreamIsHandedOverBeforeItsFirstPartEnds(t *testing.T) {
+// TestAStreamIsHandedOverBeforeItsFirstStageEnds lets the first part of one stream leave, announced or not.
+func TestAStreamIsHandedOverBeforeItsFirstStageEnds(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		g := twoCopies()
 		h, clock := testHandler(t, newEngines(g))
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestAStreamThatEndsBeforeItsServerStays lets a stream have less to come than the server has time.
-func TestAStreamThatEndsBeforeItsServerStays(t *testing.T) {
+// TestAStreamThatEndsBeforeItsServerIsNotHandedOver lets a stream have less to come than the server has time.
+func TestAStreamThatEndsBeforeItsServerIsNotHandedOver(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	f, conn := connected(t, h, g, "one", 0, 1)
@@ -76,15 +76,15 @@
 	require.True(t, isOpen(conn))
 }
 
-// TestAStreamStaysWithItsServerWhereItCannotGoOnElsewhere tries to hand streams over without another server, without a repeat left, and
+// TestAStreamIsNotHandedOverIfItCannotBeResumedElsewhere tries to hand streams over without another server, without a repeat left, and
 // with a former server that still stands.
-func TestAStreamStaysWithItsServerWhereItCannotGoOnElsewhere(t *testing.T) {
+func TestAStreamIsNotHandedOverIfItCannotBeResumedElsewhere(t *testing.T) {
 	cases := map[string]func(h *Handler, f *inflight, g *backend.Group){
 		"no path": func(_ *Handler, _ *inflight, g *backend.Group) { leave(g.Servers()[2]) },
 		"no repeat": func(h *Handler, _ *inflight, _ *backend.Group) {
 			h.SetTerms(Terms{Domain: "a", Repeats: retry.Limit{Window: time.Second}})
 		},
-		"attempts": func(_ *Handler, f *inflight, g *backend.Group) { f.ranBefore = g.Servers()[3:] },
+		"attempts": func(_ *Handler, f *inflight, g *backend.Group) { f.earlierServers = g.Servers()[3:] },
 	}
 	for name, arrange := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestStreamsLeaveAServerAtAnEvenPaceThoseThatLastLongestFirst lets forty streams with different times to come leave one first part.
-func TestStreamsLeaveAServerAtAnEvenPaceThoseThatLastLongestFirst(t *testing.T) {
+// TestStreamsAreHandedOverEvenlyLongestFirst lets forty streams with different times to come leave one first part.
+func TestStreamsAreHandedOverEvenlyLongestFirst(t *testing.T) {
 	const streams = 40
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -134,9 +134,9 @@
 	require.Zero(t, h.watch.count())
 }
 
-// TestStreamsThatCouldNotLeaveAtFirstGoAtThePaceOfWhatIsLeft lets forty streams have nowhere to go for two seconds: the one that takes
+// TestDelayedHandoversAreSpreadOverTheRemainingDrainTime lets forty streams have nowhere to go for two seconds: the one that takes
 // the server's place still loads its layers.
-func TestStreamsThatCouldNotLeaveAtFirstGoAtThePaceOfWhatIsLeft(t *testing.T) {
+func TestDelayedHandoversAreSpreadOverTheRemainingDrainTime(t *testing.T) {
 	const streams = 40
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -170,8 +170,8 @@
 	require.Zero(t, h.watch.count(), "before the drain is over")
 }
 
-// TestASilentFirstPartIsLeftOnlyForAnotherPath lets a first part answer no question while its connections are open.
-func TestASilentFirstPartIsLeftOnlyForAnotherPath(t *testing.T) {
+// TestASilentFirstStageIsLeftOnlyForAnotherPath lets a first part answer no question while its connections are open.
+func TestASilentFirstStageIsLeftOnlyForAnotherPath(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	_, conn := connected(t, h, g, "one", 0, 1)
--- a/forward/inflight.go
+++ b/forward/inflight.go
@@ -22,8 +22,8 @@
 	conn  *backend.Conn
 	// lastAt is when the last event came, or the request was sent, in nanoseconds since the handler's start.
 	lastAt atomic.Int64
-	// turned counts the servers that have turned the stream away since one last took it.
-	turned int
+	// refusals counts the servers that have refusals the stream away since one last took it.
+	refusals int
 	// expected is how long after the sending the first event is due, in nanoseconds.
 	expected atomic.Int64
 	// firstEvent is how long after the request's arrival its first event came, and longestPause the longest time between two.
@@ -34,21 +34,21 @@
 	// ranSince is when that event came; only the goroutine of the request uses it.
 	ranSince time.Time
 
-	// vain counts the looks for another path before its server ends that found none.
-	vain atomic.Int64
+	// failedMoves counts the looks for another path before its server ends that found none.
+	failedMoves atomic.Int64
 
 	// next is the path on which the stream goes on once its present connection is closed; nil while it is not handed over.
 	next atomic.Pointer[placed]
 
 	mu sync.Mutex
-	// ranBefore lists the servers that ran the stream before the present attempt, which began at a time, was expected to last for life,
+	// earlierServers lists the servers that ran the stream before the present attempt, which began at a time, was expected to last for life,
 	// and by the cost model alone as long as predicted; 0 for an attempt that goes on with a stream.
-	ranBefore []*backend.Server
-	began     time.Time
-	life      time.Duration
-	predicted time.Duration
-	// least is how much longer the stream is taken to last at least.
-	least time.Duration
+	earlierServers    []*backend.Server
+	attemptStart      time.Time
+	life              time.Duration
+	predictedLifetime time.Duration
+	// minLeft is how much longer the stream is taken to last at minLeft.
+	minLeft time.Duration
 	// hops and servers are the path, which a repair may change; they are nil when no attempt is under way.
 	hops    []chain.Hop
 	servers []*backend.Server
@@ -64,8 +64,8 @@
 	repairing bool
 }
 
-// resumeFrom returns the id of the last event that the caller has, -1 when it has none.
-func resumeFrom(id string) int64 {
+// parseResumeAfter returns the id of the last event that the caller has, -1 when it has none.
+func parseResumeAfter(id string) int64 {
 	last, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return -1
@@ -77,10 +77,10 @@
 func (f *inflight) assign(group *backend.Group, hops []chain.Hop) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.setLocked(newCourse(group, hops))
+	f.reserveLocked(resolvePath(group, hops))
 }
 
-func (f *inflight) setLocked(c course) {
+func (f *inflight) reserveLocked(c resolvedPath) {
 	f.releaseLocked()
 	f.hops, f.servers = c.hops, c.servers
 	for i, s := range f.servers {
@@ -88,14 +88,14 @@
 	}
 }
 
-// course is a path with the servers that its indices stand for.
-type course struct {
+// resolvedPath is a path with the servers that its indices stand for.
+type resolvedPath struct {
 	hops    []chain.Hop
 	servers []*backend.Server
 }
 
-func newCourse(group *backend.Group, hops []chain.Hop) course {
-	c := course{hops: hops, servers: make([]*backend.Server, len(hops))}
+func resolvePath(group *backend.Group, hops []chain.Hop) resolvedPath {
+	c := resolvedPath{hops: hops, servers: make([]*backend.Server, len(hops))}
 	for i, hop := range hops {
 		c.servers[i] = group.Servers()[hop.Server]
 	}
@@ -103,10 +103,10 @@
 }
 
 // course returns the present path; it is empty when no attempt is under way.
-func (f *inflight) course() course {
+func (f *inflight) course() resolvedPath {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return course{hops: f.hops, servers: f.servers}
+	return resolvedPath{hops: f.hops, servers: f.servers}
 }
 
 // uses reports whether the stream is under way at a service.
@@ -116,18 +116,18 @@
 }
 
 // replace reserves another path if the present one is still what it was, and reports whether it is.
-func (f *inflight) replace(was, by course) bool {
+func (f *inflight) replace(from, to resolvedPath) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.servers) == 0 || !slices.Equal(f.servers, was.servers) {
+	if len(f.servers) == 0 || !slices.Equal(f.servers, from.servers) {
 		return false
 	}
-	f.setLocked(by)
+	f.reserveLocked(to)
 	return true
 }
 
-// mayVerify reports whether the stream waits for its first event and its first part has not been asked about it yet.
-func (f *inflight) mayVerify() bool {
+// beginVerify reports whether the stream waits for its first event and its first part has not been asked about it yet.
+func (f *inflight) beginVerify() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.moved.Load() || f.verified || len(f.hops) == 0 {
@@ -150,8 +150,8 @@
 	f.hops, f.servers = nil, nil
 }
 
-// parts returns the path as it is sent.
-func (c course) parts() []call.Part {
+// stages returns the path as it is sent.
+func (c resolvedPath) stages() []call.Part {
 	out := make([]call.Part, len(c.hops))
 	for i, hop := range c.hops {
 		out[i] = call.Part{Addr: c.servers[i].Addr(), Layers: hop.Layers}
@@ -159,8 +159,8 @@
 	return out
 }
 
-// tookWork notes that every part of the path has taken the request.
-func (f *inflight) tookWork() {
+// noteAccepted notes that every part of the path has taken the request.
+func (f *inflight) noteAccepted() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
@@ -177,7 +177,7 @@
 }
 
 // describe returns the path for a log line.
-func (c course) describe() string {
+func (c resolvedPath) describe() string {
 	var b strings.Builder
 	for i, hop := range c.hops {
 		if i > 0 {
--- a/forward/life_test.go
+++ b/forward/lifetime_test.go
@@ -11,47 +11,47 @@
 	"junctioncross/front"
 )
 
-// TestPredictedLivesFollowWhatWasSeen lets answers last half as long as predicted, and one in eight of them as long.
-func TestPredictedLivesFollowWhatWasSeen(t *testing.T) {
+// TestPredictedLifetimesFollowObservedOnes lets answers last half as long as predicted, and one in eight of them as long.
+func TestPredictedLifetimesFollowObservedOnes(t *testing.T) {
 	q := newQueue()
-	require.Greater(t, q.lasts(time.Second, surely), 2*time.Second, "nothing is known yet")
+	require.Greater(t, q.lifetimeQuantile(time.Second, safeQuantile), 2*time.Second, "nothing is known yet")
 	for i := range sampleMost {
 		seen := 500 * time.Millisecond
 		if i%8 == 0 {
 			seen = time.Second
 		}
-		q.lasted(seen, time.Second)
+		q.recordLifetime(seen, time.Second)
 	}
-	require.Equal(t, 2*time.Second, q.lasts(4*time.Second, median))
-	require.Equal(t, 4*time.Second, q.lasts(4*time.Second, surely))
+	require.Equal(t, 2*time.Second, q.lifetimeQuantile(4*time.Second, median))
+	require.Equal(t, 4*time.Second, q.lifetimeQuantile(4*time.Second, safeQuantile))
 }
 
-// TestAStoppingInstanceTakesTheStreamsThatItCanEnd asks for an answer of forty tokens of about a millisecond each, with ever less time
+// TestAStoppingInstanceAcceptsStreamsThatItCanFinish asks for an answer of forty tokens of about a millisecond each, with ever less time
 // to the end of the process.
-func TestAStoppingInstanceTakesTheStreamsThatItCanEnd(t *testing.T) {
+func TestAStoppingInstanceAcceptsStreamsThatItCanFinish(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	route := &catalog.Route{Name: "r", Timeout: time.Minute, Objective: time.Second}
 	r := &request{x: &front.Exchange{}, group: g, route: route, deadline: clock.Now().Add(time.Minute)}
 	for range sampleMost {
-		h.queueOf("s").lasted(time.Second, time.Second)
+		h.queueOf("s").recordLifetime(time.Second, time.Second)
 	}
 	require.True(t, h.finishes(r))
 	h.StopBy(clock.Now().Add(8 * time.Second))
 	require.True(t, h.finishes(r))
 	for range sampleMost {
-		h.queueOf("s").lasted(time.Hour, time.Second)
+		h.queueOf("s").recordLifetime(time.Hour, time.Second)
 	}
 	require.False(t, h.finishes(r), "answers last much longer than predicted")
 	for range sampleMost {
-		h.queueOf("s").lasted(time.Second, time.Second)
+		h.queueOf("s").recordLifetime(time.Second, time.Second)
 	}
-	clock.Advance(streamsTime + 1)
+	clock.Advance(streamAcceptTime + 1)
 	require.False(t, h.finishes(r), "callers go elsewhere by now")
 }
 
-// TestAnOverdueStreamLastsAsLongHoweverOftenItIsTurnedAway starts attempts one after the other.
-func TestAnOverdueStreamLastsAsLongHoweverOftenItIsTurnedAway(t *testing.T) {
+// TestRefusalsDoNotShortenTheExpectedTimeOfAnOverdueStream starts attempts one after the other.
+func TestRefusalsDoNotShortenTheExpectedTimeOfAnOverdueStream(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	f := flying(h, g, "one", 0, 0, 1)
@@ -63,5 +63,5 @@
 	for attempt := range 5 {
 		f.begin(h, path, attempt+2)
 	}
-	require.GreaterOrEqual(t, f.left(h), time.Duration(overdueShare*float64(usual)))
+	require.GreaterOrEqual(t, f.left(h), time.Duration(overdueFraction*float64(usual)))
 }
--- a/forward/race_test.go
+++ b/forward/race_test.go
@@ -10,8 +10,8 @@
 	"junctioncross/backend"
 )
 
-// TestASilentFirstPartIsGivenUpWhileAStreamIsSentAgain does both at once; it is for the race detector.
-func TestASilentFirstPartIsGivenUpWhileAStreamIsSentAgain(t *testing.T) {
+// TestASilentFirstStageIsHandledWhileItsStreamIsResent does both at once; it is for the race detector.
+func TestASilentFirstStageIsHandledWhileItsStreamIsResent(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	f, _ := connected(t, h, g, "one", 0, 1)
--- a/forward/onward.go
+++ b/forward/resume.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	// firstOnwardPause and longestOnwardPause bound the time that a stream which has begun waits after servers have turned it away:
+	// initialResumePause and longestOnwardPause bound the time that a stream which has begun waits after servers have turned it away:
 	// about the time after which their word on their memory has changed.
-	firstOnwardPause   = 25 * time.Millisecond
-	longestOnwardPause = 400 * time.Millisecond
-	// askAgain is how long after the servers that a stream ran on were asked whether they have ended they are asked again.
-	askAgain = 250 * time.Millisecond
+	initialResumePause = 25 * time.Millisecond
+	maxResumePause     = 400 * time.Millisecond
+	// requeryPeriod is how long after the servers that a stream ran on were asked whether they have ended they are asked again.
+	requeryPeriod = 250 * time.Millisecond
 )
 
 // awaitOnward returns the path on which a stream that has begun goes on. It waits for as long as the caller does: an answer that has
 // begun is worth more late than cut, whatever it has to wait for. False comes with the reason why it could not go on.
 func (h *Handler) awaitOnward(ctx context.Context, f *inflight) (chain.Path, models.Reason, bool) {
-	if f.turned > 0 && !h.clock.Sleep(ctx, retry.Doubled(firstOnwardPause, longestOnwardPause, f.turned-1)) {
+	if f.refusals > 0 && !h.clock.Sleep(ctx, retry.Doubled(initialResumePause, maxResumePause, f.refusals-1)) {
 		return chain.Path{}, models.ReasonNoRoom, false
 	}
-	told := models.Reason("")
-	var asked time.Time
+	reported := models.Reason("")
+	var queried time.Time
 	for {
 		h.refreshGroup(f)
-		path, obstacle := h.onward(f)
-		if obstacle == "" {
+		path, reason := h.resumePath(f)
+		if reason == "" {
 			return path, "", true
 		}
-		if obstacle == models.ReasonAttempts && h.clock.Since(asked) >= askAgain {
+		if reason == models.ReasonAttempts && h.clock.Since(queried) >= requeryPeriod {
 			if !h.mayStillEnd(ctx, f) {
-				return chain.Path{}, obstacle, false
+				return chain.Path{}, reason, false
 			}
-			asked = h.clock.Now()
+			queried = h.clock.Now()
 		}
-		if obstacle != told {
-			told = obstacle
-			h.stats.Counter("onward_waits_total{reason=\"" + string(obstacle) + "\"}").Inc(1)
+		if reason != reported {
+			reported = reason
+			h.stats.Counter("onward_waits_total{reason=\"" + string(reason) + "\"}").Inc(1)
 			h.record.Failure(f.r.meta.ID, "waits to go on", h.fields(f.r, decision.Fields{
-				"reason": obstacle, "last_event": f.events.last, "still_ms": f.pause(h).Milliseconds(), "standing": f.r.standing(),
+				"reason": reason, "last_event": f.events.last, "still_ms": f.pause(h).Milliseconds(), "standing": f.r.standing(),
 				"most_runs": f.r.route.MaxAttempts, "instances": h.census.Instances(),
 			}))
 		}
 		if !h.clock.Sleep(ctx, roomPoll) {
-			return chain.Path{}, told, false
+			return chain.Path{}, reported, false
 		}
 	}
 }
@@ -75,8 +75,8 @@
 	return f.r.standing() < f.r.route.MaxAttempts
 }
 
-// onward returns a path for a stream that has begun, or what is in its way; it takes one repeat of the service's allowance unless one is granted.
-func (h *Handler) onward(f *inflight) (chain.Path, models.Reason) {
+// resumePath returns a path for a stream that has begun, or what is in its way; it takes one repeat of the service's allowance unless one is granted.
+func (h *Handler) resumePath(f *inflight) (chain.Path, models.Reason) {
 	if f.r.standing() >= f.r.route.MaxAttempts {
 		return chain.Path{}, models.ReasonAttempts
 	}
--- a/forward/onward_test.go
+++ b/forward/resume_test.go
@@ -24,23 +24,23 @@
 	return f
 }
 
-// TestServersThatHaveEndedDoNotUseUpTheAttempts lets a stream run on two servers, of which one ends.
-func TestServersThatHaveEndedDoNotUseUpTheAttempts(t *testing.T) {
+// TestTerminatedServersDoNotCountAsAttempts lets a stream run on two servers, of which one ends.
+func TestTerminatedServersDoNotCountAsAttempts(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g, 0))
 	h.SetTerms(Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 10}})
 	f := begun(g, 2, 0, 2)
-	_, obstacle := h.onward(f)
+	_, obstacle := h.resumePath(f)
 	require.Equal(t, models.ReasonAttempts, obstacle)
 	require.True(t, h.mayStillEnd(t.Context(), f), "it shows when the servers are asked")
 	require.Equal(t, 1, f.r.standing())
-	_, obstacle = h.onward(f)
+	_, obstacle = h.resumePath(f)
 	require.Empty(t, obstacle)
 	require.Equal(t, 2, f.r.runs, "the request may have run all the same")
 }
 
-// TestAnAnnouncedLeavingThatIsOverEndsAServer lets the entries of two servers go, of which one had said that it leaves.
-func TestAnAnnouncedLeavingThatIsOverEndsAServer(t *testing.T) {
+// TestAServerThatAnnouncedLeavingHasEndedOnceRemoved lets the entries of two servers go, of which one had said that it leaves.
+func TestAServerThatAnnouncedLeavingHasEndedOnceRemoved(t *testing.T) {
 	servers := twoCopies().Servers()
 	leave(servers[0])
 	for _, s := range servers[:2] {
@@ -50,8 +50,8 @@
 	require.False(t, servers[1].Ended(), "one that leaves without a word serves on")
 }
 
-// TestAStreamGoesOnWhenThereIsRoomAgain takes every lane away for longer than callers are thought to be patient.
-func TestAStreamGoesOnWhenThereIsRoomAgain(t *testing.T) {
+// TestAStreamIsResumedWhenThereIsRoomAgain takes every lane away for longer than callers are thought to be patient.
+func TestAStreamIsResumedWhenThereIsRoomAgain(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	h.SetTerms(Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 10}})
@@ -78,8 +78,8 @@
 	require.False(t, clock.Now().Before(away), "there was no room before")
 }
 
-// TestAStreamWhoseServersAllStandIsBrokenOffAtOnce lets both servers that a stream ran on answer that they are well.
-func TestAStreamWhoseServersAllStandIsBrokenOffAtOnce(t *testing.T) {
+// TestAStreamIsBrokenOffAtOnceIfItsServersAreAllRunning lets both servers that a stream ran on answer that they are well.
+func TestAStreamIsBrokenOffAtOnceIfItsServersAreAllRunning(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g))
 	_, why, ok := h.awaitOnward(context.Background(), begun(g, 2, 0, 2))
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -14,10 +14,10 @@
 
 // standing returns how many of the servers that may have run the request have not ended since: the number of servers that may run
 // one request bounds what is at work on it, and a server that has ended is not. One that ran it twice counts once.
-func (r *request) standing() int { return len(standing(r.ran)) }
+func (r *request) standing() int { return len(activeServers(r.ran)) }
 
-// standing returns those of some servers that have not ended, each once.
-func standing(ran []*backend.Server) []*backend.Server {
+// activeServers returns those of some servers that have not ended, each once.
+func activeServers(ran []*backend.Server) []*backend.Server {
 	var out []*backend.Server
 	for _, s := range ran {
 		if !s.Ended() && !slices.Contains(out, s) {
--- a/forward/state.go
+++ b/forward/state.go
@@ -12,12 +12,12 @@
 const (
 	// peersAtFirst is the assumed number of instances that share a server until answers tell better.
 	peersAtFirst = 3.0
-	// mostPeers bounds the estimate.
-	mostPeers = 32.0
-	// peersWeight is the weight of the newest answer in the estimate.
-	peersWeight = 0.05
-	// slowCost is what a server that fails all its requests counts beside one that fails none.
-	slowCost = 4.0
+	// maxLoadRatio bounds the estimate.
+	maxLoadRatio = 32.0
+	// loadRatioWeight is the weight of the newest answer in the estimate.
+	loadRatioWeight = 0.05
+	// failurePenalty is what a server that fails all its requests counts beside one that fails none.
+	failurePenalty = 4.0
 )
 
 // peers estimates how much more work the servers have than this instance gives them.
@@ -30,8 +30,8 @@
 	if !load.Known || own < 1 {
 		return
 	}
-	ratio := min(max(float64(load.Running+load.Waiting)/float64(own), 1), mostPeers)
-	p.factor += (ratio - p.factor) * peersWeight
+	ratio := min(max(float64(load.Running+load.Waiting)/float64(own), 1), maxLoadRatio)
+	p.factor += (ratio - p.factor) * loadRatioWeight
 }
 
 // chainState shows the servers of a group to the choice of a path.
@@ -42,8 +42,8 @@
 	factor  float64
 	// instances is the number of those that share the limits of servers.
 	instances int
-	// regardless counts the memory as free whatever is known of it.
-	regardless bool
+	// ignoreMemory counts the memory as free whatever is known of it.
+	ignoreMemory bool
 }
 
 // Usable implements chain.State.
@@ -62,7 +62,7 @@
 		return 0
 	}
 	room := chain.Room(s.engine, kind, server.Layers().Count())
-	if s.regardless {
+	if s.ignoreMemory {
 		return room
 	}
 	if filled, known := server.Filled(s.now, wordAge, 1); known {
@@ -73,5 +73,5 @@
 
 // Penalty implements chain.State.
 func (s *chainState) Penalty(i int) float64 {
-	return s.servers[i].Pace(s.now) * (1 + slowCost*s.servers[i].FailRate())
+	return s.servers[i].Pace(s.now) * (1 + failurePenalty*s.servers[i].FailRate())
 }
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -17,7 +17,7 @@
 
 // stream answers a request of a chained engine.
 func (h *Handler) stream(ctx context.Context, r *request) {
-	f := &inflight{r: r, events: events{last: resumeFrom(r.meta.ResumeAfter)}}
+	f := &inflight{r: r, events: events{last: parseResumeAfter(r.meta.ResumeAfter)}}
 	f.need, f.returned = h.needOf(r), h.hasReturned(r)
 	h.countTry(f)
 	var last outcome
@@ -32,7 +32,7 @@
 			break
 		}
 		last = h.attempt(ctx, f, path, attempt)
-		if !h.goesOn(f, last, attempt) {
+		if !h.mayContinue(f, last, attempt) {
 			break
 		}
 	}
@@ -64,9 +64,9 @@
 	return path, nil
 }
 
-// goesOn reports whether an attempt that ended so is followed by another. A stream that has begun goes on for as long as its caller
+// mayContinue reports whether an attempt that ended so is followed by another. A stream that has begun goes on for as long as its caller
 // waits, unless it must not run again; what it has to wait for is found out by awaitOnward.
-func (h *Handler) goesOn(f *inflight, last outcome, attempt int) bool {
+func (h *Handler) mayContinue(f *inflight, last outcome, attempt int) bool {
 	if _, ok := last.(handedOver); ok {
 		return true
 	}
@@ -75,7 +75,7 @@
 	}
 	switch o := last.(type) {
 	case notRun:
-		f.turned++
+		f.refusals++
 		h.stats.Retried(o.reason)
 		return true
 	case failed:
@@ -96,7 +96,7 @@
 	defer f.release()
 	f.first = r.group.Servers()[path.Hops[0].Server]
 	f.expected.Store(int64(path.Read + path.Step))
-	f.events.restart()
+	f.events.dropPartial()
 	f.begin(h, path, attempt)
 	f.first.Start(1)
 	defer f.first.Start(-1)
@@ -106,7 +106,7 @@
 		"predicted_read_us": path.Read.Microseconds(), "tokens": f.need.Tokens, "lane_load": f.laneLoad, "returned": f.returned,
 		"resume_after": f.events.resumeAfter(),
 	}))
-	s, err := h.send(ctx, r, f.first, &call.Send{Path: f.course().parts(), ResumeAfter: f.events.resumeAfter()},
+	s, err := h.send(ctx, r, f.first, &call.Send{Path: f.course().stages(), ResumeAfter: f.events.resumeAfter()},
 		attempt > 1 || !r.route.MayRepeat())
 	if s == nil {
 		return h.unreached(ctx, r, f.first, err)
@@ -130,8 +130,8 @@
 		h.finish(s, false)
 		return h.brokenStream(ctx, f, errMalformed)
 	}
-	f.turned = 0
-	f.tookWork()
+	f.refusals = 0
+	f.noteAccepted()
 	err = h.passEvents(f, s)
 	// A connection that is kept may carry another request at once, which no hand-over of this stream may close.
 	h.watch.remove(f)
@@ -143,7 +143,7 @@
 	f.first.Observe(true)
 	f.first.Succeeded()
 	h.absolve(r)
-	h.observeLife(f)
+	h.observeLifetime(f)
 	h.queueOf(f.first.Service()).ended(h.clock.Since(r.x.Arrived()))
 	return delivered{}
 }
@@ -161,7 +161,7 @@
 	h.watch.remove(f)
 	h.finish(s, err == nil)
 	if s.info.NotRun {
-		h.blame(f, s)
+		h.noteRefusal(f, s)
 		return notRun{reason: models.RetryRefused}
 	}
 	f.first.Observe(false)
@@ -173,8 +173,8 @@
 	return failed{reason: models.ReasonServiceFailed, answer: h.failureAnswer(s, body)}
 }
 
-// blame keeps new work away from the server that was the reason for a refusal.
-func (h *Handler) blame(f *inflight, s *sent) {
+// noteRefusal keeps new work away from the server that was the reason for a refusal.
+func (h *Handler) noteRefusal(f *inflight, s *sent) {
 	server := f.first
 	if s.info.Fault != "" {
 		if at := f.r.group.ByAddr(s.info.Fault); at != nil {
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -15,14 +15,14 @@
 const (
 	// watchPeriod is how often streams are looked at; a part of the shortest pause that counts as standing still.
 	watchPeriod = 25 * time.Millisecond
-	// stillShare is the part of the pause that callers accept after which a stream may stand still: the rest is what a
+	// stallShare is the part of the pause that callers accept after which a stream may stand still: the rest is what a
 	// repair takes. leastStill is several times the usual time between events.
-	stillShare = 0.55
-	leastStill = 90 * time.Millisecond
-	// firstStill is how much longer than predicted the first event may take.
-	firstStill = 200 * time.Millisecond
-	// lookAgain is how long after a look at a path the next one may follow: reports are as old as that.
-	lookAgain = 250 * time.Millisecond
+	stallShare = 0.55
+	minStall   = 90 * time.Millisecond
+	// firstEventSlack is how much longer than predicted the first event may take.
+	firstEventSlack = 200 * time.Millisecond
+	// diagnosePeriod is how long after a look at a path the next one may follow: reports are as old as that.
+	diagnosePeriod = 250 * time.Millisecond
 	// crowdedAge is how old a server's word that requests wait on it may be: they wait for some hundred milliseconds.
 	crowdedAge = time.Second
 	// suspectTime is how long a server that does not answer gets no new work, if its entry does not vanish before.
@@ -36,21 +36,21 @@
 
 	mu      sync.Mutex
 	streams map[*inflight]struct{}
-	// looked holds when the paths that start at a server were last looked at.
-	looked map[*backend.Server]time.Time
+	// lastDiagnosed holds when the paths that start at a server were last lastDiagnosed at.
+	lastDiagnosed map[*backend.Server]time.Time
 }
 
 func newWatcher(ctx context.Context, h *Handler) *watcher {
-	w := &watcher{handler: h, start: h.clock.Now(), streams: map[*inflight]struct{}{}, looked: map[*backend.Server]time.Time{}}
+	w := &watcher{handler: h, start: h.clock.Now(), streams: map[*inflight]struct{}{}, lastDiagnosed: map[*backend.Server]time.Time{}}
 	ticks := h.clock.Subscribe(watchPeriod)
 	go func() {
 		defer ticks.Stop()
-		leaving := departures{}
+		backlog := departures{}
 		for {
 			select {
 			case <-ticks.C():
 				w.scan(ctx)
-				w.evacuate(ctx, leaving, w.group)
+				w.evacuate(ctx, backlog, w.group)
 			case <-ctx.Done():
 				return
 			}
@@ -78,9 +78,9 @@
 
 // still reports whether the stream has not moved for longer than it should.
 func (w *watcher) still(f *inflight) bool {
-	limit := max(time.Duration(stillShare*float64(f.r.route.PauseObjective)), leastStill)
+	limit := max(time.Duration(stallShare*float64(f.r.route.PauseObjective)), minStall)
 	if !f.moved.Load() {
-		limit = firstStill + time.Duration(f.expected.Load())
+		limit = firstEventSlack + time.Duration(f.expected.Load())
 	}
 	return f.pause(w.handler) > limit
 }
@@ -97,19 +97,19 @@
 		}
 	}
 	for first, streams := range still {
-		if now.Sub(w.looked[first]) < lookAgain {
+		if now.Sub(w.lastDiagnosed[first]) < diagnosePeriod {
 			continue
 		}
 		group := w.group(first.Service())
 		if group == nil {
 			continue
 		}
-		w.looked[first] = now
+		w.lastDiagnosed[first] = now
 		go func() { w.look(ctx, first, group, streams) }()
 	}
-	for first, at := range w.looked {
+	for first, at := range w.lastDiagnosed {
 		if now.Sub(at) > suspectTime {
-			delete(w.looked, first)
+			delete(w.lastDiagnosed, first)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 		w.giveUp(s, group)
 	}
 	var all sync.WaitGroup
-	for _, f := range w.flying() {
+	for _, f := range w.active() {
 		if !f.uses(first.Service()) {
 			continue
 		}
@@ -132,7 +132,7 @@
 		}
 	}
 	for _, f := range streams {
-		if !found.broken(f) && !first.Crowded(found.now, crowdedAge) && f.mayVerify() {
+		if !found.broken(f) && !first.Crowded(found.now, crowdedAge) && f.beginVerify() {
 			all.Go(func() { w.verify(ctx, f) })
 		}
 	}
@@ -147,36 +147,36 @@
 	if len(c.servers) == 0 {
 		return
 	}
-	ask, cancel := context.WithTimeout(ctx, repairTime)
+	ask, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
-	err := h.caller.Repair(ask, c.servers[0].Addr(), f.r.meta.ID, c.parts())
+	err := h.caller.Repair(ask, c.servers[0].Addr(), f.r.meta.ID, c.stages())
 	if errors.Is(err, backend.ErrUnknown) {
 		h.stats.Counter("requests_forgotten_total").Inc(1)
-		w.lose(c.servers[0], []*inflight{f})
+		w.cutStreams(c.servers[0], []*inflight{f})
 	}
 }
 
-// soundTime is how long ago a server must have moved a stream to be taken as sound. It is less than the time from a death to
+// healthyTime is how long ago a server must have moved a stream to be taken as sound. It is less than the time from a death to
 // the first look, which is the shortest pause that counts as standing still less the usual time between events.
-const soundTime = 45 * time.Millisecond
+const healthyTime = 45 * time.Millisecond
 
 // suspects returns the servers that the streams pass, but for those that have just moved other streams.
 func (w *watcher) suspects(streams []*inflight) map[*backend.Server]bool {
-	moved := map[*backend.Server]int64{}
-	for _, f := range w.flying() {
+	lastProgress := map[*backend.Server]int64{}
+	for _, f := range w.active() {
 		at := f.lastAt.Load()
 		if !f.moved.Load() {
 			continue
 		}
 		for _, s := range f.course().servers {
-			moved[s] = max(moved[s], at)
+			lastProgress[s] = max(lastProgress[s], at)
 		}
 	}
 	out := map[*backend.Server]bool{}
-	limit := int64(w.handler.clock.Since(w.start) - soundTime)
+	limit := int64(w.handler.clock.Since(w.start) - healthyTime)
 	for _, f := range streams {
 		for _, s := range f.course().servers {
-			if moved[s] < limit {
+			if lastProgress[s] < limit {
 				out[s] = true
 			}
 		}
@@ -191,8 +191,8 @@
 	return len(w.streams)
 }
 
-// flying returns the streams under way.
-func (w *watcher) flying() []*inflight {
+// active returns the streams under way.
+func (w *watcher) active() []*inflight {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := make([]*inflight, 0, len(w.streams))
@@ -221,7 +221,7 @@
 func (w *watcher) giveUp(first *backend.Server, group *backend.Group) {
 	streams := slices.DeleteFunc(w.startingAt(first), func(f *inflight) bool { return !w.still(f) || !f.r.route.MayRepeat() })
 	if first.Ended() {
-		w.lose(first, streams)
+		w.cutStreams(first, streams)
 		return
 	}
 	for _, f := range streams {
@@ -229,8 +229,8 @@
 	}
 }
 
-// lose cuts the streams that start at a server which no longer knows them: they are resumed at others.
-func (w *watcher) lose(first *backend.Server, streams []*inflight) {
+// cutStreams cuts the streams that start at a server which no longer knows them: they are resumed at others.
+func (w *watcher) cutStreams(first *backend.Server, streams []*inflight) {
 	h := w.handler
 	h.stats.Counter("first_parts_lost_total").Inc(1)
 	w.mu.Lock()
--- a/forward/watch_test.go
+++ b/forward/watch_test.go
@@ -51,8 +51,8 @@
 	dark  map[string]bool
 	end   chan struct{}
 	holds map[string]models.Layers
-	// moved servers refuse to be on a path, although neither entry nor report tells yet that they hold other layers.
-	moved map[string]bool
+	// reassigned servers refuse to be on a path, although neither entry nor report tells yet that they hold other layers.
+	reassigned map[string]bool
 	// forgets names the requests that their first parts took and do not know.
 	forgets map[string]bool
 	asked   map[string]int
@@ -98,7 +98,7 @@
 		return backend.ErrUnknown
 	}
 	for _, p := range path {
-		if e.moved[p.Addr] {
+		if e.reassigned[p.Addr] {
 			return &backend.RepairError{Addr: p.Addr}
 		}
 	}
@@ -122,18 +122,18 @@
 	return h
 }
 
-// TestAStreamThatWentOnElsewhereIsNotCutForItsFormerFirstPart looks at a stream, lets it be resumed at another server, and
+// TestAResumedStreamIsNotCutForItsFormerFirstStage looks at a stream, lets it be resumed at another server, and
 // only then finds that the first one is dead.
-func TestAStreamThatWentOnElsewhereIsNotCutForItsFormerFirstPart(t *testing.T) {
+func TestAResumedStreamIsNotCutForItsFormerFirstStage(t *testing.T) {
 	h, _ := testHandler(t, nil)
 	servers := twoCopies().Servers()
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
 	f := &inflight{r: &request{}, first: servers[2], conn: &backend.Conn{Conn: ours}}
 	h.watch.add(f)
-	h.watch.lose(servers[0], []*inflight{f})
+	h.watch.cutStreams(servers[0], []*inflight{f})
 	require.NoError(t, ours.SetDeadline(time.Time{}), "the connection to the new first part is open")
-	h.watch.lose(servers[2], []*inflight{f})
+	h.watch.cutStreams(servers[2], []*inflight{f})
 	require.Error(t, ours.SetDeadline(time.Time{}), "the connection to a dead first part is closed")
 }
 
@@ -148,7 +148,7 @@
 		r: &request{group: g, route: route, meta: call.Meta{ID: id}}, first: g.Servers()[path[0]],
 		need: chain.Need{Prompt: 10, Tokens: 20},
 	}
-	f.began, f.life = h.clock.Now(), time.Minute
+	f.attemptStart, f.life = h.clock.Now(), time.Minute
 	f.moved.Store(true)
 	f.lastAt.Store(int64(lastAt))
 	f.assign(g, hops)
@@ -156,9 +156,9 @@
 	return f
 }
 
-// TestADeadServerIsRepairedForAllStreamsOnceOneHasFoundIt lets two streams with different first parts pass a dead server; only
+// TestADeadServerIsReplacedInAllStreamsOnceOneHasFoundIt lets two streams with different first parts pass a dead server; only
 // one of them has stood still for long enough to be looked at.
-func TestADeadServerIsRepairedForAllStreamsOnceOneHasFoundIt(t *testing.T) {
+func TestADeadServerIsReplacedInAllStreamsOnceOneHasFoundIt(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g, 1)
 	h, clock := testHandler(t, e)
@@ -174,9 +174,9 @@
 	require.NotContains(t, e.repairs, "elsewhere")
 }
 
-// TestServersThatMoveOtherStreamsAreNotAsked lets another stream pass the first half of a path and move after the one that
+// TestServersOfProgressingStreamsAreNotQueried lets another stream pass the first half of a path and move after the one that
 // stands still last did.
-func TestServersThatMoveOtherStreamsAreNotAsked(t *testing.T) {
+func TestServersOfProgressingStreamsAreNotQueried(t *testing.T) {
 	g := fourStages()
 	e := newEngines(g, 3)
 	h, clock := testHandler(t, e)
@@ -190,8 +190,8 @@
 	require.Len(t, e.repairs["still"], 4, "repaired with the other holder of the last part")
 }
 
-// TestAStreamIsRepairedAlthoughItsFirstPartHasNoEntryAnyMore lets the first part leave without a word and serve on, and the second one die.
-func TestAStreamIsRepairedAlthoughItsFirstPartHasNoEntryAnyMore(t *testing.T) {
+// TestAStreamIsRepairedAfterItsFirstStageLostItsEntry lets the first part leave without a word and serve on, and the second one die.
+func TestAStreamIsRepairedAfterItsFirstStageLostItsEntry(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g, 1)
 	h, clock := testHandler(t, e)
@@ -206,9 +206,9 @@
 	require.Equal(t, g.Servers()[3].Addr(), e.repairs["still"][1].Addr)
 }
 
-// TestARepairLeavesAllPartsThatLeave lets one part of a path die while another one, which still works, has said that it leaves: servers
+// TestARepairReplacesAllLeavingServers lets one part of a path die while another one, which still works, has said that it leaves: servers
 // refuse to be on a new path from then on.
-func TestARepairLeavesAllPartsThatLeave(t *testing.T) {
+func TestARepairReplacesAllLeavingServers(t *testing.T) {
 	service := twoCopies().Service()
 	var servers []*backend.Server
 	for i, first := range []int{0, 2, 5, 2, 5} {
@@ -243,9 +243,9 @@
 	return backend.NewGroup(service, servers)
 }
 
-// TestAServerThatDiedJustAfterItMovedAStreamIsFoundAtTheNextLook moves another stream through the server that is to die a
+// TestAServerThatDiedJustAfterProgressIsFoundByTheNextDiagnosis moves another stream through the server that is to die a
 // moment before the first look.
-func TestAServerThatDiedJustAfterItMovedAStreamIsFoundAtTheNextLook(t *testing.T) {
+func TestAServerThatDiedJustAfterProgressIsFoundByTheNextDiagnosis(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g, 1)
 	h, clock := testHandler(t, e)
@@ -254,14 +254,14 @@
 	clock.Advance(140 * time.Millisecond)
 	h.watch.look(t.Context(), still.first, g, []*inflight{still})
 	require.Empty(t, e.repairs, "it looks sound")
-	clock.Advance(lookAgain)
+	clock.Advance(diagnosePeriod)
 	h.watch.look(t.Context(), still.first, g, []*inflight{still})
 	require.Len(t, e.repairs, 2)
 }
 
-// TestALookDoesNotWaitForACallThatHangs lets the questions to a dark server hang for as long as the test runs, as calls do that
+// TestADiagnosisDoesNotWaitForAHangingCall lets the questions to a dark server hang for as long as the test runs, as calls do that
 // cannot open a connection.
-func TestALookDoesNotWaitForACallThatHangs(t *testing.T) {
+func TestADiagnosisDoesNotWaitForAHangingCall(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	e.dark, e.end = map[string]bool{g.Servers()[1].Addr(): true}, make(chan struct{})
@@ -286,9 +286,9 @@
 	require.Len(t, e.repairs["still"], 2)
 }
 
-// TestAServerThatWasMovedIsRepairedFromItsEntry lets the entry of a server tell that it holds other layers now, although it was
+// TestAServerIsReplacedOnceItsEntryNamesOtherLayers lets the entry of a server tell that it holds other layers now, although it was
 // not asked.
-func TestAServerThatWasMovedIsRepairedFromItsEntry(t *testing.T) {
+func TestAServerIsReplacedOnceItsEntryNamesOtherLayers(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	h, clock := testHandler(t, e)
@@ -302,9 +302,9 @@
 	require.Len(t, e.repairs["still"], 2)
 }
 
-// TestAReportThatIsOlderThanTheEntryTakesNothingAway lets a server have loaded its layers a moment ago: its entry tells, its report does
+// TestAReportOlderThanTheEntryIsIgnored lets a server have loaded its layers a moment ago: its entry tells, its report does
 // not yet.
-func TestAReportThatIsOlderThanTheEntryTakesNothingAway(t *testing.T) {
+func TestAReportOlderThanTheEntryIsIgnored(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	loaded := g.Servers()[1]
@@ -322,8 +322,8 @@
 	require.Len(t, e.repairs["still"], 2, "a report of a second later tells the truth")
 }
 
-// TestStreamsThatMoveStayWithAServerThatOnlyHasNoEntry lets a server leave without a word while one of two streams through it stands still.
-func TestStreamsThatMoveStayWithAServerThatOnlyHasNoEntry(t *testing.T) {
+// TestProgressingStreamsStayOnAServerWithoutAnEntry lets a server leave without a word while one of two streams through it stands still.
+func TestProgressingStreamsStayOnAServerWithoutAnEntry(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	h, clock := testHandler(t, e)
@@ -336,8 +336,8 @@
 	require.NotContains(t, e.repairs, "moving", "it leaves in its turn")
 }
 
-// TestARepairReplacesAlsoThePartThatItsRefusalNames lets a second part of the path have given its layers up without a word.
-func TestARepairReplacesAlsoThePartThatItsRefusalNames(t *testing.T) {
+// TestARepairAlsoReplacesTheServerNamedInItsRefusal lets a second part of the path have given its layers up without a word.
+func TestARepairAlsoReplacesTheServerNamedInItsRefusal(t *testing.T) {
 	g := twoCopies()
 	service := g.Service()
 	var servers []*backend.Server
@@ -350,7 +350,7 @@
 	}
 	g = backend.NewGroup(service, servers)
 	e := newEngines(g, 2)
-	e.moved = map[string]bool{servers[1].Addr(): true}
+	e.reassigned = map[string]bool{servers[1].Addr(): true}
 	h, clock := testHandler(t, e)
 	still := flying(h, g, "still", 0, 0, 1, 2)
 	clock.Advance(140 * time.Millisecond)
@@ -360,8 +360,8 @@
 	require.Equal(t, servers[4].Addr(), e.repairs["still"][2].Addr)
 }
 
-// TestAStreamThatItsServerForgotGoesOnElsewhere lets two streams wait for their first events; the server knows one of them.
-func TestAStreamThatItsServerForgotGoesOnElsewhere(t *testing.T) {
+// TestAStreamForgottenByItsServerIsResumedElsewhere lets two streams wait for their first events; the server knows one of them.
+func TestAStreamForgottenByItsServerIsResumedElsewhere(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	e.forgets = map[string]bool{"forgotten": true}
