--- a/forward/conclude.go
+++ b/forward/conclude.go
@@ -9,10 +9,10 @@
 	"junctioncross/models"
 )
 
-// maxRefusals is the number of servers that may turn one request away before its caller is told.
+// maxRefusals is how many servers, beyond the attempts that its route allows, may refuse a request before its caller is told.
 const maxRefusals = 3
 
-// again reports whether an attempt that ended so may be followed by another.
+// again reports whether another attempt may follow one with this outcome.
 func (h *Handler) again(r *request, last outcome, sends int) bool {
 	switch o := last.(type) {
 	case notRun:
@@ -29,7 +29,8 @@
 	}
 }
 
-// conclude tells the caller how the last attempt ended.
+// conclude logs the outcome of the last attempt and answers the caller, unless an answer was passed on already or the caller
+// has disconnected.
 func (h *Handler) conclude(ctx context.Context, r *request, last outcome) {
 	if ctx.Err() != nil && !r.x.Begun() {
 		if h.remaining(r) > 0 {
--- a/forward/evacuate.go
+++ b/forward/evacuate.go
@@ -12,27 +12,30 @@
 )
 
 const (
-	// evacuationTime is how long after a server was heard to leave the streams have left it that outlast it: less than the shortest
-	// notice that servers give, two seconds. They go at an even pace, since each of them has to be read anew by others.
+	// evacuationTime is how long after a server's leave notice all streams that outlast it have been moved off it: less than
+	// the shortest notice that servers give, two seconds. They are moved at an even pace, since other servers have to read
+	// the tokens of each one anew.
 	evacuationTime = 1600 * time.Millisecond
-	// propagationTime is how old the news that a server leaves may be when an instance hears of it through another one.
+	// propagationTime is how old a server's leave notice may be when an instance learns of it from another instance.
 	propagationTime = 400 * time.Millisecond
-	// minTimeLeft keeps the pace bounded for streams that found no other path in that time.
+	// minTimeLeft is the least time over which the remaining streams are spread; it bounds the pace for those that found no
+	// other path in time.
 	minTimeLeft = 200 * time.Millisecond
-	// minPace is the least number of streams that leave a server in a second, so that the last few do not linger.
+	// minPace is the least number of streams that are moved off a server per second, so that the last few do not linger.
 	minPace = 20.0
-	// maxBacklogRounds bounds what has gathered while there was no other path, in rounds: those that leave together are read together.
+	// maxBacklogRounds bounds the backlog that gathers while there is no other path, in rounds: streams that are moved
+	// together are also read together by their new servers.
 	maxBacklogRounds = 4
-	// mostTries bounds the streams that one round looks for another path for, since each look searches all servers.
+	// mostTries bounds the streams for which one round searches for another path, since each search goes through all servers.
 	mostTries = 16
 )
 
-// departures holds for each server that leaves how many streams should have left it by now and have not.
+// departures holds, for each server that leaves, how many streams should have been moved off it by now and have not.
 type departures map[*backend.Server]float64
 
-// evacuate lets streams go on without the servers that leave, or that give up layers, while these still work: a part that is replaced
-// stands still only for the reading, while one whose server has ended stands still until that is found, together with all others that
-// passed it. Streams that end before the server does stay.
+// evacuate moves streams off the servers that leave or drop layers while these still work. A stream whose stage is replaced
+// is stalled only while the new server reads its tokens; a stream whose server has terminated is stalled until that is
+// detected, together with all others that used it. Streams that end before the server does stay.
 func (w *watcher) evacuate(ctx context.Context, backlog departures, groupOf func(service string) *backend.Group) {
 	byServer := w.leaving()
 	for s := range backlog {
@@ -63,8 +66,9 @@
 	}
 }
 
-// pace returns how many of so many streams should leave a server in one round. One that has outlasted the shortest notice goes on until
-// its drain is over.
+// pace returns how many of the given number of streams should be moved off a server in one round. After evacuationTime the
+// remaining streams are spread over the rest of the drain time, since a server that has outlasted the shortest notice works
+// until its drain is over.
 func (w *watcher) pace(s *backend.Server, streams int) float64 {
 	since := s.LeavingFor(w.handler.clock.Now())
 	left := evacuationTime - since
@@ -74,8 +78,8 @@
 	return max(float64(streams)/max(left, minTimeLeft).Seconds(), minPace) * watchPeriod.Seconds()
 }
 
-// leaving returns the streams that have to leave a server, by the one that they pass and that has been leaving for longest; those that
-// would last longest come first, after those that were looked at less often in vain.
+// leaving returns the streams that have to be moved, by the server of their path that has been leaving for longest, and for
+// each server in the order of sortByPriority.
 func (w *watcher) leaving() map[*backend.Server][]*inflight {
 	h := w.handler
 	out := map[*backend.Server][]*inflight{}
@@ -90,23 +94,24 @@
 	return out
 }
 
-// sortByPriority puts the streams that would last longest first, after those that were looked at less often in vain.
+// sortByPriority sorts streams by their failed moves, fewest first, and among equals by their remaining time, longest first.
 func (h *Handler) sortByPriority(streams []*inflight) {
-	type need struct {
-		vain int64
-		left time.Duration
+	type priority struct {
+		failedMoves int64
+		left        time.Duration
 	}
-	needs := make(map[*inflight]need, len(streams))
+	priorities := make(map[*inflight]priority, len(streams))
 	for _, f := range streams {
-		needs[f] = need{vain: f.failedMoves.Load(), left: f.left(h)}
+		priorities[f] = priority{failedMoves: f.failedMoves.Load(), left: f.left(h)}
 	}
 	slices.SortFunc(streams, func(a, b *inflight) int {
-		return cmp.Or(cmp.Compare(needs[a].vain, needs[b].vain), cmp.Compare(needs[b].left, needs[a].left))
+		return cmp.Or(cmp.Compare(priorities[a].failedMoves, priorities[b].failedMoves), cmp.Compare(priorities[b].left, priorities[a].left))
 	})
 }
 
-// partToLeave returns the server of a stream's path that has been leaving for longest of those that will not last as long as the stream,
-// or nil. Streams that have not moved yet stay: they are being read.
+// partToLeave returns the server that a stream is to be moved off, or nil: of the servers on its path that will not last as
+// long as the stream, the one that has been leaving for longest. Streams without an event in the present attempt stay: their
+// tokens are being read.
 func (h *Handler) partToLeave(f *inflight) *backend.Server {
 	if !f.moved.Load() {
 		return nil
@@ -126,16 +131,16 @@
 	return out
 }
 
-// outlasts reports whether a stream is expected to need a part of its path for longer than that server runs it.
-func (h *Handler) outlasts(f *inflight, s *backend.Server, part models.Layers) bool {
+// outlasts reports whether a stream is expected to need some layers for longer than the server on its path runs them.
+func (h *Handler) outlasts(f *inflight, s *backend.Server, layers models.Layers) bool {
 	if s.Departs() {
 		return f.left(h) > h.terms.Load().DrainTime-propagationTime-s.LeavingFor(h.clock.Now())
 	}
-	return droppedStage(s, part)
+	return droppedStage(s, layers)
 }
 
-// passesLeaving reports whether a part of the stream's path behind the first leaves.
-func (f *inflight) passesLeaving() bool {
+// hasLeavingStage reports whether a server of the stream's path, other than the first, is leaving.
+func (f *inflight) hasLeavingStage() bool {
 	for i, s := range f.course().servers {
 		if i > 0 && s.Leaving() {
 			return true
@@ -144,12 +149,12 @@
 	return false
 }
 
-// droppedStage reports whether a server no longer holds a part, as far as its entry tells.
-func droppedStage(s *backend.Server, part models.Layers) bool {
-	return !s.Layers().Holds(part)
+// droppedStage reports whether a server no longer holds some layers, according to its entry.
+func droppedStage(s *backend.Server, layers models.Layers) bool {
+	return !s.Layers().Holds(layers)
 }
 
-// leaveStages lets a stream go on without the parts that will not last as long as it does, and reports whether it can.
+// leaveStages moves a stream off the servers that will not last as long as it does, and reports whether it can.
 func (w *watcher) leaveStages(ctx context.Context, f *inflight, group *backend.Group) bool {
 	c := f.course()
 	if len(c.servers) == 0 {
@@ -161,8 +166,8 @@
 	return w.evacuateOne(ctx, f, group)
 }
 
-// evacuateOne starts to give a stream a path with others in place of the parts behind the first that leave, and reports whether there
-// is one.
+// evacuateOne starts to replace the servers behind the first one on a stream's path that leave, and reports whether there is
+// such a path.
 func (w *watcher) evacuateOne(ctx context.Context, f *inflight, group *backend.Group) bool {
 	old := f.course()
 	next, ok := w.withoutLeaving(f, group, old)
@@ -177,9 +182,9 @@
 	return true
 }
 
-// withoutLeaving returns a path with others in place of the servers that leave, if they have the memory and the path does not cross
-// domains more often than before: a link between domains takes few such streams a second, and all that cross it stand still
-// meanwhile. The server that starts in a release holds the part before the old one ends.
+// withoutLeaving returns a path with other servers in place of those that leave, if these have the memory and the path does
+// not cross domains more often than before: a link between domains takes few such streams a second, and all that cross it are
+// stalled meanwhile. A release starts the new server early enough for it to hold the layers before the old one ends.
 func (w *watcher) withoutLeaving(f *inflight, group *backend.Group, old resolvedPath) (resolvedPath, bool) {
 	h := w.handler
 	oldHops := groupHops(group, old)
--- a/forward/evacuate_test.go
+++ b/forward/evacuate_test.go
@@ -10,18 +10,18 @@
 	"junctioncross/models"
 )
 
-// leave lets a server say that it leaves.
+// leave has a server announce in its entry that it leaves.
 func leave(s *backend.Server) {
 	s.Update(backend.Entry{ID: s.ID(), Leaving: true, Layers: s.Layers()})
 }
 
-// TestAStreamIsEvacuatedFromALeavingServer lets the second part of a path leave while another server holds its layers.
+// TestAStreamIsEvacuatedFromALeavingServer has the second server of a path leave while another one holds its layers.
 func TestAStreamIsEvacuatedFromALeavingServer(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	h, _ := testHandler(t, e)
 	f := flying(h, g, "one", 0, 0, 1)
-	require.Nil(t, h.partToLeave(f), "nobody leaves yet")
+	require.Nil(t, h.partToLeave(f), "no server leaves yet")
 	leave(g.Servers()[1])
 	require.Equal(t, g.Servers()[1], h.partToLeave(f))
 	require.True(t, h.watch.evacuateOne(t.Context(), f, g))
@@ -33,7 +33,7 @@
 	require.Nil(t, h.partToLeave(f))
 }
 
-// TestAStreamIsNotEvacuatedToAnotherDomain leaves no other holder in the domain.
+// TestAStreamIsNotEvacuatedToAnotherDomain has no other holder of the layers in the domain.
 func TestAStreamIsNotEvacuatedToAnotherDomain(t *testing.T) {
 	service := twoCopies().Service()
 	entry := func(id, domain string, first int) backend.Entry {
@@ -48,10 +48,11 @@
 	f := flying(h, g, "one", 0, 0, 1)
 	leave(g.Servers()[1])
 	require.False(t, h.watch.evacuateOne(t.Context(), f, g))
-	require.Zero(t, f.repairs, "looking for a path costs none of the stream's repairs")
+	require.Zero(t, f.repairs, "a search for a path does not count as a repair")
 }
 
-// TestStreamsAreEvacuatedFromAServerThatMayBeLeaving lets the entry of a part vanish around an outage of the store, and come back.
+// TestStreamsAreEvacuatedFromAServerThatMayBeLeaving has the entry of a server vanish around an outage of the store, and come
+// back.
 func TestStreamsAreEvacuatedFromAServerThatMayBeLeaving(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -67,7 +68,7 @@
 	require.Nil(t, h.partToLeave(other))
 }
 
-// TestAStreamThatMayOutlastItsServerIsEvacuated counts with news that are some time old.
+// TestAStreamThatMayOutlastItsServerIsEvacuated checks that the leave notice is taken to be propagationTime old.
 func TestAStreamThatMayOutlastItsServerIsEvacuated(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
--- a/forward/events.go
+++ b/forward/events.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventBytes bounds one event; a server that sends more without an end does not speak the protocol.
+// maxEventBytes bounds the size of one event; a server that sends more without ending the event does not speak the protocol.
 const maxEventBytes = 1 << 20
 
-// errBadEvent means that bytes are not an event or not the one that is due.
-var errBadEvent = errors.New("forward: not the event that is due")
+// errBadEvent means that bytes are not an event, or not the one that comes next.
+var errBadEvent = errors.New("forward: malformed or out-of-order event")
 
 var (
 	eventEnd = []byte("\n\n")
@@ -25,8 +25,8 @@
 	last int64
 }
 
-// feed takes bytes of the stream and returns the whole events that they complete. The returned bytes are valid until the
-// next call; events that the caller already has are left out.
+// feed takes bytes of the stream and returns the whole events that they complete, without those that the caller already has.
+// The returned bytes are valid until the next call.
 func (e *events) feed(p []byte) ([]byte, error) {
 	e.pending = append(e.pending, p...)
 	if len(e.pending) > maxEventBytes {
@@ -39,12 +39,12 @@
 	whole := e.pending[:end+len(eventEnd)]
 	rest := e.pending[end+len(eventEnd):]
 	out, err := e.newEvents(whole)
-	// The rest moves to a new buffer, since the events still point into the old one.
+	// The rest moves to a new buffer, since the returned events still point into the old one.
 	e.pending = append(make([]byte, 0, cap(e.pending)), rest...)
 	return out, err
 }
 
-// newEvents returns the events with ids above the last one.
+// newEvents returns the events with ids above the last one, which may follow events that the caller has but not precede them.
 func (e *events) newEvents(whole []byte) ([]byte, error) {
 	start := 0
 	for at := 0; at < len(whole); {
@@ -80,7 +80,8 @@
 	return 0, errBadEvent
 }
 
-// resumeAfter returns what to tell a server that is to go on with the stream.
+// resumeAfter returns the event id to send to a server that is to resume the stream, or an empty string before the first
+// event.
 func (e *events) resumeAfter() string {
 	if e.last < 0 {
 		return ""
@@ -88,5 +89,5 @@
 	return strconv.FormatInt(e.last, 10)
 }
 
-// dropPartial forgets the part of an event that a former server did not finish.
+// dropPartial drops the part of an event that a former server did not finish.
 func (e *events) dropPartial() { e.pending = e.pending[:0] }
--- a/forward/events_test.go
+++ b/forward/events_test.go
@@ -19,8 +19,8 @@
 	require.Equal(t, "1", e.resumeAfter())
 }
 
-// TestEventsAreWholeHoweverTheStreamIsSplit cuts a stream anywhere, breaks it off anywhere and goes on with a server that
-// begins at any event that it has sent already.
+// TestEventsAreWholeHoweverTheStreamIsSplit splits a stream into reads of any length, breaks it off anywhere, and resumes it
+// with a server that begins at any event that was sent already or at the next one.
 func TestEventsAreWholeHoweverTheStreamIsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []string
--- a/forward/firstevent_test.go
+++ b/forward/firstevent_test.go
@@ -9,7 +9,8 @@
 	"junctioncross/catalog"
 )
 
-// TestARequestIsRetriedIfItsServerEndsBeforeTheFirstEvent lets the only server that may run a request at a time end by plan while it reads.
+// TestARequestIsRetriedIfItsServerEndsBeforeTheFirstEvent has a server leave and end while it reads the tokens of a request
+// that at most one server may run at a time.
 func TestARequestIsRetriedIfItsServerEndsBeforeTheFirstEvent(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g, 0))
--- a/forward/handover.go
+++ b/forward/handover.go
@@ -7,17 +7,17 @@
 	"junctioncross/models"
 )
 
-// placed is a path that was chosen for a stream from a group of servers.
+// placed is a path that was chosen for a stream from the servers of a group.
 type placed struct {
 	group *backend.Group
 	path  chain.Path
-	// load is the part of the lane's memory that was thought to be taken.
+	// load is the share of the lane's memory that was thought to be taken.
 	load float64
 }
 
-// handOver lets a stream go on at another first part, after the last event that was passed on. It does so only when there is a path for
-// it and the request may run there, so that nothing is lost by leaving. Only a server that does not answer is left for a path that
-// crosses domains more often.
+// handOver has a stream resumed on a path with another first server, after the last event that was passed on; text is the log
+// text. It does so only if there is such a path and the request may run there, so that nothing is lost by leaving the present
+// server. A path that crosses domains more often is accepted only if the present server does not answer.
 func (w *watcher) handOver(f *inflight, first *backend.Server, group *backend.Group, text string) bool {
 	h := w.handler
 	if !f.r.route.MayRepeat() || !h.mayRunAgain(f, first) {
@@ -39,13 +39,13 @@
 		"leaving_ms": first.LeavingFor(h.clock.Now()).Milliseconds(), "expected_left_ms": f.left(h).Milliseconds(),
 		"next": group.Servers()[next.path.Hops[0].Server].ID(),
 	})
-	// Closing under the lock makes sure that it is still the connection to that server.
+	// The lock guarantees that this is still the connection to that server.
 	_ = f.conn.Close()
 	return true
 }
 
-// mayRunAgain reports whether a stream may run on one more server while the present first part still stands. Servers that have had the time
-// to leave are asked whether they have ended.
+// mayRunAgain reports whether a stream may run on one more server while its present first server is still active. Earlier
+// servers that have had the time to leave are queried whether they have terminated.
 func (h *Handler) mayRunAgain(f *inflight, first *backend.Server) bool {
 	now, drain := h.clock.Now(), h.terms.Load().DrainTime
 	others := 0
@@ -61,21 +61,21 @@
 	return 1+others < f.r.route.MaxAttempts
 }
 
-// earlier returns the servers that ran the stream before the present one.
+// earlier returns the servers that ran the stream before the present attempt.
 func (f *inflight) earlier() []*backend.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.earlierServers
 }
 
-// takeNext returns the path on which a stream that was handed over goes on, or nil.
+// takeNext returns the path on which a stream that was handed over is resumed, or nil, and clears it.
 func (f *inflight) takeNext() *placed { return f.next.Swap(nil) }
 
-// handedOverFrom ends an attempt whose stream goes on elsewhere. A server that neither leaves nor gives up its part was given up since
-// it is silent.
-func (h *Handler) handedOverFrom(f *inflight, part models.Layers) outcome {
+// handedOverFrom returns the outcome of an attempt whose stream is resumed elsewhere. A first server that is neither leaving
+// nor has dropped its layers was left because it is silent, which counts as a failure.
+func (h *Handler) handedOverFrom(f *inflight, layers models.Layers) outcome {
 	f.r.ranOn(f.first)
-	if f.first.Leaving() || droppedStage(f.first, part) {
+	if f.first.Leaving() || droppedStage(f.first, layers) {
 		f.first.Settled()
 	} else {
 		h.noteBreak(f.first)
--- a/forward/handover_test.go
+++ b/forward/handover_test.go
@@ -16,7 +16,7 @@
 // spotNotice is the shortest notice that servers give before they end.
 const spotNotice = 2 * time.Second
 
-// connected returns a stream like flying, with a connection to its first part, and that connection.
+// connected returns a stream like flying, with a connection to its first server, and that connection.
 func connected(t *testing.T, h *Handler, g *backend.Group, id string, path ...int) (*inflight, net.Conn) {
 	f := flying(h, g, id, 0, path...)
 	ours, theirs := net.Pipe()
@@ -27,13 +27,13 @@
 
 func isOpen(c net.Conn) bool { return c.SetDeadline(time.Time{}) == nil }
 
-// goodbye lets a server say that it leaves, at the present moment.
+// goodbye has a server send its leave notice at the present time.
 func goodbye(s *backend.Server, clock *clockwork.FakeClock) {
 	leave(s)
 	s.NoteLeaving(clock.Now())
 }
 
-// TestAStreamIsHandedOverBeforeItsFirstStageEnds lets the first part of one stream leave, announced or not.
+// TestAStreamIsHandedOverBeforeItsFirstStageEnds has the first server of a stream leave, with and without notice.
 func TestAStreamIsHandedOverBeforeItsFirstStageEnds(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		g := twoCopies()
@@ -53,7 +53,7 @@
 			clock.Advance(watchPeriod)
 			h.watch.evacuate(t.Context(), leaving, func(string) *backend.Group { return group })
 		}
-		require.False(t, isOpen(conn), "announced %v: the stream has left", announced)
+		require.False(t, isOpen(conn), "announced %v: the stream has left its server", announced)
 		next := f.takeNext()
 		require.NotNil(t, next)
 		require.Equal(t, g.Servers()[2], next.group.Servers()[next.path.Hops[0].Server])
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestAStreamThatEndsBeforeItsServerIsNotHandedOver lets a stream have less to come than the server has time.
+// TestAStreamThatEndsBeforeItsServerIsNotHandedOver has a stream expect less time than the server still works.
 func TestAStreamThatEndsBeforeItsServerIsNotHandedOver(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -76,8 +76,8 @@
 	require.True(t, isOpen(conn))
 }
 
-// TestAStreamIsNotHandedOverIfItCannotBeResumedElsewhere tries to hand streams over without another server, without a repeat left, and
-// with a former server that still stands.
+// TestAStreamIsNotHandedOverIfItCannotBeResumedElsewhere tries to hand over a stream without another path, without a retry
+// left in the budget, and with an earlier server that may still run it.
 func TestAStreamIsNotHandedOverIfItCannotBeResumedElsewhere(t *testing.T) {
 	cases := map[string]func(h *Handler, f *inflight, g *backend.Group){
 		"no path": func(_ *Handler, _ *inflight, g *backend.Group) { leave(g.Servers()[2]) },
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestStreamsAreHandedOverEvenlyLongestFirst lets forty streams with different times to come leave one first part.
+// TestStreamsAreHandedOverEvenlyLongestFirst has forty streams with different remaining times leave one first server.
 func TestStreamsAreHandedOverEvenlyLongestFirst(t *testing.T) {
 	const streams = 40
 	g := twoCopies()
@@ -134,8 +134,8 @@
 	require.Zero(t, h.watch.count())
 }
 
-// TestDelayedHandoversAreSpreadOverTheRemainingDrainTime lets forty streams have nowhere to go for two seconds: the one that takes
-// the server's place still loads its layers.
+// TestDelayedHandoversAreSpreadOverTheRemainingDrainTime leaves forty streams without another path for two seconds, as while
+// the replacement of their server still loads its layers.
 func TestDelayedHandoversAreSpreadOverTheRemainingDrainTime(t *testing.T) {
 	const streams = 40
 	g := twoCopies()
@@ -163,14 +163,14 @@
 	for range 200 * time.Millisecond / watchPeriod {
 		round(g)
 	}
-	require.Greater(t, h.watch.count(), streams/2, "they do not all go at once")
+	require.Greater(t, h.watch.count(), streams/2, "they are not all handed over at once")
 	for range 800 * time.Millisecond / watchPeriod {
 		round(g)
 	}
-	require.Zero(t, h.watch.count(), "before the drain is over")
+	require.Zero(t, h.watch.count(), "all are handed over before the drain is over")
 }
 
-// TestASilentFirstStageIsLeftOnlyForAnotherPath lets a first part answer no question while its connections are open.
+// TestASilentFirstStageIsLeftOnlyForAnotherPath has a first server answer no query while its connections are open.
 func TestASilentFirstStageIsLeftOnlyForAnotherPath(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -179,7 +179,7 @@
 	none := backend.NewGroup(g.Service(), g.Servers()[:2])
 	g.Servers()[0].SetAside(clock.Now().Add(time.Second))
 	h.watch.giveUp(g.Servers()[0], none)
-	require.True(t, isOpen(conn), "it may still go on")
+	require.True(t, isOpen(conn), "the server may still make progress with it")
 	h.watch.giveUp(g.Servers()[0], g)
 	require.False(t, isOpen(conn))
 }
--- a/forward/inflight.go
+++ b/forward/inflight.go
@@ -13,58 +13,62 @@
 	"junctioncross/chain"
 )
 
-// inflight is one stream on its way through a path.
+// inflight is the state of one stream under way, over all its attempts.
 type inflight struct {
 	r      *request
 	events events
 
+	// first is the first server of the present path, and conn the connection to it.
 	first *backend.Server
 	conn  *backend.Conn
 	// lastAt is when the last event came, or the request was sent, in nanoseconds since the handler's start.
 	lastAt atomic.Int64
-	// refusals counts the servers that have refusals the stream away since one last took it.
+	// refusals counts the servers that have refused the stream since one last accepted it.
 	refusals int
 	// expected is how long after the sending the first event is due, in nanoseconds.
 	expected atomic.Int64
-	// firstEvent is how long after the request's arrival its first event came, and longestPause the longest time between two.
+	// firstEvent is how long after the request's arrival its first event came, and longestPause the longest time between two
+	// events.
 	firstEvent   time.Duration
 	longestPause time.Duration
 	// moved is true once the server of the present attempt has sent an event.
 	moved atomic.Bool
-	// ranSince is when that event came; only the goroutine of the request uses it.
+	// ranSince is when the first event of the present attempt came; only the goroutine of the request uses it.
 	ranSince time.Time
 
-	// failedMoves counts the looks for another path before its server ends that found none.
+	// failedMoves counts the searches, since the last successful one, that found no path without a server that leaves.
 	failedMoves atomic.Int64
 
-	// next is the path on which the stream goes on once its present connection is closed; nil while it is not handed over.
+	// next is the path on which the stream is resumed once its present connection is closed; nil unless the stream is being
+	// handed over.
 	next atomic.Pointer[placed]
 
 	mu sync.Mutex
-	// earlierServers lists the servers that ran the stream before the present attempt, which began at a time, was expected to last for life,
-	// and by the cost model alone as long as predicted; 0 for an attempt that goes on with a stream.
+	// earlierServers lists the servers that ran the stream before the present attempt. That attempt started at attemptStart
+	// and is expected to last for life, or for predictedLifetime by the cost model alone; the latter is 0 for an attempt that
+	// resumes a stream.
 	earlierServers    []*backend.Server
 	attemptStart      time.Time
 	life              time.Duration
 	predictedLifetime time.Duration
-	// minLeft is how much longer the stream is taken to last at minLeft.
+	// minLeft is the lower bound of the time that the stream is expected to last still.
 	minLeft time.Duration
-	// hops and servers are the path, which a repair may change; they are nil when no attempt is under way.
+	// hops and servers are the present path, which a repair may change; they are nil while no attempt is under way.
 	hops    []chain.Hop
 	servers []*backend.Server
 	need    chain.Need
-	// laneLoad is the part of the lane's memory that was thought to be taken when the path was chosen.
+	// laneLoad is the share of the lane's memory that was thought to be taken when the path was chosen.
 	laneLoad float64
-	// returned is true when the caller has been refused before, or goes on with a stream that broke off.
+	// returned is true for a returning caller: one that was refused before, or that resumes a stream which broke off.
 	returned bool
 	repairs  int
-	// verified is true once the first part of the present attempt was asked whether it knows the stream.
+	// verified is true once the first server of the present attempt was asked whether it knows the stream.
 	verified bool
 	// repairing is true while a repair is under way.
 	repairing bool
 }
 
-// parseResumeAfter returns the id of the last event that the caller has, -1 when it has none.
+// parseResumeAfter returns the id of the last event that the caller has, or -1 when it has none.
 func parseResumeAfter(id string) int64 {
 	last, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
@@ -73,7 +77,7 @@
 	return last
 }
 
-// assign reserves the path for the stream and gives back what it had before.
+// assign reserves the path for the stream and releases the former one.
 func (f *inflight) assign(group *backend.Group, hops []chain.Hop) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,7 +92,7 @@
 	}
 }
 
-// resolvedPath is a path with the servers that its indices stand for.
+// resolvedPath is a path together with the servers that its indices stand for.
 type resolvedPath struct {
 	hops    []chain.Hop
 	servers []*backend.Server
@@ -102,20 +106,20 @@
 	return c
 }
 
-// course returns the present path; it is empty when no attempt is under way.
+// course returns the present path; it is empty while no attempt is under way.
 func (f *inflight) course() resolvedPath {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return resolvedPath{hops: f.hops, servers: f.servers}
 }
 
-// uses reports whether the stream is under way at a service.
+// uses reports whether the stream is under way on servers of a service.
 func (f *inflight) uses(service string) bool {
 	c := f.course()
 	return len(c.servers) > 0 && c.servers[0].Service() == service
 }
 
-// replace reserves another path if the present one is still what it was, and reports whether it is.
+// replace reserves another path if the present one still has the servers of from, and reports whether it has.
 func (f *inflight) replace(from, to resolvedPath) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,7 +130,8 @@
 	return true
 }
 
-// beginVerify reports whether the stream waits for its first event and its first part has not been asked about it yet.
+// beginVerify reports whether the first server is to be asked if it knows the stream: the stream waits for its first event
+// and this attempt has not asked yet. The caller must ask then.
 func (f *inflight) beginVerify() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,7 +155,7 @@
 	f.hops, f.servers = nil, nil
 }
 
-// stages returns the path as it is sent.
+// stages returns the path in the form in which it is sent.
 func (c resolvedPath) stages() []call.Part {
 	out := make([]call.Part, len(c.hops))
 	for i, hop := range c.hops {
@@ -159,7 +164,7 @@
 	return out
 }
 
-// noteAccepted notes that every part of the path has taken the request.
+// noteAccepted notes that every server of the path has accepted the request.
 func (f *inflight) noteAccepted() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,10 +173,10 @@
 	}
 }
 
-// touch notes that the stream moved.
+// touch notes that the stream makes progress now.
 func (f *inflight) touch(h *Handler) { f.lastAt.Store(int64(h.clock.Since(h.watch.start))) }
 
-// pause returns for how long the stream has not moved.
+// pause returns how long ago the stream last made progress.
 func (f *inflight) pause(h *Handler) time.Duration {
 	return h.clock.Since(h.watch.start) - time.Duration(f.lastAt.Load())
 }
--- a/forward/lifetime.go
+++ b/forward/lifetime.go
@@ -9,19 +9,21 @@
 )
 
 const (
-	// ratioUnit stands for the ratio one in a sample of ratios.
+	// ratioUnit is the duration that stands for the ratio 1 in a sample of ratios, since samples hold durations.
 	ratioUnit = time.Second
-	// percent makes whole numbers of ratios.
+	// percent scales ratios to the whole numbers that histograms take.
 	percent = 100.0
-	// safeQuantile is the part of the answers that last no longer than what is counted on where a cut would be the price.
+	// safeQuantile is the quantile of the lifetimes that is counted on where a stream that lasts longer would be cut.
 	safeQuantile = 0.95
-	// usualQuantile is the same where a stream that lasts longer is cut at the end of a server, and one that does not is moved in vain.
+	// usualQuantile is the quantile that is counted on where a stream that lasts longer is cut when its server ends, while
+	// one that ends earlier was moved in vain.
 	usualQuantile = 0.8
-	// overdueFraction is the part of its expected time that an answer is taken to last which has lasted for longer than expected.
+	// overdueFraction is the fraction of its expected lifetime that a stream which has exceeded that lifetime is assumed to
+	// need still.
 	overdueFraction = 0.25
 )
 
-// recordLifetime takes into account how long an answer took for which a time was predicted.
+// recordLifetime records the ratio of an answer's lifetime to the predicted one.
 func (q *queue) recordLifetime(seen, predicted time.Duration) {
 	if predicted <= 0 {
 		return
@@ -31,12 +33,13 @@
 	q.ratios.add(time.Duration(float64(seen) / float64(predicted) * float64(ratioUnit)))
 }
 
-// lifetimeQuantile returns the time that a part of the answers with such a prediction last at most, by what was seen of others: predictions count
-// steps and the caller's estimate of its answer, not how many steps servers run at once.
-func (q *queue) lifetimeQuantile(predicted time.Duration, part float64) time.Duration {
+// lifetimeQuantile returns the time within which the given quantile of the answers with such a prediction end, by the ratios
+// of earlier answers: predictions count steps and the caller's estimate of its answer, but not how many steps servers run at
+// once.
+func (q *queue) lifetimeQuantile(predicted time.Duration, quantile float64) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return time.Duration(float64(predicted) * float64(q.ratios.quantile(part)) / float64(ratioUnit))
+	return time.Duration(float64(predicted) * float64(q.ratios.quantile(quantile)) / float64(ratioUnit))
 }
 
 // predictedLifetime returns how long an answer takes on a path by the cost model.
@@ -44,7 +47,8 @@
 	return path.Read + time.Duration(need.Tokens-need.Prompt)*path.Step
 }
 
-// begin notes that an attempt starts, and how long its answer is expected to take: what is left of it, when it goes on elsewhere.
+// begin records that an attempt starts and how long its answer is expected to take; an attempt that resumes a stream takes
+// what is left of it.
 func (f *inflight) begin(h *Handler, path chain.Path, attempt int) {
 	left := f.left(h)
 	predicted := predictedLifetime(f.need, path)
@@ -68,7 +72,8 @@
 	return max(f.life-h.clock.Since(f.attemptStart), f.minLeft)
 }
 
-// observeLifetime compares how long a whole answer took with what was predicted; answers that went on elsewhere tell nothing.
+// observeLifetime compares how long a whole answer took with the prediction; streams that were resumed have none and are left
+// out.
 func (h *Handler) observeLifetime(f *inflight) {
 	f.mu.Lock()
 	seen, predicted := h.clock.Since(f.attemptStart), f.predictedLifetime
@@ -80,7 +85,7 @@
 	h.observeRatio("life", seen, predicted)
 }
 
-// observeRatio keeps how long something took as a part of what was predicted for it.
+// observeRatio exports how long something took, in percent of what was predicted for it.
 func (h *Handler) observeRatio(what string, seen, predicted time.Duration) {
 	if predicted > 0 {
 		h.stats.Histogram(what + "_of_predicted_percent").Update(int64(math.Round(percent * float64(seen) / float64(predicted))))
--- a/forward/lifetime_test.go
+++ b/forward/lifetime_test.go
@@ -11,10 +11,10 @@
 	"junctioncross/front"
 )
 
-// TestPredictedLifetimesFollowObservedOnes lets answers last half as long as predicted, and one in eight of them as long.
+// TestPredictedLifetimesFollowObservedOnes has answers last half as long as predicted, and one in eight of them as long.
 func TestPredictedLifetimesFollowObservedOnes(t *testing.T) {
 	q := newQueue()
-	require.Greater(t, q.lifetimeQuantile(time.Second, safeQuantile), 2*time.Second, "nothing is known yet")
+	require.Greater(t, q.lifetimeQuantile(time.Second, safeQuantile), 2*time.Second, "no answer was observed yet")
 	for i := range sampleMost {
 		seen := 500 * time.Millisecond
 		if i%8 == 0 {
@@ -26,8 +26,8 @@
 	require.Equal(t, 4*time.Second, q.lifetimeQuantile(4*time.Second, safeQuantile))
 }
 
-// TestAStoppingInstanceAcceptsStreamsThatItCanFinish asks for an answer of forty tokens of about a millisecond each, with ever less time
-// to the end of the process.
+// TestAStoppingInstanceAcceptsStreamsThatItCanFinish asks for an answer of forty tokens of about a millisecond each, with
+// ever less time until the process ends.
 func TestAStoppingInstanceAcceptsStreamsThatItCanFinish(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -47,10 +47,11 @@
 		h.queueOf("s").recordLifetime(time.Second, time.Second)
 	}
 	clock.Advance(streamAcceptTime + 1)
-	require.False(t, h.finishes(r), "callers go elsewhere by now")
+	require.False(t, h.finishes(r), "the balancer sends new streams elsewhere by now")
 }
 
-// TestRefusalsDoNotShortenTheExpectedTimeOfAnOverdueStream starts attempts one after the other.
+// TestRefusalsDoNotShortenTheExpectedTimeOfAnOverdueStream starts several attempts of a stream one after the other, after it
+// has exceeded its expected lifetime.
 func TestRefusalsDoNotShortenTheExpectedTimeOfAnOverdueStream(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -10,20 +10,20 @@
 // delivered means that the whole answer was passed on.
 type delivered struct{}
 
-// callerGone means that the caller left.
+// callerGone means that the caller disconnected.
 type callerGone struct{}
 
-// notRun means that the server surely did not run the request.
+// notRun means that the server certainly did not run the request.
 type notRun struct{ reason models.Reason }
 
 // failed means that the server may have run the request.
 type failed struct {
 	reason models.Reason
-	// answer is the server's own failure, or nil when there is none that can be passed on.
+	// answer is the server's own error answer, or nil when there is none that can be passed on.
 	answer *heldAnswer
 }
 
-// handedOver means that the server was left on purpose and the stream goes on elsewhere.
+// handedOver means that the instance left the server on purpose and resumes the stream on another path.
 type handedOver struct{}
 
 // expired means that the deadline passed.
@@ -36,7 +36,7 @@
 func (handedOver) outcome() {}
 func (expired) outcome()    {}
 
-// heldAnswer is a whole answer that has not been passed on.
+// heldAnswer is a whole answer that has not been passed on yet.
 type heldAnswer struct {
 	head []byte
 	body []byte
--- a/forward/race_test.go
+++ b/forward/race_test.go
@@ -10,7 +10,8 @@
 	"junctioncross/backend"
 )
 
-// TestASilentFirstStageIsHandledWhileItsStreamIsResent does both at once; it is for the race detector.
+// TestASilentFirstStageIsHandledWhileItsStreamIsResent guards, under the race detector, against data races between giveUp and
+// the attempts of a stream.
 func TestASilentFirstStageIsHandledWhileItsStreamIsResent(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
--- a/forward/repair.go
+++ b/forward/repair.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// repairTimeout bounds one call for a repair.
+	// repairTimeout bounds one repair call.
 	repairTimeout = 400 * time.Millisecond
-	// maxRepairs bounds the calls for repairs of one stream.
+	// maxRepairs bounds the repair calls for one stream.
 	maxRepairs = 8
-	// maxRepairTries bounds the calls that follow each other at once, each without the servers that had no room.
+	// maxRepairTries bounds the repair calls in immediate succession, each without the servers that had no room.
 	maxRepairTries = 3
-	// weightSpread is how far the weights of servers are spread, so that instances that repair together choose differently.
+	// weightSpread is how far the weights of servers are randomized up or down, so that instances that repair at the same
+	// time choose different servers.
 	weightSpread = 0.5
 )
 
-// repair gives a stream a new path behind its first part.
+// repair gives a stream a new path behind its first server.
 func (w *watcher) repair(ctx context.Context, f *inflight, group *backend.Group, found *findings) {
 	if !f.startRepair() {
 		return
@@ -40,7 +41,7 @@
 	}
 }
 
-// repairOnce asks for one new path and reports whether another one is worth asking for.
+// repairOnce requests one new path and reports whether another one is worth requesting.
 func (w *watcher) repairOnce(ctx context.Context, f *inflight, group *backend.Group, found *findings) (tryAgain bool) {
 	h := w.handler
 	old := f.course()
@@ -59,10 +60,11 @@
 	return err != nil && w.noteRepairRefusal(group, old.servers[0], oldHops, hops, found, err)
 }
 
-// errPathChanged means that a stream has another path meanwhile, or none.
+// errPathChanged means that the stream has got another path meanwhile, or has none any more.
 var errPathChanged = errors.New("forward: path has changed meanwhile")
 
-// reroute asks the first part of a stream's path to go on along another one; done is what the log says then.
+// reroute asks the first server of a stream's path to continue along another path. The log text is text on success, and text
+// after "not " on failure.
 func (w *watcher) reroute(ctx context.Context, f *inflight, old, next resolvedPath, text string) error {
 	h := w.handler
 	if !f.replace(old, next) {
@@ -85,8 +87,9 @@
 	return err
 }
 
-// newHops returns a path with other servers in place of the lost ones and of those that leave, which refuse to be on a new path: with
-// memory as far as known, or else regardless of it, or else with all parts but the first replaced.
+// newHops returns a path with other servers in place of the lost ones and of those that leave, which refuse to be on a new
+// path. It prefers servers that have the memory as far as known, then ignores the memory, and at last replaces all stages but
+// the first.
 func (w *watcher) newHops(f *inflight, group *backend.Group, oldHops []chain.Hop, old resolvedPath, found *findings) ([]chain.Hop, bool) {
 	state := w.handler.chainState(group, w.handler.clock.Now())
 	r := f.repairRequest(oldHops, func(i int) bool {
@@ -103,8 +106,8 @@
 	return append([]chain.Hop{oldHops[0]}, path.Hops...), ok
 }
 
-// repairRequest returns what a stream asks for in place of the parts of its path that are to be replaced; a repair keeps the first.
-func (f *inflight) repairRequest(hops []chain.Hop, replace func(part int) bool) chain.Repair {
+// repairRequest returns the repair of a path in which some stages are to be replaced; the first one is always kept.
+func (f *inflight) repairRequest(hops []chain.Hop, replace func(stage int) bool) chain.Repair {
 	lost := make(map[int]bool, len(hops))
 	for i, hop := range hops {
 		lost[hop.Server] = i > 0 && replace(i)
@@ -115,9 +118,9 @@
 	}
 }
 
-// noteRepairRefusal keeps new work away from the servers that a repair failed for, and reports whether another path may do. A server that
-// the refusal names counts as lost, also when the path had it before: it has given its layers up, and neither its entry nor its
-// report tells yet.
+// noteRepairRefusal keeps new work away from the servers that refused a repair, and reports whether another path may succeed.
+// A server that the refusal names counts as lost even if it was on the old path: it has dropped its layers, and neither its
+// entry nor its report shows that yet.
 func (w *watcher) noteRepairRefusal(group *backend.Group, first *backend.Server, oldHops, newHops []chain.Hop, found *findings, err error) bool {
 	var refused *backend.RepairError
 	if !errors.As(err, &refused) {
@@ -129,7 +132,7 @@
 		found.add(server)
 		return server.Addr() != first.Addr()
 	}
-	// The answer names no server when one has no room; it is one of the new ones.
+	// A refusal for lack of room names no server; it comes from one of the new ones.
 	for _, h := range newHops {
 		if !slices.Contains(oldHops, h) && h.Server >= 0 {
 			group.Servers()[h.Server].NoRoom(now)
@@ -138,7 +141,7 @@
 	return true
 }
 
-// startRepair reports whether the stream may be repaired now; repaired must be called after it.
+// startRepair reports whether a repair of the stream may start now; if so, endRepair must be called after it.
 func (f *inflight) startRepair() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,7 +153,7 @@
 	return true
 }
 
-// countRepair counts a further call and reports whether it is allowed.
+// countRepair counts a further repair call and reports whether it is allowed.
 func (f *inflight) countRepair() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -158,23 +161,25 @@
 	return f.repairs <= maxRepairs
 }
 
-// endRepair says that a repair has ended.
+// endRepair notes that a repair has ended.
 func (f *inflight) endRepair() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.repairing = false
 }
 
-// notInGroup is the index of a server that a group lacks.
+// notInGroup is the index of a server that a group lacks, as slices.Index returns it.
 const notInGroup = -1
 
-// outsideIndex stands for a part of a path whose server a group lacks, in place of an index; partOutside returns the part again.
-func outsideIndex(part int) int { return notInGroup - part }
+// outsideIndex returns the number that stands for a stage whose server a group lacks, in place of the server's index;
+// outsideStage returns the stage again.
+func outsideIndex(stage int) int { return notInGroup - stage }
 
 func outsideStage(index int) int { return notInGroup - index }
 
-// groupHops returns a path by the indices of a group, which may be newer or older than the one that the path was chosen from: a server
-// that leaves without a word serves on although the group lacks it, and one that has just appeared may carry the stream already.
+// groupHops returns a path with the indices of a group, which may be newer or older than the group that the path was chosen
+// from: a server that leaves without notice keeps working although the group lacks it, and one that has just appeared may
+// carry the stream already.
 func groupHops(group *backend.Group, c resolvedPath) []chain.Hop {
 	out := make([]chain.Hop, len(c.hops))
 	for i, s := range c.servers {
@@ -186,7 +191,8 @@
 	return out
 }
 
-// resolveHops returns the path that hops of a group describe; those that the group lacks are parts of the present path.
+// resolveHops returns the path that hops of a group describe; stages whose servers the group lacks come from the present
+// path.
 func (c resolvedPath) resolveHops(group *backend.Group, hops []chain.Hop) resolvedPath {
 	out := resolvedPath{hops: hops, servers: make([]*backend.Server, len(hops))}
 	for i, hop := range hops {
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// initialResumePause and longestOnwardPause bound the time that a stream which has begun waits after servers have turned it away:
-	// about the time after which their word on their memory has changed.
+	// initialResumePause and maxResumePause bound the backoff of a stream that has begun and was refused by servers: after
+	// about that time what they report of their memory has changed.
 	initialResumePause = 25 * time.Millisecond
 	maxResumePause     = 400 * time.Millisecond
-	// requeryPeriod is how long after the servers that a stream ran on were asked whether they have ended they are asked again.
+	// requeryPeriod is how often the servers that a stream ran on are queried whether they have terminated.
 	requeryPeriod = 250 * time.Millisecond
 )
 
-// awaitOnward returns the path on which a stream that has begun goes on. It waits for as long as the caller does: an answer that has
-// begun is worth more late than cut, whatever it has to wait for. False comes with the reason why it could not go on.
+// awaitOnward returns the path on which a stream that has begun is resumed. It waits for as long as the caller does, whatever
+// is in the way: an answer that has begun is better late than cut. If it returns false, the reason tells what was in the way.
 func (h *Handler) awaitOnward(ctx context.Context, f *inflight) (chain.Path, models.Reason, bool) {
 	if f.refusals > 0 && !h.clock.Sleep(ctx, retry.Doubled(initialResumePause, maxResumePause, f.refusals-1)) {
 		return chain.Path{}, models.ReasonNoRoom, false
@@ -53,8 +53,8 @@
 	}
 }
 
-// mayStillEnd asks the servers that the stream ran on how they are, and reports whether it may go on later: because one has ended, or
-// will since it leaves. Otherwise its caller had better ask elsewhere at once.
+// mayStillEnd queries the servers that the stream ran on, and reports whether it may be resumed later: because one has
+// terminated, or will since it is leaving. Otherwise its caller does better to ask another instance at once.
 func (h *Handler) mayStillEnd(ctx context.Context, f *inflight) bool {
 	for _, s := range f.r.ran {
 		if s.Ended() {
@@ -65,7 +65,7 @@
 		cancel()
 		h.believe(s, report, err, "run that broke")
 		if err != nil && s.Gone() && s.LeavingFor(h.clock.Now()) > h.terms.Load().DrainTime {
-			// It has neither an entry nor a word: it is cut off or dead.
+			// It has no entry and does not answer: it is partitioned or dead.
 			s.End()
 		}
 		if s.Ended() || s.Leaving() {
@@ -75,7 +75,8 @@
 	return f.r.standing() < f.r.route.MaxAttempts
 }
 
-// resumePath returns a path for a stream that has begun, or what is in its way; it takes one repeat of the service's allowance unless one is granted.
+// resumePath returns a path for a stream that has begun, or the reason why there is none; it takes one retry from the
+// service's budget unless one is granted already.
 func (h *Handler) resumePath(f *inflight) (chain.Path, models.Reason) {
 	if f.r.standing() >= f.r.route.MaxAttempts {
 		return chain.Path{}, models.ReasonAttempts
@@ -90,7 +91,7 @@
 	return path, ""
 }
 
-// refreshGroup lets a stream see the servers that there are now.
+// refreshGroup gives a stream the present servers of its service to choose from.
 func (h *Handler) refreshGroup(f *inflight) {
 	if group := h.board.Current().Group(f.r.group.Service().Name); group != nil {
 		f.r.group = group
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -14,7 +14,7 @@
 	"junctioncross/retry"
 )
 
-// begun returns a stream that has begun on some servers of a group, whose route lets so many servers run one request.
+// begun returns a stream that has begun on some servers of a group; its route lets at most attempts servers run one request.
 func begun(g *backend.Group, attempts int, ran ...int) *inflight {
 	route := &catalog.Route{PauseObjective: 200 * time.Millisecond, Timeout: time.Minute, MaxAttempts: attempts}
 	f := &inflight{r: &request{x: &front.Exchange{}, group: g, route: route}}
@@ -24,7 +24,7 @@
 	return f
 }
 
-// TestTerminatedServersDoNotCountAsAttempts lets a stream run on two servers, of which one ends.
+// TestTerminatedServersDoNotCountAsAttempts has a stream run on two servers, of which one terminates.
 func TestTerminatedServersDoNotCountAsAttempts(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g, 0))
@@ -32,14 +32,15 @@
 	f := begun(g, 2, 0, 2)
 	_, obstacle := h.resumePath(f)
 	require.Equal(t, models.ReasonAttempts, obstacle)
-	require.True(t, h.mayStillEnd(t.Context(), f), "it shows when the servers are asked")
+	require.True(t, h.mayStillEnd(t.Context(), f), "the queries show that a server has terminated")
 	require.Equal(t, 1, f.r.standing())
 	_, obstacle = h.resumePath(f)
 	require.Empty(t, obstacle)
-	require.Equal(t, 2, f.r.runs, "the request may have run all the same")
+	require.Equal(t, 2, f.r.runs, "the request may have run on both all the same")
 }
 
-// TestAServerThatAnnouncedLeavingHasEndedOnceRemoved lets the entries of two servers go, of which one had said that it leaves.
+// TestAServerThatAnnouncedLeavingHasEndedOnceRemoved removes the entries of two servers, of which one had announced that it
+// leaves.
 func TestAServerThatAnnouncedLeavingHasEndedOnceRemoved(t *testing.T) {
 	servers := twoCopies().Servers()
 	leave(servers[0])
@@ -47,10 +48,10 @@
 		s.Remove()
 	}
 	require.True(t, servers[0].Ended())
-	require.False(t, servers[1].Ended(), "one that leaves without a word serves on")
+	require.False(t, servers[1].Ended(), "one that leaves without notice keeps working")
 }
 
-// TestAStreamIsResumedWhenThereIsRoomAgain takes every lane away for longer than callers are thought to be patient.
+// TestAStreamIsResumedWhenThereIsRoomAgain makes every server unusable for longer than callers are thought to wait.
 func TestAStreamIsResumedWhenThereIsRoomAgain(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
@@ -75,10 +76,10 @@
 			return false
 		}
 	}, 30*time.Second, time.Millisecond)
-	require.False(t, clock.Now().Before(away), "there was no room before")
+	require.False(t, clock.Now().Before(away), "there is no room before")
 }
 
-// TestAStreamIsBrokenOffAtOnceIfItsServersAreAllRunning lets both servers that a stream ran on answer that they are well.
+// TestAStreamIsBrokenOffAtOnceIfItsServersAreAllRunning has both servers that a stream ran on answer that they are well.
 func TestAStreamIsBrokenOffAtOnceIfItsServersAreAllRunning(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g))
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -12,11 +12,12 @@
 	r.ran = append(r.ran, s)
 }
 
-// standing returns how many of the servers that may have run the request have not ended since: the number of servers that may run
-// one request bounds what is at work on it, and a server that has ended is not. One that ran it twice counts once.
+// standing returns the number of active runs: of the servers that may have run the request, those that have not terminated
+// since. This number is bounded, since it counts what may still be at work on the request; a server that has terminated is
+// not. A server that ran the request twice counts once.
 func (r *request) standing() int { return len(activeServers(r.ran)) }
 
-// activeServers returns those of some servers that have not ended, each once.
+// activeServers returns the servers that have not terminated, each once.
 func activeServers(ran []*backend.Server) []*backend.Server {
 	var out []*backend.Server
 	for _, s := range ran {
--- a/forward/state.go
+++ b/forward/state.go
@@ -10,22 +10,24 @@
 )
 
 const (
-	// peersAtFirst is the assumed number of instances that share a server until answers tell better.
+	// peersAtFirst is the load ratio that is assumed until answers report one: that of three instances that use the servers
+	// alike.
 	peersAtFirst = 3.0
-	// maxLoadRatio bounds the estimate.
+	// maxLoadRatio bounds the load ratio.
 	maxLoadRatio = 32.0
-	// loadRatioWeight is the weight of the newest answer in the estimate.
+	// loadRatioWeight is the weight of the newest answer in the load ratio.
 	loadRatioWeight = 0.05
-	// failurePenalty is what a server that fails all its requests counts beside one that fails none.
+	// failurePenalty is what the penalty factor of a server gains if it fails all its requests.
 	failurePenalty = 4.0
 )
 
-// peers estimates how much more work the servers have than this instance gives them.
+// peers estimates the load ratio: all work of the servers as a multiple of what this instance gives them.
 type peers struct {
 	factor float64
 }
 
-// observe takes one answer: all that runs on a server, against what runs there for this instance.
+// observe updates the estimate by the load in one answer: the requests that a server runs or queues, against those of this
+// instance.
 func (p *peers) observe(load call.Load, own int) {
 	if !load.Known || own < 1 {
 		return
@@ -34,15 +36,16 @@
 	p.factor += (ratio - p.factor) * loadRatioWeight
 }
 
-// chainState shows the servers of a group to the choice of a path.
+// chainState implements chain.State for the servers of a group.
 type chainState struct {
 	servers []*backend.Server
 	engine  *catalog.Engine
 	now     time.Time
-	factor  float64
-	// instances is the number of those that share the limits of servers.
+	// factor is the load ratio.
+	factor float64
+	// instances is the number of instances that share the rate limits of the servers.
 	instances int
-	// ignoreMemory counts the memory as free whatever is known of it.
+	// ignoreMemory makes all memory count as free, whatever the servers reported of it.
 	ignoreMemory bool
 }
 
--- a/forward/stop.go
+++ b/forward/stop.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// streamAcceptTime is how long after the signal streams are taken: until the balancer has missed two checks, one a second. What
-	// comes later would hardly be done in time.
+	// streamAcceptTime is how long after the stop signal streams are accepted: until the balancer has missed two health
+	// checks, one a second. Streams that come later would hardly finish in time.
 	streamAcceptTime = 2500 * time.Millisecond
 	// plainSlack is how many times its objective a plain request may take on a stopping instance.
 	plainSlack = 4
-	// defaultStep is the time between tokens while no path says better.
+	// defaultStep is the assumed time between two tokens while there is no path to predict it from.
 	defaultStep = 30 * time.Millisecond
 )
 
-// StopBy tells the Handler that the process was told to stop now and will have ended at a moment, so that it takes nothing
-// that would not be done by then.
+// StopBy tells the Handler that the process has now been told to stop and will have ended at the given time; requests that
+// would not finish by then are refused.
 func (h *Handler) StopBy(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stopTold, h.stopBy = h.clock.Now(), at
 }
 
-// finishes reports whether the request would be done before the process ends.
+// finishes reports whether the request would finish before the process ends.
 func (h *Handler) finishes(r *request) bool {
 	h.mu.Lock()
 	stopTold, stopBy := h.stopTold, h.stopBy
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -12,10 +12,10 @@
 	"junctioncross/models"
 )
 
-// streamBuffer holds some events.
+// streamBuffer is the size in bytes of the buffer for one read from a server; it holds some events.
 const streamBuffer = 4 << 10
 
-// stream answers a request of a chained engine.
+// stream handles a request to a chained engine, whose servers each run some of the layers.
 func (h *Handler) stream(ctx context.Context, r *request) {
 	f := &inflight{r: r, events: events{last: parseResumeAfter(r.meta.ResumeAfter)}}
 	f.need, f.returned = h.needOf(r), h.hasReturned(r)
@@ -39,7 +39,7 @@
 	h.concludeStream(ctx, f, last)
 }
 
-// nextPath returns the path for the next attempt, or else how the stream ends instead.
+// nextPath returns the path for the next attempt, or the outcome with which the stream ends if there is none.
 func (h *Handler) nextPath(ctx context.Context, f *inflight, last outcome) (chain.Path, outcome) {
 	if next := f.takeNext(); next != nil {
 		f.r.group, f.laneLoad, f.r.granted = next.group, next.load, true
@@ -64,8 +64,8 @@
 	return path, nil
 }
 
-// mayContinue reports whether an attempt that ended so is followed by another. A stream that has begun goes on for as long as its caller
-// waits, unless it must not run again; what it has to wait for is found out by awaitOnward.
+// mayContinue reports whether another attempt follows one with this outcome. A stream that has begun is resumed for as long
+// as its caller waits, unless it must not run again; awaitOnward finds out what it has to wait for.
 func (h *Handler) mayContinue(f *inflight, last outcome, attempt int) bool {
 	if _, ok := last.(handedOver); ok {
 		return true
@@ -133,7 +133,7 @@
 	f.refusals = 0
 	f.noteAccepted()
 	err = h.passEvents(f, s)
-	// A connection that is kept may carry another request at once, which no hand-over of this stream may close.
+	// A connection that is kept may carry another request at once, and a hand-over of this stream must not close it then.
 	h.watch.remove(f)
 	h.finish(s, err == nil)
 	if err != nil {
@@ -155,7 +155,7 @@
 	h.peers.observe(s.info.Load, f.first.Running())
 }
 
-// refusedStream judges an answer that is not a stream.
+// refusedStream returns the outcome of an answer that is not a stream, and notes the failure or refusal at the server.
 func (h *Handler) refusedStream(f *inflight, s *sent) outcome {
 	body, err := readWhole(s)
 	h.watch.remove(f)
@@ -173,7 +173,8 @@
 	return failed{reason: models.ReasonServiceFailed, answer: h.failureAnswer(s, body)}
 }
 
-// noteRefusal keeps new work away from the server that was the reason for a refusal.
+// noteRefusal keeps new work away from the server that caused a refusal: the one that the answer names, or else the first
+// one.
 func (h *Handler) noteRefusal(f *inflight, s *sent) {
 	server := f.first
 	if s.info.Fault != "" {
@@ -188,7 +189,7 @@
 	}
 }
 
-// brokenStream judges an attempt whose connection or stream broke.
+// brokenStream returns the outcome of an attempt whose connection or stream broke.
 func (h *Handler) brokenStream(ctx context.Context, f *inflight, err error) outcome {
 	if ctx.Err() != nil || f.r.x.Failed() {
 		f.r.ranOn(f.first)
@@ -202,7 +203,7 @@
 	h.noteBreak(f.first)
 	h.suspectEnd(f.r, f.first, f.ran(h))
 	if !f.r.x.Begun() && f.r.standing() >= f.r.route.MaxAttempts {
-		// Whether there is another attempt depends on who of those has ended.
+		// Another attempt is allowed only if one of the servers that ran the request has terminated.
 		h.mayStillEnd(ctx, f)
 	}
 	h.record.Failure(f.r.meta.ID, "attempt broken", h.fields(f.r, decision.Fields{
@@ -213,8 +214,8 @@
 	return failed{reason: models.RetryBroken}
 }
 
-// noteBreak judges a server by a stream that broke; the end of one that leaves says nothing against it. Whether it has ended shows
-// when it is asked.
+// noteBreak counts a broken stream as a failure of its server, except for a server that is leaving, whose streams are
+// expected to break. It also queries the server, which shows whether it has terminated.
 func (h *Handler) noteBreak(server *backend.Server) {
 	if server.Leaving() {
 		server.Settled()
@@ -225,7 +226,8 @@
 	h.question(server, "broken stream")
 }
 
-// concludeStream tells the caller how the stream ended; one that has begun and cannot go on is broken off.
+// concludeStream logs the outcome of the stream and answers the caller who has no answer yet. A stream that has begun and
+// cannot be resumed is broken off.
 func (h *Handler) concludeStream(ctx context.Context, f *inflight, last outcome) {
 	r := f.r
 	h.countRefused(f, last)
@@ -254,7 +256,7 @@
 	}))
 }
 
-// reasonOf returns why an attempt did not deliver, or an empty reason.
+// reasonOf returns the reason why an attempt did not deliver the answer, or an empty reason.
 func reasonOf(last outcome) models.Reason {
 	switch o := last.(type) {
 	case notRun:
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -13,30 +13,32 @@
 )
 
 const (
-	// watchPeriod is how often streams are looked at; a part of the shortest pause that counts as standing still.
+	// watchPeriod is how often streams are checked: a fraction of the shortest pause that counts as a stall.
 	watchPeriod = 25 * time.Millisecond
-	// stallShare is the part of the pause that callers accept after which a stream may stand still: the rest is what a
-	// repair takes. leastStill is several times the usual time between events.
+	// stallShare is the share of the pause that callers accept after which a stream counts as stalled: the rest is what a
+	// repair takes. minStall is the lower bound of that time, several times the usual time between events.
 	stallShare = 0.55
 	minStall   = 90 * time.Millisecond
-	// firstEventSlack is how much longer than predicted the first event may take.
+	// firstEventSlack is how much later than predicted the first event may come before the stream counts as stalled.
 	firstEventSlack = 200 * time.Millisecond
-	// diagnosePeriod is how long after a look at a path the next one may follow: reports are as old as that.
+	// diagnosePeriod is the least time between two diagnoses of the paths that start at one server: reports are as old as
+	// that.
 	diagnosePeriod = 250 * time.Millisecond
-	// crowdedAge is how old a server's word that requests wait on it may be: they wait for some hundred milliseconds.
+	// crowdedAge is how old a server's report that requests wait on it may be: they wait for some hundred milliseconds.
 	crowdedAge = time.Second
-	// suspectTime is how long a server that does not answer gets no new work, if its entry does not vanish before.
+	// suspectTime is how long a server that does not answer gets no new work, unless its entry vanishes before.
 	suspectTime = 3 * time.Second
 )
 
-// watcher looks for streams that stand still and finds out why.
+// watcher finds stalled streams and the servers that stall them. It repairs their paths or has them resumed on others, and
+// moves streams off servers that leave.
 type watcher struct {
 	handler *Handler
 	start   time.Time
 
 	mu      sync.Mutex
 	streams map[*inflight]struct{}
-	// lastDiagnosed holds when the paths that start at a server were last lastDiagnosed at.
+	// lastDiagnosed holds when the paths that start at a server were last diagnosed.
 	lastDiagnosed map[*backend.Server]time.Time
 }
 
@@ -59,7 +61,7 @@
 	return w
 }
 
-// group returns the servers that a service has now, nil where there is no such service.
+// group returns the present servers of a service, or nil if there is no such service.
 func (w *watcher) group(service string) *backend.Group {
 	return w.handler.board.Current().Group(service)
 }
@@ -76,7 +78,7 @@
 	delete(w.streams, f)
 }
 
-// still reports whether the stream has not moved for longer than it should.
+// still reports whether the stream is stalled: without progress for longer than it should be.
 func (w *watcher) still(f *inflight) bool {
 	limit := max(time.Duration(stallShare*float64(f.r.route.PauseObjective)), minStall)
 	if !f.moved.Load() {
@@ -85,7 +87,7 @@
 	return f.pause(w.handler) > limit
 }
 
-// scan starts a look at each first part that has streams which stand still.
+// scan starts a diagnosis for each first server that has stalled streams.
 func (w *watcher) scan(ctx context.Context) {
 	now := w.handler.clock.Now()
 	w.mu.Lock()
@@ -114,8 +116,8 @@
 	}
 }
 
-// look asks the servers that may hold up streams that stand still how they are. What it finds serves all streams: those that
-// pass a dead server get a new path although they have not stood still for long themselves.
+// look queries the servers that may have stalled some streams. The findings are applied to all streams of the service: those
+// that use a dead server get a new path although they have not been stalled for long themselves.
 func (w *watcher) look(ctx context.Context, first *backend.Server, group *backend.Group, streams []*inflight) {
 	w.handler.stats.Counter("looks_total").Inc(1)
 	found := w.ask(ctx, first, group, w.suspects(streams))
@@ -127,7 +129,7 @@
 		if !f.uses(first.Service()) {
 			continue
 		}
-		if found.broken(f) || w.still(f) && f.passesLeaving() {
+		if found.broken(f) || w.still(f) && f.hasLeavingStage() {
 			all.Go(func() { w.repair(ctx, f, group, found) })
 		}
 	}
@@ -139,8 +141,9 @@
 	all.Wait()
 }
 
-// verify finds out whether the first part knows a stream whose first event is overdue, although all parts are well: some
-// servers take requests and forget them. Asking for the path that the stream has changes nothing at one that knows it.
+// verify asks the first server whether it knows a stream whose first event is overdue although all servers are healthy: some
+// servers accept requests and forget them. The question is a repair to the path that the stream already has, which changes
+// nothing at a server that knows it.
 func (w *watcher) verify(ctx context.Context, f *inflight) {
 	h := w.handler
 	c := f.course()
@@ -156,11 +159,11 @@
 	}
 }
 
-// healthyTime is how long ago a server must have moved a stream to be taken as sound. It is less than the time from a death to
-// the first look, which is the shortest pause that counts as standing still less the usual time between events.
+// healthyTime is how recently a server must have made progress with a stream to be taken as healthy. It is less than the time
+// from the death of a server to the first diagnosis: the shortest stall minus the usual time between events.
 const healthyTime = 45 * time.Millisecond
 
-// suspects returns the servers that the streams pass, but for those that have just moved other streams.
+// suspects returns the servers that the streams use, without those that have just made progress with other streams.
 func (w *watcher) suspects(streams []*inflight) map[*backend.Server]bool {
 	lastProgress := map[*backend.Server]int64{}
 	for _, f := range w.active() {
@@ -202,7 +205,7 @@
 	return out
 }
 
-// startingAt returns the streams under way whose first part is a server.
+// startingAt returns the streams under way whose first server is the given one.
 func (w *watcher) startingAt(first *backend.Server) []*inflight {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -215,9 +218,9 @@
 	return out
 }
 
-// giveUp lets the streams go on elsewhere that start at a server which does not answer and stand still. Where nothing listens any more
-// they are cut at once, unless nobody else may go on with them; a server that is only silent may still move them, so that they stay
-// with it until there is another path.
+// giveUp has the stalled streams of a first server that does not answer resumed elsewhere, if other servers may run them. If
+// nothing listens at its address any more, they are cut at once. A server that is only silent may still make progress with
+// them, so that they stay with it until there is another path.
 func (w *watcher) giveUp(first *backend.Server, group *backend.Group) {
 	streams := slices.DeleteFunc(w.startingAt(first), func(f *inflight) bool { return !w.still(f) || !f.r.route.MayRepeat() })
 	if first.Ended() {
@@ -229,7 +232,8 @@
 	}
 }
 
-// cutStreams cuts the streams that start at a server which no longer knows them: they are resumed at others.
+// cutStreams closes the connections of streams to a first server that no longer knows them, so that they are resumed
+// elsewhere.
 func (w *watcher) cutStreams(first *backend.Server, streams []*inflight) {
 	h := w.handler
 	h.stats.Counter("first_parts_lost_total").Inc(1)
@@ -243,13 +247,13 @@
 			"server": first.ID(), "address": first.Addr(), "still_ms": f.pause(h).Milliseconds(), "gone": first.Gone(),
 			"leaving_ms": first.LeavingFor(h.clock.Now()).Milliseconds(),
 		})
-		// Closing under the lock makes sure that it is still the connection to that server.
+		// The lock guarantees that this is still the connection to that server.
 		_ = f.conn.Close()
 	}
 }
 
-// startsAt reports whether a stream is under way at a first part: it may have been resumed elsewhere meanwhile. The caller
-// holds the lock.
+// startsAt reports whether a stream is under way and still has the given first server: it may have been resumed elsewhere
+// meanwhile. The caller holds the lock.
 func (w *watcher) startsAt(f *inflight, first *backend.Server) bool {
 	_, flying := w.streams[f]
 	return flying && f.first == first
--- a/forward/watch_test.go
+++ b/forward/watch_test.go
@@ -27,13 +27,13 @@
 	"junctioncross/timer"
 )
 
-// noTeller is a Teller that tells nobody.
+// noTeller is a Teller that sends nothing.
 type noTeller struct{}
 
 // Wake implements Teller.
 func (noTeller) Wake() {}
 
-// testBook returns a book with the terms that hold where the settings are silent.
+// testBook returns a book with the default quarantine terms.
 func testBook() *quarantine.Book {
 	set := config.DefaultHosted().Quarantine
 	return quarantine.NewBook(quarantine.Terms{Ends: set.Ends, EndsOfOne: set.EndsOfOne, Keep: set.Keep, Most: set.Most})
@@ -43,17 +43,18 @@
 
 func (oneInstance) Instances() int { return 1 }
 
-// engines is a backend.Caller that knows which servers are dead and notes the repairs and questions.
+// engines is a backend.Caller that stands in for servers, of which some are dead, and records the repairs and queries.
 type engines struct {
 	mu   sync.Mutex
 	dead map[string]bool
-	// dark servers let calls hang until end is closed, whatever the context says.
+	// dark lists servers whose calls hang until end is closed, whatever the context says.
 	dark  map[string]bool
 	end   chan struct{}
 	holds map[string]models.Layers
-	// reassigned servers refuse to be on a path, although neither entry nor report tells yet that they hold other layers.
+	// reassigned lists servers that refuse to be on a path, although neither entry nor report shows yet that they hold other
+	// layers.
 	reassigned map[string]bool
-	// forgets names the requests that their first parts took and do not know.
+	// forgets lists the requests that their first servers accepted and do not know.
 	forgets map[string]bool
 	asked   map[string]int
 	repairs map[string][]call.Part
@@ -115,15 +116,15 @@
 	return withRepeatsSaved(h), fake
 }
 
-// withRepeatsSaved returns the handler as that of a process which started so long ago that it has all repeats saved that it may.
+// withRepeatsSaved returns the handler as that of a process which started long enough ago for its retry budget to be full.
 func withRepeatsSaved(h *Handler) *Handler {
 	limit := h.terms.Load().Repeats
 	h.budget = retry.NewBudget(limit, h.clock.Now().Add(-limit.Window))
 	return h
 }
 
-// TestAResumedStreamIsNotCutForItsFormerFirstStage looks at a stream, lets it be resumed at another server, and
-// only then finds that the first one is dead.
+// TestAResumedStreamIsNotCutForItsFormerFirstStage guards against closing the connection of a stream that was resumed on
+// another server between the diagnosis of its first server and the finding that this server is dead.
 func TestAResumedStreamIsNotCutForItsFormerFirstStage(t *testing.T) {
 	h, _ := testHandler(t, nil)
 	servers := twoCopies().Servers()
@@ -132,12 +133,13 @@
 	f := &inflight{r: &request{}, first: servers[2], conn: &backend.Conn{Conn: ours}}
 	h.watch.add(f)
 	h.watch.cutStreams(servers[0], []*inflight{f})
-	require.NoError(t, ours.SetDeadline(time.Time{}), "the connection to the new first part is open")
+	require.NoError(t, ours.SetDeadline(time.Time{}), "the connection to the new first server is open")
 	h.watch.cutStreams(servers[2], []*inflight{f})
-	require.Error(t, ours.SetDeadline(time.Time{}), "the connection to a dead first part is closed")
+	require.Error(t, ours.SetDeadline(time.Time{}), "the connection to a dead first server is closed")
 }
 
-// flying returns a stream that is under way along a path of a group, and last moved at a moment after the handler's start.
+// flying returns a stream that is under way along a path of a group, and last made progress at the given time after the
+// handler's start.
 func flying(h *Handler, g *backend.Group, id string, lastAt time.Duration, path ...int) *inflight {
 	hops := make([]chain.Hop, len(path))
 	for i, n := range path {
@@ -156,8 +158,8 @@
 	return f
 }
 
-// TestADeadServerIsReplacedInAllStreamsOnceOneHasFoundIt lets two streams with different first parts pass a dead server; only
-// one of them has stood still for long enough to be looked at.
+// TestADeadServerIsReplacedInAllStreamsOnceOneHasFoundIt has two streams with different first servers use a dead server; only
+// one of them has been stalled for long enough to be diagnosed.
 func TestADeadServerIsReplacedInAllStreamsOnceOneHasFoundIt(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g, 1)
@@ -174,8 +176,8 @@
 	require.NotContains(t, e.repairs, "elsewhere")
 }
 
-// TestServersOfProgressingStreamsAreNotQueried lets another stream pass the first half of a path and move after the one that
-// stands still last did.
+// TestServersOfProgressingStreamsAreNotQueried has another stream use the middle of the path of a stalled stream and make
+// progress after that one last did.
 func TestServersOfProgressingStreamsAreNotQueried(t *testing.T) {
 	g := fourStages()
 	e := newEngines(g, 3)
@@ -187,10 +189,11 @@
 	require.Zero(t, e.asked[g.Servers()[1].Addr()])
 	require.Zero(t, e.asked[g.Servers()[2].Addr()])
 	require.NotZero(t, e.asked[g.Servers()[3].Addr()])
-	require.Len(t, e.repairs["still"], 4, "repaired with the other holder of the last part")
+	require.Len(t, e.repairs["still"], 4, "repaired with the other holder of the last layers")
 }
 
-// TestAStreamIsRepairedAfterItsFirstStageLostItsEntry lets the first part leave without a word and serve on, and the second one die.
+// TestAStreamIsRepairedAfterItsFirstStageLostItsEntry has the first server leave without notice and keep working, and the
+// second one die.
 func TestAStreamIsRepairedAfterItsFirstStageLostItsEntry(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g, 1)
@@ -206,8 +209,8 @@
 	require.Equal(t, g.Servers()[3].Addr(), e.repairs["still"][1].Addr)
 }
 
-// TestARepairReplacesAllLeavingServers lets one part of a path die while another one, which still works, has said that it leaves: servers
-// refuse to be on a new path from then on.
+// TestARepairReplacesAllLeavingServers has one server of a path die while another one, which still works, has sent its leave
+// notice: from then on a server refuses to be on a new path.
 func TestARepairReplacesAllLeavingServers(t *testing.T) {
 	service := twoCopies().Service()
 	var servers []*backend.Server
@@ -230,7 +233,7 @@
 	require.Equal(t, servers[4].Addr(), e.repairs["still"][2].Addr)
 }
 
-// fourStages returns a group with one copy of a model in four servers and a second holder of the last part.
+// fourStages returns a group with one copy of a model in four servers and a second holder of the last layers.
 func fourStages() *backend.Group {
 	service := twoCopies().Service()
 	var servers []*backend.Server
@@ -243,8 +246,8 @@
 	return backend.NewGroup(service, servers)
 }
 
-// TestAServerThatDiedJustAfterProgressIsFoundByTheNextDiagnosis moves another stream through the server that is to die a
-// moment before the first look.
+// TestAServerThatDiedJustAfterProgressIsFoundByTheNextDiagnosis has another stream make progress through the dying server a
+// moment before the first diagnosis.
 func TestAServerThatDiedJustAfterProgressIsFoundByTheNextDiagnosis(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g, 1)
@@ -253,13 +256,13 @@
 	flying(h, g, "last", 130*time.Millisecond, 2, 1)
 	clock.Advance(140 * time.Millisecond)
 	h.watch.look(t.Context(), still.first, g, []*inflight{still})
-	require.Empty(t, e.repairs, "it looks sound")
+	require.Empty(t, e.repairs, "the dead server looks healthy")
 	clock.Advance(diagnosePeriod)
 	h.watch.look(t.Context(), still.first, g, []*inflight{still})
 	require.Len(t, e.repairs, 2)
 }
 
-// TestADiagnosisDoesNotWaitForAHangingCall lets the questions to a dark server hang for as long as the test runs, as calls do that
+// TestADiagnosisDoesNotWaitForAHangingCall has the queries to a server hang for as long as the test runs, as calls do that
 // cannot open a connection.
 func TestADiagnosisDoesNotWaitForAHangingCall(t *testing.T) {
 	g := twoCopies()
@@ -286,8 +289,8 @@
 	require.Len(t, e.repairs["still"], 2)
 }
 
-// TestAServerIsReplacedOnceItsEntryNamesOtherLayers lets the entry of a server tell that it holds other layers now, although it was
-// not asked.
+// TestAServerIsReplacedOnceItsEntryNamesOtherLayers has the entry of a server name other layers although the server was not
+// queried.
 func TestAServerIsReplacedOnceItsEntryNamesOtherLayers(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
@@ -302,8 +305,8 @@
 	require.Len(t, e.repairs["still"], 2)
 }
 
-// TestAReportOlderThanTheEntryIsIgnored lets a server have loaded its layers a moment ago: its entry tells, its report does
-// not yet.
+// TestAReportOlderThanTheEntryIsIgnored has a server that loaded its layers a moment ago: its entry names them already, its
+// report does not yet.
 func TestAReportOlderThanTheEntryIsIgnored(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
@@ -319,10 +322,11 @@
 	require.True(t, loaded.Usable(clock.Now()))
 	clock.Advance(time.Second)
 	h.watch.look(t.Context(), still.first, g, []*inflight{still})
-	require.Len(t, e.repairs["still"], 2, "a report of a second later tells the truth")
+	require.Len(t, e.repairs["still"], 2, "a report of a second later is newer than the entry")
 }
 
-// TestProgressingStreamsStayOnAServerWithoutAnEntry lets a server leave without a word while one of two streams through it stands still.
+// TestProgressingStreamsStayOnAServerWithoutAnEntry has a server leave without notice while one of two streams through it is
+// stalled.
 func TestProgressingStreamsStayOnAServerWithoutAnEntry(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
@@ -333,10 +337,10 @@
 	g.Servers()[1].Remove()
 	h.watch.look(t.Context(), still.first, g, []*inflight{still})
 	require.Len(t, e.repairs["still"], 2)
-	require.NotContains(t, e.repairs, "moving", "it leaves in its turn")
+	require.NotContains(t, e.repairs, "moving", "it is evacuated later")
 }
 
-// TestARepairAlsoReplacesTheServerNamedInItsRefusal lets a second part of the path have given its layers up without a word.
+// TestARepairAlsoReplacesTheServerNamedInItsRefusal has a second server of the path drop its layers without notice.
 func TestARepairAlsoReplacesTheServerNamedInItsRefusal(t *testing.T) {
 	g := twoCopies()
 	service := g.Service()
@@ -360,7 +364,8 @@
 	require.Equal(t, servers[4].Addr(), e.repairs["still"][2].Addr)
 }
 
-// TestAStreamForgottenByItsServerIsResumedElsewhere lets two streams wait for their first events; the server knows one of them.
+// TestAStreamForgottenByItsServerIsResumedElsewhere has two streams wait for their first events; the server knows only one of
+// them.
 func TestAStreamForgottenByItsServerIsResumedElsewhere(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
@@ -378,6 +383,6 @@
 	}
 	clock.Advance(time.Second)
 	h.watch.look(t.Context(), g.Servers()[0], g, streams)
-	require.Error(t, conns["forgotten"].SetDeadline(time.Time{}), "its connection is closed, so that it goes on elsewhere")
+	require.Error(t, conns["forgotten"].SetDeadline(time.Time{}), "its connection is closed, so that it is resumed elsewhere")
 	require.NoError(t, conns["queued"].SetDeadline(time.Time{}))
 }
