--- a/forward/evacuate.go
+++ b/forward/evacuate.go
@@ -26,7 +26,7 @@
 	// maxBacklogRounds bounds the backlog that gathers while there is no other path, in rounds: streams that are moved
 	// together are also read together by their new servers.
 	maxBacklogRounds = 4
-	// mostTries bounds the streams for which one round searches for another path, since each search goes through all servers.
+	// mostTries bounds the streams for which one round searches for another path: each search goes through all servers.
 	mostTries = 16
 )
 
--- a/forward/handover_test.go
+++ b/forward/handover_test.go
@@ -16,7 +16,7 @@
 // spotNotice is the shortest notice that servers give before they end.
 const spotNotice = 2 * time.Second
 
-// connected returns a stream like flying, with a connection to its first server, and that connection.
+// connected returns a stream under way along a path, with a connection to its first server, and that connection.
 func connected(t *testing.T, h *Handler, g *backend.Group, id string, path ...int) (*inflight, net.Conn) {
 	f := flying(h, g, id, 0, path...)
 	ours, theirs := net.Pipe()
@@ -33,8 +33,8 @@
 	s.NoteLeaving(clock.Now())
 }
 
-// TestAStreamIsHandedOverBeforeItsFirstStageEnds has the first server of a stream leave, with and without notice.
-func TestAStreamIsHandedOverBeforeItsFirstStageEnds(t *testing.T) {
+// TestAStreamIsHandedOverBeforeItsFirstServerEnds has the first server of a stream leave, with and without notice.
+func TestAStreamIsHandedOverBeforeItsFirstServerEnds(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		g := twoCopies()
 		h, clock := testHandler(t, newEngines(g))
@@ -170,8 +170,8 @@
 	require.Zero(t, h.watch.count(), "all are handed over before the drain is over")
 }
 
-// TestASilentFirstStageIsLeftOnlyForAnotherPath has a first server answer no query while its connections are open.
-func TestASilentFirstStageIsLeftOnlyForAnotherPath(t *testing.T) {
+// TestASilentFirstServerIsLeftOnlyForAnotherPath has a first server answer no query while its connections are open.
+func TestASilentFirstServerIsLeftOnlyForAnotherPath(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	_, conn := connected(t, h, g, "one", 0, 1)
--- a/forward/race_test.go
+++ b/forward/race_test.go
@@ -10,9 +10,9 @@
 	"junctioncross/backend"
 )
 
-// TestASilentFirstStageIsHandledWhileItsStreamIsResent guards, under the race detector, against data races between giveUp and
-// the attempts of a stream.
-func TestASilentFirstStageIsHandledWhileItsStreamIsResent(t *testing.T) {
+// TestASilentFirstServerIsHandledWhileItsStreamIsResent guards, under the race detector, against data races between the
+// attempts of a stream and the handling of its first server as silent.
+func TestASilentFirstServerIsHandledWhileItsStreamIsResent(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	f, _ := connected(t, h, g, "one", 0, 1)
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -14,7 +14,8 @@
 	"junctioncross/retry"
 )
 
-// begun returns a stream that has begun on some servers of a group; its route lets at most attempts servers run one request.
+// begun returns a stream whose answer started on some servers of a group; its route lets at most attempts servers run one
+// request.
 func begun(g *backend.Group, attempts int, ran ...int) *inflight {
 	route := &catalog.Route{PauseObjective: 200 * time.Millisecond, Timeout: time.Minute, MaxAttempts: attempts}
 	f := &inflight{r: &request{x: &front.Exchange{}, group: g, route: route}}
--- a/forward/state.go
+++ b/forward/state.go
@@ -41,7 +41,7 @@
 	servers []*backend.Server
 	engine  *catalog.Engine
 	now     time.Time
-	// factor is the load ratio.
+	// factor is the estimated ratio of all work on the servers to the work of this instance.
 	factor float64
 	// instances is the number of instances that share the rate limits of the servers.
 	instances int
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -65,7 +65,7 @@
 }
 
 // mayContinue reports whether another attempt follows one with this outcome. A stream that has begun is resumed for as long
-// as its caller waits, unless it must not run again; awaitOnward finds out what it has to wait for.
+// as its caller waits, unless it must not run again; the search for its next path finds out what it has to wait for.
 func (h *Handler) mayContinue(f *inflight, last outcome, attempt int) bool {
 	if _, ok := last.(handedOver); ok {
 		return true
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -255,6 +255,6 @@
 // startsAt reports whether a stream is under way and still has the given first server: it may have been resumed elsewhere
 // meanwhile. The caller holds the lock.
 func (w *watcher) startsAt(f *inflight, first *backend.Server) bool {
-	_, flying := w.streams[f]
-	return flying && f.first == first
+	_, active := w.streams[f]
+	return active && f.first == first
 }
--- a/forward/watch_test.go
+++ b/forward/watch_test.go
@@ -123,9 +123,9 @@
 	return h
 }
 
-// TestAResumedStreamIsNotCutForItsFormerFirstStage guards against closing the connection of a stream that was resumed on
+// TestAResumedStreamIsNotCutForItsFormerFirstServer guards against closing the connection of a stream that was resumed on
 // another server between the diagnosis of its first server and the finding that this server is dead.
-func TestAResumedStreamIsNotCutForItsFormerFirstStage(t *testing.T) {
+func TestAResumedStreamIsNotCutForItsFormerFirstServer(t *testing.T) {
 	h, _ := testHandler(t, nil)
 	servers := twoCopies().Servers()
 	ours, theirs := net.Pipe()
@@ -192,9 +192,9 @@
 	require.Len(t, e.repairs["still"], 4, "repaired with the other holder of the last layers")
 }
 
-// TestAStreamIsRepairedAfterItsFirstStageLostItsEntry has the first server leave without notice and keep working, and the
+// TestAStreamIsRepairedAfterItsFirstServerLostItsEntry has the first server leave without notice and keep working, and the
 // second one die.
-func TestAStreamIsRepairedAfterItsFirstStageLostItsEntry(t *testing.T) {
+func TestAStreamIsRepairedAfterItsFirstServerLostItsEntry(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g, 1)
 	h, clock := testHandler(t, e)
