--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// wholeBody bounds the body of a plain answer that is held until it is whole.
-	wholeBody = 8 << 20
-	// strayAnswers is the number of answers to other requests that are read away before a connection is given up.
-	strayAnswers = 2
+	// maxPlainBody bounds the body of a plain answer that is held until it is whole.
+	maxPlainBody = 8 << 20
+	// maxStrayAnswers is the number of answers to other requests that are read away before a connection is given up.
+	maxStrayAnswers = 2
 )
 
 // Errors of one exchange with a server.
@@ -39,8 +39,8 @@
 	at   time.Time
 	head fasthttp.ResponseHeader
 	info call.Answer
-	// release stops the watch over the caller's leaving.
-	release func() bool
+	// stopWatching stops the watch over the caller's leaving.
+	stopWatching func() bool
 }
 
 // connect opens a connection for a request, or says why nothing may be sent to the server.
@@ -76,13 +76,13 @@
 	}
 	out := &sent{server: server, conn: conn, at: h.clock.Now()}
 	// Closing is what tells a server to stop; it also ends the read below.
-	closed := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	// A server that has started again knows nothing of what it was sent before: that is lost at once, not after a time-out.
-	lost := context.AfterFunc(server.Over(), func() { _ = conn.Close() })
-	out.release = func() bool {
+	stopCancel := context.AfterFunc(ctx, func() { _ = conn.Close() })
+	// A server that has started again knows nothing of what it was sent before: that is stopRestart at once, not after a time-out.
+	stopRestart := context.AfterFunc(server.Over(), func() { _ = conn.Close() })
+	out.stopWatching = func() bool {
 		// Both must be told, whatever the first answers.
-		standing, waited := lost(), closed()
-		return standing && waited
+		notRestarted, notCancelled := stopRestart(), stopCancel()
+		return notRestarted && notCancelled
 	}
 	s.Target, s.Account, s.BodyBytes = server.ID(), r.account, -1
 	s.Remaining = r.deadline.Sub(h.clock.Now())
@@ -102,12 +102,12 @@
 
 // receive reads the head of the answer, past answers that belong to other requests.
 func (h *Handler) receive(r *request, s *sent) error {
-	for range strayAnswers + 1 {
+	for range maxStrayAnswers + 1 {
 		if err := s.head.Read(s.conn.Reader); err != nil {
 			return errors.Wrap(err, "forward: read answer")
 		}
 		s.info = h.codec.ReadAnswer(&s.head)
-		h.heed(r.meta.ID, s.server, s.info.Notice)
+		h.applyNotice(r.meta.ID, s.server, s.info.Notice)
 		if s.info.RequestID == "" || s.info.RequestID == r.meta.ID {
 			if s.info.Status != fasthttp.StatusMisdirectedRequest {
 				h.noteLimit(r.meta.ID, s.server, s.info.Limit, s.at)
@@ -125,7 +125,7 @@
 // readWhole reads the body of an answer; the error means that it is not whole.
 func readWhole(s *sent) ([]byte, error) {
 	switch length := s.head.ContentLength(); {
-	case length > wholeBody:
+	case length > maxPlainBody:
 		return nil, errMalformed
 	case length >= 0:
 		body := make([]byte, length)
@@ -143,8 +143,8 @@
 }
 
 func readLimited(from io.Reader) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(from, wholeBody+1))
-	if err == nil && len(body) > wholeBody {
+	body, err := io.ReadAll(io.LimitReader(from, maxPlainBody+1))
+	if err == nil && len(body) > maxPlainBody {
 		err = errMalformed
 	}
 	return body, err
@@ -167,8 +167,8 @@
 
 // finish keeps the connection of an answer that was read whole, or closes it.
 func (h *Handler) finish(s *sent, whole bool) {
-	watching := s.release()
-	if !whole || !watching || !s.framed() || s.info.Closing {
+	untouched := s.stopWatching()
+	if !whole || !untouched || !s.framed() || s.info.Closing {
 		_ = s.conn.Close()
 		return
 	}
--- a/forward/ask.go
+++ b/forward/findings.go
@@ -17,8 +17,8 @@
 	// secondQuestion is how long after the first question to a part it is asked again, on another connection, so that one lost
 	// packet does not make a sound server look dead.
 	secondQuestion = 25 * time.Millisecond
-	// answerLimit is how long both may take: many times what an answer takes in the same building.
-	answerLimit = 75 * time.Millisecond
+	// queriesTimeout is how long both may take: many times what an answer takes in the same building.
+	queriesTimeout = 75 * time.Millisecond
 )
 
 // findings is what a look at some servers found.
@@ -40,16 +40,16 @@
 	var all sync.WaitGroup
 	for s := range servers {
 		if s == first || s.MayAsk(found.now) {
-			all.Go(func() { w.askOne(ctx, found, s, group, s == first) })
+			all.Go(func() { w.queryOne(ctx, found, s, group, s == first) })
 		}
 	}
 	all.Wait()
 	return found
 }
 
-func (w *watcher) askOne(ctx context.Context, found *findings, s *backend.Server, group *backend.Group, first bool) {
+func (w *watcher) queryOne(ctx context.Context, found *findings, s *backend.Server, group *backend.Group, first bool) {
 	h := w.handler
-	report, err := w.questions(ctx, s)
+	report, err := w.queryTwice(ctx, s)
 	h.believe(s, report, err, "slow stream")
 	if errors.Is(err, backend.ErrGarbled) {
 		return
@@ -58,7 +58,7 @@
 		found.add(s)
 		return
 	}
-	if h.tellsLayers(s) {
+	if h.reportsNewerLayers(s) {
 		found.mu.Lock()
 		found.holds[s] = report.Layers
 		found.mu.Unlock()
@@ -75,31 +75,31 @@
 	}
 }
 
-// answered is what one question brought.
-type answered struct {
+// queryResult is what one question brought.
+type queryResult struct {
 	report backend.Report
 	err    error
 }
 
-// questions asks a server, a second time when the first question stays open, and returns the first answer.
-func (w *watcher) questions(ctx context.Context, s *backend.Server) (backend.Report, error) {
+// queryTwice asks a server, a second time when the first question stays open, and returns the first answer.
+func (w *watcher) queryTwice(ctx context.Context, s *backend.Server) (backend.Report, error) {
 	h := w.handler
-	ctx, cancel := context.WithTimeout(ctx, answerLimit)
+	ctx, cancel := context.WithTimeout(ctx, queriesTimeout)
 	defer cancel()
 	// A call may outlast its context while it opens a connection; the answer is not waited for then.
-	answers := make(chan answered, 2)
-	ask := func() {
+	answers := make(chan queryResult, 2)
+	query := func() {
 		h.stats.Counter("inquiries_total{reason=\"slow stream\"}").Inc(1)
 		report, err := h.caller.Report(ctx, s.Addr())
-		answers <- answered{report, err}
+		answers <- queryResult{report, err}
 	}
-	go ask()
+	go query()
 	select {
 	case a := <-answers:
 		return a.report, a.err
 	case <-h.clock.After(secondQuestion):
 	}
-	go ask()
+	go query()
 	for range 2 {
 		select {
 		case a := <-answers:
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -63,10 +63,10 @@
 	census Instances
 	watch  *watcher
 	budget *retry.Budget
-	// repeatsTold and lanesTold bound the lines on the repeats and the lanes of each service.
-	repeatsTold, lanesTold told
-	ends                   *quarantine.Book
-	teller                 Teller
+	// retryLog and lanesTold bound the lines on the repeats and the lanes of each service.
+	retryLog, lanesTold logLimiter
+	ends                *quarantine.Book
+	publisher           Teller
 
 	mu     sync.Mutex
 	lanes  map[string]*laneBook
@@ -81,11 +81,11 @@
 // New returns a Handler and starts to look for streams that stand still and to ask servers for their memory; it stops when ctx ends.
 func New(
 	ctx context.Context, terms Terms, board *follow.Board, codec call.Codec, caller backend.Caller, clock *timer.Service,
-	stats *metrics.Registry, record *decision.Recorder, instances Instances, ends *quarantine.Book, teller Teller,
+	stats *metrics.Registry, record *decision.Recorder, instances Instances, ends *quarantine.Book, publisher Teller,
 ) *Handler {
 	h := &Handler{
 		board: board, codec: codec, caller: caller, clock: clock, stats: stats, record: record, census: instances,
-		ends: ends, teller: teller,
+		ends: ends, publisher: publisher,
 		budget: retry.NewBudget(terms.Repeats, clock.Now()),
 		lanes:  map[string]*laneBook{}, queues: map[string]*queue{}, waits: waits{},
 		peers: peers{factor: peersAtFirst},
@@ -165,7 +165,7 @@
 
 // accept finds route, account and servers, or answers with the reason why not.
 func (h *Handler) accept(ctx context.Context, r *request) bool {
-	snapshot := h.awaitNews(ctx)
+	snapshot := h.awaitSnapshot(ctx)
 	c := snapshot.Catalog()
 	if c == nil {
 		h.refuse(r, models.ReasonNoConfiguration, soon)
--- a/forward/incarnation_test.go
+++ b/forward/incarnation_test.go
@@ -11,20 +11,20 @@
 	"junctioncross/models"
 )
 
-// TestARequestAtAServerThatStartsAgainIsLostAtOnce lets a silent server be known to have started again: its caller is told at once, not when
+// TestARequestAtARestartedServerFailsAtOnce lets a silent server be known to have started again: its caller is told at once, not when
 // its time is over.
-func TestARequestAtAServerThatStartsAgainIsLostAtOnce(t *testing.T) {
-	d := newDesk(t, "1", nil)
-	s := plainFront(t, onceRoute(), d)
+func TestARequestAtARestartedServerFailsAtOnce(t *testing.T) {
+	ts := newTestServer(t, "1", nil)
+	s := plainFront(t, onceRoute(), ts)
 	c := callFront(t, s, "one")
-	require.Eventually(t, func() bool { return asked([]*desk{d}) == 1 }, soonEnough, time.Millisecond)
-	d.server.Finish()
-	require.Equal(t, http.StatusBadGateway, statusAt(t, c))
-	require.Eventually(t, func() bool { return ended([]*desk{d}) == 1 }, soonEnough, time.Millisecond)
+	require.Eventually(t, func() bool { return requestCount([]*testServer{ts}) == 1 }, soonEnough, time.Millisecond)
+	ts.server.Finish()
+	require.Equal(t, http.StatusBadGateway, readStatus(t, c))
+	require.Eventually(t, func() bool { return closedCount([]*testServer{ts}) == 1 }, soonEnough, time.Millisecond)
 }
 
-// TestTheReportOfAnotherStartIsNotBelieved tells a handler what starts before and after the known one say.
-func TestTheReportOfAnotherStartIsNotBelieved(t *testing.T) {
+// TestTheReportOfAnotherIncarnationIsNotApplied tells a handler what starts before and after the known one say.
+func TestTheReportOfAnotherIncarnationIsNotApplied(t *testing.T) {
 	h, clock := testHandler(t, newEngines(twoCopies()))
 	server := backend.NewServer(backend.Entry{ID: "a", Service: "s", Addr: "127.0.0.1:1", Layers: models.Layers{End: 4}, Born: 2000})
 	before := backend.Report{Born: 1000, Pace: 4, Used: 10, Total: 10}
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -14,31 +14,31 @@
 	"junctioncross/platform/fake"
 )
 
-// TestARequestThatHasNoTurnAtAnyServerIsRefusedAtOnce lets the only server take one request in ten seconds.
-func TestARequestThatHasNoTurnAtAnyServerIsRefusedAtOnce(t *testing.T) {
-	d := newDesk(t, "1", sealed)
-	s := plainFront(t, repeatRoute(), d)
+// TestARequestBeyondAllServerRateLimitsIsRefusedAtOnce lets the only server take one request in ten seconds.
+func TestARequestBeyondAllServerRateLimitsIsRefusedAtOnce(t *testing.T) {
+	ts := newTestServer(t, "1", sealed)
+	s := plainFront(t, retryRoute(), ts)
 	now := time.Now()
-	d.server.NameLimit(call.Limit{Named: true, PerSecond: 0.1}, now, now)
+	ts.server.NameLimit(call.Limit{Named: true, PerSecond: 0.1}, now, now)
 	begun := time.Now()
 	for n := range 3 {
-		code, after := retryAfterAt(t, callFront(t, s, strconv.Itoa(n)))
+		code, after := readRetryAfter(t, callFront(t, s, strconv.Itoa(n)))
 		require.Equal(t, http.StatusServiceUnavailable, code)
 		require.Greater(t, after, 2*time.Second)
 	}
 	require.Less(t, time.Since(begun), soonEnough)
-	require.Zero(t, asked([]*desk{d}))
+	require.Zero(t, requestCount([]*testServer{ts}))
 }
 
-// TestAServerAtItsLimitLeavesItsRequestsToOthers lets one of two servers name a limit with its first answer.
-func TestAServerAtItsLimitLeavesItsRequestsToOthers(t *testing.T) {
-	limited := newDesk(t, "limited", func(c net.Conn, _ int) {
+// TestRequestsAvoidAServerAtItsRateLimit lets one of two servers name a limit with its first answer.
+func TestRequestsAvoidAServerAtItsRateLimit(t *testing.T) {
+	limited := newTestServer(t, "limited", func(c net.Conn, _ int) {
 		_, _ = io.WriteString(c, fake.PlainLimit("0.1"))
 	})
-	other := newDesk(t, "other", sealed)
-	s := plainFront(t, repeatRoute(), limited, other)
+	other := newTestServer(t, "other", sealed)
+	s := plainFront(t, retryRoute(), limited, other)
 	for n := range 40 {
-		require.Equal(t, http.StatusOK, statusAt(t, callFront(t, s, strconv.Itoa(n))))
+		require.Equal(t, http.StatusOK, readStatus(t, callFront(t, s, strconv.Itoa(n))))
 	}
-	require.Equal(t, 1, asked([]*desk{limited}))
+	require.Equal(t, 1, requestCount([]*testServer{limited}))
 }
--- a/forward/outside_test.go
+++ b/forward/newserver_test.go
@@ -9,9 +9,9 @@
 	"junctioncross/backend"
 )
 
-// TestAPathMayPassAServerThatTheGroupOfALookDoesNotHaveYet lets a look begin, a server appear and take a stream, and only then the look
+// TestARepairKeepsAServerThatIsNewerThanTheCheckedGroup lets a look begin, a server appear and take a stream, and only then the look
 // find that another part of that stream's path is dead.
-func TestAPathMayPassAServerThatTheGroupOfALookDoesNotHaveYet(t *testing.T) {
+func TestARepairKeepsAServerThatIsNewerThanTheCheckedGroup(t *testing.T) {
 	now := fourStages()
 	servers := now.Servers()
 	before := backend.NewGroup(now.Service(), []*backend.Server{servers[0], servers[2], servers[3], servers[4]})
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// backOffSpread is the random part by which a server is left alone for longer than it asked, so that all instances that it turned away at
+	// backOffJitter is the random part by which a server is left alone for longer than it asked, so that all instances that it turned away at
 	// the same time do not return in the same moment.
-	backOffSpread = 0.1
-	// leastBackOff is how long a server that turned a request away is left alone at least, however little it asks for: what it has to do does
+	backOffJitter = 0.1
+	// minBackOff is how long a server that turned a request away is left alone at least, however little it asks for: what it has to do does
 	// not change sooner.
-	leastBackOff = 250 * time.Millisecond
+	minBackOff = 250 * time.Millisecond
 )
 
-// heed takes over what a server says of itself in the head of an answer, whatever becomes of the request: each holds from the first answer on
+// applyNotice takes over what a server says of itself in the head of an answer, whatever becomes of the request: each holds from the first answer on
 // that says so, while the server's entry may say otherwise for seconds.
-func (h *Handler) heed(request string, server *backend.Server, n call.Notice) {
+func (h *Handler) applyNotice(request string, server *backend.Server, n call.Notice) {
 	if n.Leaving {
-		h.farewell(request, server)
+		h.noteLeaving(request, server)
 	}
 	if n.RetryAfter > 0 {
 		h.backOff(request, server, n.RetryAfter)
 	}
 }
 
-// farewell keeps new work away from a server that says that it leaves; what it runs goes on elsewhere in time.
-func (h *Handler) farewell(request string, server *backend.Server) {
+// noteLeaving keeps new work away from a server that says that it leaves; what it runs goes on elsewhere in time.
+func (h *Handler) noteLeaving(request string, server *backend.Server) {
 	if !server.SayFarewell(h.clock.Now()) {
 		return
 	}
@@ -41,8 +41,8 @@
 // backOff leaves a server alone for as long as it asked. That counts for this instance and this start of the server only, and says nothing of
 // its health.
 func (h *Handler) backOff(request string, server *backend.Server, asked time.Duration) {
-	after := max(min(asked, h.terms.Load().LongestBackOff), leastBackOff)
-	after += time.Duration(rand.Float64() * backOffSpread * float64(after))
+	after := max(min(asked, h.terms.Load().LongestBackOff), minBackOff)
+	after += time.Duration(rand.Float64() * backOffJitter * float64(after))
 	now := h.clock.Now()
 	again := server.BackedOff(now)
 	server.BackOff(now.Add(after))
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -20,13 +20,13 @@
 	"junctioncross/timer"
 )
 
-// turningAway answers that the request was not run and when to come back, if there is a text for that.
-func turningAway(retryAfter string) func(net.Conn, int) {
+// refusing answers that the request was not run and when to come back, if there is a text for that.
+func refusing(retryAfter string) func(net.Conn, int) {
 	return func(c net.Conn, _ int) { _, _ = io.WriteString(c, fake.PlainRefusal(retryAfter)) }
 }
 
-// retryAfterAt returns the status of the next answer and when its caller is to come back.
-func retryAfterAt(t *testing.T, c net.Conn) (status int, after time.Duration) {
+// readRetryAfter returns the status of the next answer and when its caller is to come back.
+func readRetryAfter(t *testing.T, c net.Conn) (status int, after time.Duration) {
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(soonEnough)))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
@@ -36,82 +36,82 @@
 	return resp.StatusCode, time.Duration(seconds * float64(time.Second))
 }
 
-func repeatRoute() *catalog.Route {
+func retryRoute() *catalog.Route {
 	return &catalog.Route{Name: "r", Repeat: catalog.RepeatAlways, MaxAttempts: 2, Timeout: time.Hour, Objective: time.Hour}
 }
 
-// TestAServerIsLeftAloneForAsLongAsItAsks lets one of two servers want nothing for 20 s; the requests that come meanwhile go to the other one.
-func TestAServerIsLeftAloneForAsLongAsItAsks(t *testing.T) {
-	busy, other := newDesk(t, "busy", turningAway("20")), newDesk(t, "other", sealed)
-	s := plainFront(t, repeatRoute(), busy, other)
+// TestAServerGetsNoRequestsDuringItsBackOff lets one of two servers want nothing for 20 s; the requests that come meanwhile go to the other one.
+func TestAServerGetsNoRequestsDuringItsBackOff(t *testing.T) {
+	busy, other := newTestServer(t, "busy", refusing("20")), newTestServer(t, "other", sealed)
+	s := plainFront(t, retryRoute(), busy, other)
 	for n := range 40 {
-		require.Equal(t, http.StatusOK, statusAt(t, callFront(t, s, strconv.Itoa(n))))
+		require.Equal(t, http.StatusOK, readStatus(t, callFront(t, s, strconv.Itoa(n))))
 	}
-	require.Equal(t, 1, asked([]*desk{busy}))
+	require.Equal(t, 1, requestCount([]*testServer{busy}))
 	now := time.Now()
 	require.True(t, busy.server.BackedOff(now.Add(19*time.Second)))
 	require.True(t, busy.server.Usable(now.Add(23*time.Second)), "no circuit has opened, and nothing else keeps work away")
 }
 
-// TestCallersAreToldToComeBackWhenTheFirstServerTakesWork lets all servers want nothing, for 20 and 40 s.
-func TestCallersAreToldToComeBackWhenTheFirstServerTakesWork(t *testing.T) {
-	desks := []*desk{newDesk(t, "1", turningAway("40")), newDesk(t, "2", turningAway("20"))}
-	s := plainFront(t, repeatRoute(), desks...)
+// TestRetryAfterIsTheEndOfTheShortestBackOff lets all servers want nothing, for 20 and 40 s.
+func TestRetryAfterIsTheEndOfTheShortestBackOff(t *testing.T) {
+	servers := []*testServer{newTestServer(t, "1", refusing("40")), newTestServer(t, "2", refusing("20"))}
+	s := plainFront(t, retryRoute(), servers...)
 	for n := range 10 {
-		code, after := retryAfterAt(t, callFront(t, s, strconv.Itoa(n)))
+		code, after := readRetryAfter(t, callFront(t, s, strconv.Itoa(n)))
 		require.Equal(t, http.StatusServiceUnavailable, code)
 		require.Greater(t, after, 19*time.Second)
 		require.Less(t, after, 40*time.Second)
 	}
-	require.Equal(t, 2, asked(desks), "each was asked once")
+	require.Equal(t, 2, requestCount(servers), "each was asked once")
 }
 
-// TestRequestsChosenBeforeAServerAskedForNothingDoNotReachIt lets a server ask for nothing while requests that have chosen it open their
+// TestABackOffAlsoHoldsForRequestsThatHaveChosenTheServer lets a server ask for nothing while requests that have chosen it open their
 // connections.
-func TestRequestsChosenBeforeAServerAskedForNothingDoNotReachIt(t *testing.T) {
-	d := newDesk(t, "1", sealed)
+func TestABackOffAlsoHoldsForRequestsThatHaveChosenTheServer(t *testing.T) {
+	ts := newTestServer(t, "1", sealed)
 	h := plainHandler(t, timer.NewReal())
-	d.server.BackOff(time.Now().Add(time.Hour))
+	ts.server.BackOff(time.Now().Add(time.Hour))
 	var all sync.WaitGroup
 	for range 20 {
 		all.Go(func() {
-			conn, err := h.connect(t.Context(), d.server, false)
+			conn, err := h.connect(t.Context(), ts.server, false)
 			if !errors.Is(err, errBackedOff) {
 				t.Errorf("connected to a server that wants nothing: %v, %v", conn, err)
 			}
 		})
 	}
 	all.Wait()
-	require.Zero(t, asked([]*desk{d}))
+	require.Zero(t, requestCount([]*testServer{ts}))
 }
 
-// TestATimeThatNoServerShouldAskForIsBounded lets servers ask for none, next to none and a very long time.
-func TestATimeThatNoServerShouldAskForIsBounded(t *testing.T) {
-	for retryAfter, want := range map[string]time.Duration{"1000000000000": time.Hour, "0.001": leastBackOff, "0": 0, "": 0} {
-		d := newDesk(t, "1", turningAway(retryAfter))
-		s := plainFront(t, repeatRoute(), d)
+// TestBackOffTimesAreBounded lets servers ask for none, next to none and a very long time.
+func TestBackOffTimesAreBounded(t *testing.T) {
+	for retryAfter, want := range map[string]time.Duration{"1000000000000": time.Hour, "0.001": minBackOff, "0": 0, "": 0} {
+		ts := newTestServer(t, "1", refusing(retryAfter))
+		s := plainFront(t, retryRoute(), ts)
 		before := time.Now()
-		require.Equal(t, http.StatusServiceUnavailable, statusAt(t, callFront(t, s, "one")))
+		require.Equal(t, http.StatusServiceUnavailable, readStatus(t, callFront(t, s, "one")))
 		after := time.Now()
 		if want == 0 {
-			require.False(t, d.server.BackedOff(before), retryAfter)
+			require.False(t, ts.server.BackedOff(before), retryAfter)
 			continue
 		}
-		require.True(t, d.server.BackedOff(before.Add(want-time.Millisecond)), retryAfter)
-		require.False(t, d.server.BackedOff(after.Add(want+time.Duration(backOffSpread*float64(want)))), retryAfter)
+		require.True(t, ts.server.BackedOff(before.Add(want-time.Millisecond)), retryAfter)
+		require.False(t, ts.server.BackedOff(after.Add(want+time.Duration(backOffJitter*float64(want)))), retryAfter)
 	}
 }
 
-// TestAServerThatSaysFarewellInAnyAnswerLeaves lets servers say so in a success, a failure and a refusal, and in a report.
-func TestAServerThatSaysFarewellInAnyAnswerLeaves(t *testing.T) {
+// TestALeaveNoticeInAnyAnswerMarksTheServerAsLeaving lets servers say so in a success, a failure and a refusal, and in a report.
+func TestALeaveNoticeInAnyAnswerMarksTheServerAsLeaving(t *testing.T) {
 	for _, status := range []string{"200 OK", "500 Internal Server Error", "503 Service Unavailable", "421 Misdirected Request"} {
-		d := newDesk(t, "1", func(c net.Conn, _ int) {
+		ts := newTestServer(t, "1", func(c net.Conn, _ int) {
 			_, _ = io.WriteString(c, fake.PlainFarewell(status))
 		})
-		s := plainFront(t, repeatRoute(), d)
-		statusAt(t, callFront(t, s, "one"))
-		require.True(t, d.server.Leaving(), status)
-		require.NotZero(t, d.server.LeavingFor(time.Now().Add(time.Second)), status)
+		s := plainFront(t, retryRoute(), ts)
+		readStatus(t, callFront(t, s, "one"))
+		require.True(t, ts.server.Leaving(), status)
+		require.NotZero(t, ts.server.LeavingFor(time.Now().Add(time.Second)), status)
 	}
 	h, clock := testHandler(t, nil)
 	server := twoCopies().Servers()[0]
@@ -120,8 +120,8 @@
 	require.Equal(t, time.Duration(0), server.LeavingFor(clock.Now()))
 }
 
-// TestAServerThatWantsNoQuestionsIsNotTakenAsGone lets a server turn the question for its state away.
-func TestAServerThatWantsNoQuestionsIsNotTakenAsGone(t *testing.T) {
+// TestARefusedStateQueryDoesNotMarkTheServerAsSilent lets a server turn the question for its state away.
+func TestARefusedStateQueryDoesNotMarkTheServerAsSilent(t *testing.T) {
 	h, clock := testHandler(t, newEngines(twoCopies()))
 	terms := *h.terms.Load()
 	terms.LongestBackOff = time.Hour
@@ -130,13 +130,13 @@
 	h.believe(server, backend.Report{Notice: call.Notice{RetryAfter: 3 * time.Second}}, backend.ErrRefused, "test")
 	require.False(t, server.Suspected(clock.Now()))
 	require.True(t, server.BackedOff(clock.Now()))
-	h.inquire(server, whyMemory)
-	require.Zero(t, h.stats.Counter("inquiries_total{reason=\""+whyMemory+"\"}").Count(), "it is not asked again meanwhile")
+	h.inquire(server, reasonMemory)
+	require.Zero(t, h.stats.Counter("inquiries_total{reason=\""+reasonMemory+"\"}").Count(), "it is not asked again meanwhile")
 }
 
-// TestAServiceReturnsWithTheServersThatItNeeds lets servers of two copies of a model want nothing: there is a path again once one holder of
+// TestAServiceReturnsOnceBackedOffServersFormALane lets servers of two copies of a model want nothing: there is a path again once one holder of
 // each half has returned.
-func TestAServiceReturnsWithTheServersThatItNeeds(t *testing.T) {
+func TestAServiceReturnsOnceBackedOffServersFormALane(t *testing.T) {
 	now := time.Unix(100, 0)
 	in := func(seconds ...int) *backend.Group {
 		g := twoCopies()
@@ -172,9 +172,9 @@
 	require.False(t, known, "those that are left cannot make a path")
 }
 
-// TestAReturnIsWorkedOutAnewWhenOtherServersChange lets both holders of the first half want nothing, and the holders of the other half, which
+// TestReturnTimeIsRecomputedWhenOtherServersChange lets both holders of the first half want nothing, and the holders of the other half, which
 // have asked for nothing, get no more work: the first half's return makes no path any more.
-func TestAReturnIsWorkedOutAnewWhenOtherServersChange(t *testing.T) {
+func TestReturnTimeIsRecomputedWhenOtherServersChange(t *testing.T) {
 	now, g := time.Unix(100, 0), twoCopies()
 	servers := g.Servers()
 	servers[0].BackOff(now.Add(3 * time.Second))
--- a/forward/plain.go
+++ b/forward/plain.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// impatience is how many times its objective a request that may be repeated is left with a server that is silent.
-	impatience = 2
-	// loadAge is how old a server's word on its work may be to count.
-	loadAge = 500 * time.Millisecond
-	// farCost keeps requests in their own domain while its server is not busier by so many of its slots.
-	farCost = 0.3
-	// failCost is what a server that fails all its requests counts beside its work.
-	failCost = 4.0
+	// silenceFactor is how many times its objective a request that may be repeated is left with a server that is silent.
+	silenceFactor = 2
+	// maxLoadAge is how old a server's word on its work may be to count.
+	maxLoadAge = 500 * time.Millisecond
+	// otherDomainCost keeps requests in their own domain while its server is not busier by so many of its slots.
+	otherDomainCost = 0.3
+	// failureCost is what a server that fails all its requests counts beside its work.
+	failureCost = 4.0
 )
 
 // plain answers a request of a plain service.
@@ -74,14 +74,14 @@
 // of instances that know the same.
 func (h *Handler) plainCost(s *backend.Server, now time.Time) float64 {
 	work := float64(s.Running())
-	if load, at := s.Load(); load.Known && now.Sub(at) < loadAge {
+	if load, at := s.Load(); load.Known && now.Sub(at) < maxLoadAge {
 		work = max(work, float64(load.Running+load.Waiting))
 	}
 	cost := (work + rand.Float64()) / float64(max(s.Slots(), 1))
 	if s.Domain() != h.terms.Load().Domain {
-		cost += farCost
+		cost += otherDomainCost
 	}
-	return cost + failCost*s.FailRate()
+	return cost + failureCost*s.FailRate()
 }
 
 // tryPlain sends the request to one server.
@@ -89,17 +89,17 @@
 	server.Reserve(0)
 	defer server.Release(0)
 	server.Chosen()
-	patience := ctx
+	attemptCtx := ctx
 	if r.route.Repeat == catalog.RepeatAlways && r.standing()+1 < r.route.MaxAttempts {
-		var stop func()
-		patience, stop = h.impatient(ctx, r, tried)
-		defer stop()
+		var endAttempt func()
+		attemptCtx, endAttempt = h.withSilenceLimit(ctx, r, tried)
+		defer endAttempt()
 	}
 	h.record.Routine(r.meta.ID, "sent", h.fields(r, decision.Fields{
 		"server": server.ID(), "address": server.Addr(), "attempt": len(tried), "own_running": server.Running(),
 	}))
 	// When one kept connection has fallen silent, the others may have as well: a repeat gets a new one.
-	s, err := h.send(patience, r, server, &call.Send{}, len(tried) > 1 || !r.route.MayRepeat())
+	s, err := h.send(attemptCtx, r, server, &call.Send{}, len(tried) > 1 || !r.route.MayRepeat())
 	if s == nil {
 		return h.unreached(ctx, r, server, err)
 	}
@@ -108,29 +108,29 @@
 	}
 	if err != nil {
 		h.finish(s, false)
-		return h.broken(ctx, r, server, err)
+		return h.brokenPlain(ctx, r, server, err)
 	}
 	server.SetLoad(s.info.Load, h.clock.Now())
 	body, err := readWhole(s)
 	h.finish(s, err == nil)
 	if err != nil {
-		return h.broken(ctx, r, server, err)
+		return h.brokenPlain(ctx, r, server, err)
 	}
-	return h.judge(r, server, s, body)
+	return h.judgeAnswer(r, server, s, body)
 }
 
-// impatient returns a context that ends when a server has been silent for too long and another one may take its place: without one the
+// withSilenceLimit returns a context that ends when a server has been silent for too long and another one may take its place: without one the
 // answer that may still come is the best that there is. The repeat is granted then; stop must be called after the attempt.
-func (h *Handler) impatient(ctx context.Context, r *request, tried []*backend.Server) (patience context.Context, stop func()) {
-	limit := max(impatience*r.route.Objective, r.route.Objective+200*time.Millisecond)
-	over := h.clock.After(limit)
-	patience, cancel := context.WithCancel(ctx)
+func (h *Handler) withSilenceLimit(ctx context.Context, r *request, tried []*backend.Server) (attemptCtx context.Context, endAttempt func()) {
+	limit := max(silenceFactor*r.route.Objective, r.route.Objective+200*time.Millisecond)
+	silent := h.clock.After(limit)
+	attemptCtx, cancel := context.WithCancel(ctx)
 	granted := make(chan bool, 1)
 	go func() {
 		for {
 			select {
-			case <-over:
-			case <-patience.Done():
+			case <-silent:
+			case <-attemptCtx.Done():
 				granted <- false
 				return
 			}
@@ -139,23 +139,23 @@
 				granted <- true
 				return
 			}
-			over = h.clock.After(limit)
+			silent = h.clock.After(limit)
 		}
 	}()
-	return patience, func() {
+	return attemptCtx, func() {
 		cancel()
 		r.granted = <-granted || r.granted
 	}
 }
 
-// left reports whether the caller has gone away before its time was over.
-func (h *Handler) left(ctx context.Context, r *request) bool {
+// callerDisconnected reports whether the caller has gone away before its time was over.
+func (h *Handler) callerDisconnected(ctx context.Context, r *request) bool {
 	return ctx.Err() != nil && h.remaining(r) > 0
 }
 
 // unreached judges an attempt for which no connection came about.
 func (h *Handler) unreached(ctx context.Context, r *request, server *backend.Server, err error) outcome {
-	if h.left(ctx, r) {
+	if h.callerDisconnected(ctx, r) {
 		server.Settled()
 		return callerGone{}
 	}
@@ -171,10 +171,10 @@
 	return notRun{reason: models.RetryUnreachable}
 }
 
-// broken judges an attempt that ended without a whole answer; that its caller has left says nothing of the server.
-func (h *Handler) broken(ctx context.Context, r *request, server *backend.Server, err error) outcome {
+// brokenPlain judges an attempt that ended without a whole answer; that its caller has left says nothing of the server.
+func (h *Handler) brokenPlain(ctx context.Context, r *request, server *backend.Server, err error) outcome {
 	r.ranOn(server)
-	if h.left(ctx, r) {
+	if h.callerDisconnected(ctx, r) {
 		server.Settled()
 		return callerGone{}
 	}
@@ -192,8 +192,8 @@
 	return failed{reason: reason}
 }
 
-// judge decides what a whole answer means.
-func (h *Handler) judge(r *request, server *backend.Server, s *sent, body []byte) outcome {
+// judgeAnswer decides what a whole answer means.
+func (h *Handler) judgeAnswer(r *request, server *backend.Server, s *sent, body []byte) outcome {
 	status := s.info.Status
 	switch {
 	case s.info.NotRun:
@@ -229,9 +229,9 @@
 	return &heldAnswer{head: h.codec.AppendAnswer(nil, &s.head), body: body}
 }
 
-// noRoom notes that a server had no room, unless it has said itself for how long it wants nothing. A plain service tells no more, so that
+// noteFull notes that a server had no room, unless it has said itself for how long it wants nothing. A plain service tells no more, so that
 // its server is left alone for a while; the memory of a chained engine is known from its reports.
-func (h *Handler) noRoom(r *request, server *backend.Server, now time.Time) {
+func (h *Handler) noteFull(r *request, server *backend.Server, now time.Time) {
 	switch {
 	case server.BackedOff(now):
 	case r.group.Graph() != nil:
@@ -248,7 +248,7 @@
 	if s.info.Status == fasthttp.StatusMisdirectedRequest {
 		server.WasStale(now)
 	} else {
-		h.noRoom(r, server, now)
+		h.noteFull(r, server, now)
 	}
 	h.record.Failure(r.meta.ID, "turned away", h.fields(r, decision.Fields{
 		"server": server.ID(), "address": server.Addr(), "status": s.info.Status, "fault": s.info.Fault,
--- /dev/null
+++ b/forward/plain_test.go
@@ -0,0 +1,255 @@
+package forward
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/require"
+
+	"junctioncross/backend"
+	"junctioncross/catalog"
+	"junctioncross/decision"
+	"junctioncross/follow"
+	"junctioncross/front"
+	"junctioncross/metrics"
+	"junctioncross/platform"
+	"junctioncross/platform/fake"
+	"junctioncross/retry"
+	"junctioncross/timer"
+)
+
+// soonEnough bounds waits for what happens at once on a sound machine.
+const soonEnough = 30 * time.Second
+
+// testServer is a plain backend server that notes what reaches it and answers as its function says, which is told the number of the request
+// on its connection.
+type testServer struct {
+	server   *backend.Server
+	listener net.Listener
+	answer   func(c net.Conn, number int)
+
+	mu sync.Mutex
+	// requests counts the requests that arrived, closed the connections that were closed.
+	requests, closed int
+}
+
+// newTestServer starts a desk; without a function it stays silent.
+func newTestServer(t *testing.T, id string, answer func(c net.Conn, number int)) *testServer {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = listener.Close() })
+	ts := &testServer{answer: answer, listener: listener, server: backend.NewServer(backend.Entry{ID: id, Service: "s", Addr: listener.Addr().String(), Domain: "a", Slots: 4})}
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() { ts.serve(c) }()
+		}
+	}()
+	return ts
+}
+
+func (ts *testServer) serve(c net.Conn) {
+	defer c.Close()
+	reader := bufio.NewReader(c)
+	for number := 1; ; number++ {
+		r, err := http.ReadRequest(reader)
+		if err != nil {
+			ts.increment(&ts.closed)
+			return
+		}
+		_, _ = io.Copy(io.Discard, r.Body)
+		ts.increment(&ts.requests)
+		if ts.answer != nil {
+			ts.answer(c, number)
+		}
+	}
+}
+
+func (ts *testServer) increment(counter *int) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	*counter++
+}
+
+func (ts *testServer) counts() (requests, closed int) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	return ts.requests, ts.closed
+}
+
+// sealed answers with a sealed success that keeps the connection.
+func sealed(c net.Conn, _ int) {
+	_, _ = io.WriteString(c, fake.PlainAnswer("ok"))
+}
+
+// groupHandler is a front handler that hands each request to a group of plain servers.
+type groupHandler struct {
+	handler *Handler
+	route   *catalog.Route
+	group   *backend.Group
+}
+
+// Handle implements front.Handler.
+func (g groupHandler) Handle(ctx context.Context, x *front.Exchange) {
+	r := &request{x: x, meta: x.Meta(), route: g.route, group: g.group, deadline: x.Arrived().Add(g.route.Timeout)}
+	ctx, cancel := context.WithDeadline(ctx, r.deadline)
+	defer cancel()
+	g.handler.countRequest(r)
+	g.handler.plain(ctx, r)
+}
+
+// plainFront serves requests of a route at the servers.
+func plainFront(t *testing.T, route *catalog.Route, servers ...*testServer) *front.Server {
+	return plainFrontOn(t, timer.NewReal(), route, servers)
+}
+
+// plainFrontAt does the same by a clock that stands still.
+func plainFrontAt(t *testing.T, route *catalog.Route, servers ...*testServer) (*front.Server, *clockwork.FakeClock) {
+	clock := clockwork.NewFakeClockAt(time.Now())
+	return plainFrontOn(t, timer.New(clock), route, servers), clock
+}
+
+func plainFrontOn(t *testing.T, clock *timer.Service, route *catalog.Route, servers []*testServer) *front.Server {
+	return frontOf(t, plainHandler(t, clock), route, servers)
+}
+
+// plainHandler returns a handler for plain requests.
+func plainHandler(t *testing.T, clock *timer.Service) *Handler {
+	stats := metrics.New()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return withRepeatsSaved(New(t.Context(), Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 100}, LongestBackOff: time.Hour},
+		follow.NewBoard(), platform.Codec{}, nil, clock, stats, decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noTeller{}))
+}
+
+// frontOf serves requests of a route at the servers through a handler.
+func frontOf(t *testing.T, h *Handler, route *catalog.Route, servers []*testServer) *front.Server {
+	var backends []*backend.Server
+	for _, ts := range servers {
+		backends = append(backends, ts.server)
+	}
+	group := backend.NewGroup(&catalog.Service{Name: "s"}, backends)
+	s := front.New(platform.Codec{}, groupHandler{handler: h, route: route, group: group}, func() catalog.Limits { return catalog.Limits{} }, func() int { return 100 }, timer.NewReal(), metrics.New())
+	require.NoError(t, s.Listen("127.0.0.1:0"))
+	t.Cleanup(s.Close)
+	return s
+}
+
+func callFront(t *testing.T, s *front.Server, id string) net.Conn {
+	c, err := net.Dial("tcp4", s.Addr().String())
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = c.Close() })
+	_, err = io.WriteString(c, "GET /a HTTP/1.1\r\nHost: h\r\nX-Request-Id: "+id+"\r\n\r\n")
+	require.NoError(t, err)
+	return c
+}
+
+// readStatus returns the status of the next answer.
+func readStatus(t *testing.T, c net.Conn) int {
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(soonEnough)))
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	require.NoError(t, err)
+	defer resp.Body.Close()
+	return resp.StatusCode
+}
+
+// requestCount returns how many requests have reached some servers.
+func requestCount(servers []*testServer) int {
+	n := 0
+	for _, ts := range servers {
+		one, _ := ts.counts()
+		n += one
+	}
+	return n
+}
+
+// closedCount returns how many connections to some servers have closedCount.
+func closedCount(servers []*testServer) int {
+	n := 0
+	for _, ts := range servers {
+		_, one := ts.counts()
+		n += one
+	}
+	return n
+}
+
+// TestACallerDisconnectEndsTheRequestWithoutBlamingServers lets the caller of a request that may be repeated leave while its server is
+// silent: no other server gets it, and none counts as one that fails.
+func TestACallerDisconnectEndsTheRequestWithoutBlamingServers(t *testing.T) {
+	servers := []*testServer{newTestServer(t, "1", nil), newTestServer(t, "2", nil), newTestServer(t, "3", nil)}
+	route := &catalog.Route{Name: "r", Repeat: catalog.RepeatAlways, MaxAttempts: 3, Timeout: time.Hour, Objective: time.Hour}
+	s := plainFront(t, route, servers...)
+	c := callFront(t, s, "r1")
+	require.Eventually(t, func() bool { return requestCount(servers) == 1 }, soonEnough, time.Millisecond)
+	require.NoError(t, c.Close())
+	require.Eventually(t, func() bool { return s.Running() == 0 }, soonEnough, time.Millisecond)
+	for _, ts := range servers {
+		require.Zero(t, ts.server.FailRate(), ts.server.ID())
+		require.True(t, ts.server.Usable(time.Now()), ts.server.ID())
+	}
+	require.Equal(t, 1, requestCount(servers))
+	require.Eventually(t, func() bool { return closedCount(servers) == 1 }, soonEnough, time.Millisecond, "its server has noticed")
+}
+
+// TestARetryOpensANewConnection lets all kept connections fall silent at one moment, as after a fault of the
+// network that no reset tells about: the first attempt finds it by its time-out, the second one must not meet the next.
+func TestARetryOpensANewConnection(t *testing.T) {
+	answerOnce := func(c net.Conn, number int) {
+		if number == 1 {
+			sealed(c, number)
+		}
+	}
+	servers := []*testServer{newTestServer(t, "1", answerOnce), newTestServer(t, "2", answerOnce)}
+	route := &catalog.Route{Name: "r", Repeat: catalog.RepeatAlways, MaxAttempts: 2, Timeout: 10 * time.Second, Objective: 100 * time.Millisecond}
+	s := plainFront(t, route, servers...)
+	// Both servers must have a kept connection, which answers no second time.
+	for _, ts := range servers {
+		addIdleConn(t, ts)
+	}
+	require.Equal(t, http.StatusOK, readStatus(t, callFront(t, s, "r1")))
+}
+
+// TestAnAnswerIsAwaitedWhileNoOtherServerCanTakeTheRequest lets the only server answer later than a request that may be repeated is
+// usually left with a server.
+func TestAnAnswerIsAwaitedWhileNoOtherServerCanTakeTheRequest(t *testing.T) {
+	const objective = 10 * time.Millisecond
+	goOn := make(chan struct{})
+	ts := newTestServer(t, "1", func(c net.Conn, number int) {
+		<-goOn
+		sealed(c, number)
+	})
+	route := &catalog.Route{Name: "r", Repeat: catalog.RepeatAlways, MaxAttempts: 2, Timeout: time.Hour, Objective: objective}
+	s, clock := plainFrontAt(t, route, ts)
+	c := callFront(t, s, "r1")
+	require.Eventually(t, func() bool { return requestCount([]*testServer{ts}) == 1 }, soonEnough, time.Millisecond)
+	clock.Advance(time.Minute)
+	// The request goes on: nobody else could take it.
+	require.Never(t, func() bool { return s.Running() == 0 }, 50*time.Millisecond, 5*time.Millisecond)
+	close(goOn)
+	require.Equal(t, http.StatusOK, readStatus(t, c))
+}
+
+// addIdleConn lets a server have a resting connection that has carried a request.
+func addIdleConn(t *testing.T, ts *testServer) {
+	c, err := ts.server.Connect(t.Context(), time.Now(), true)
+	require.NoError(t, err)
+	_, err = io.WriteString(c, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
+	require.NoError(t, err)
+	resp, err := http.ReadResponse(c.Reader, nil)
+	require.NoError(t, err)
+	_, err = io.Copy(io.Discard, resp.Body)
+	require.NoError(t, err)
+	require.NoError(t, resp.Body.Close())
+	c.Keep(time.Now(), time.Minute)
+}
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -15,16 +15,16 @@
 	// probesPerSecond is the number of questions that all instances together may ask in a second, and leastProbes what each of
 	// them may at least: each question has its price.
 	probesPerSecond = 40.0
-	leastProbes     = 2.0
+	minProbes       = 2.0
 	// sharedProbes is what each instance may ask in a second while all pass on what they are told, so that together they ask each server
 	// of their domain about once a second.
 	sharedProbes = 1.0
-	// mostProbes bounds the questions of one round.
-	mostProbes = 4.0
-	// freshWord is how old a server's word on its memory may be before it is asked again.
-	freshWord = 500 * time.Millisecond
-	// ownDomain is how many times sooner the servers of the own domain are asked, which get most of the streams.
-	ownDomain = 3
+	// maxProbesPerRound bounds the questions of one round.
+	maxProbesPerRound = 4.0
+	// freshReportAge is how old a server's word on its memory may be before it is asked again.
+	freshReportAge = 500 * time.Millisecond
+	// ownDomainWeight is how many times sooner the servers of the own domain are asked, which get most of the streams.
+	ownDomainWeight = 3
 )
 
 // prober asks the servers that the lanes depend on for their memory. An instance knows only its own streams, and servers that
@@ -55,11 +55,11 @@
 // round asks some servers of the services that have streams under way.
 func (p *prober) round() {
 	h := p.handler
-	rate := max(probesPerSecond/float64(h.census.Instances()), leastProbes)
+	rate := max(probesPerSecond/float64(h.census.Instances()), minProbes)
 	if h.board.Shared(h.clock.Now()) {
 		rate = sharedProbes
 	}
-	p.allowed = min(p.allowed+rate*probePeriod.Seconds(), mostProbes)
+	p.allowed = min(p.allowed+rate*probePeriod.Seconds(), maxProbesPerRound)
 	if h.watch.count() == 0 {
 		return
 	}
@@ -75,85 +75,85 @@
 func (p *prober) probe(group *backend.Group) {
 	h, now := p.handler, p.handler.clock.Now()
 	domain, shared := h.terms.Load().Domain, h.board.Shared(now)
-	due := narrowest(group, h.lanesOf(group, now), domain)
+	targets := bottlenecks(group, h.lanesOf(group, now), domain)
 	if shared {
-		due.addDomain(domain)
+		targets.addDomain(domain)
 	}
 	for ; p.allowed >= 1; p.allowed-- {
-		server := due.oldest(now)
+		server := targets.highest(now)
 		if shared {
-			server = due.drawn(now, rand.Float64())
+			server = targets.draw(now, rand.Float64())
 		}
 		if server == nil {
 			return
 		}
-		h.inquire(server, whyMemory)
+		h.inquire(server, reasonMemory)
 	}
 }
 
-// urgencies tell how many times sooner each server of a group should be asked than others; zero means that it should not.
-type urgencies struct {
+// probeTargets tell how many times sooner each server of a group should be asked than others; zero means that it should not.
+type probeTargets struct {
 	servers []*backend.Server
 	weights []float64
 }
 
-// narrowest returns the servers that bound lanes.
-func narrowest(group *backend.Group, lanes []chain.Lane, domain string) urgencies {
-	u := urgencies{servers: group.Servers(), weights: make([]float64, len(group.Servers()))}
+// bottlenecks returns the servers that bound lanes.
+func bottlenecks(group *backend.Group, lanes []chain.Lane, domain string) probeTargets {
+	t := probeTargets{servers: group.Servers(), weights: make([]float64, len(group.Servers()))}
 	for i := range lanes {
 		n := chain.Narrowest(group.Graph(), lanes[i].Hops)
-		u.weights[n] = max(u.weights[n], 1)
+		t.weights[n] = max(t.weights[n], 1)
 		if lanes[i].Domain == domain {
-			u.weights[n] = ownDomain
+			t.weights[n] = ownDomainWeight
 		}
 	}
-	return u
+	return t
 }
 
 // addDomain adds all servers of a domain; those that bound its lanes stay more urgent.
-func (u urgencies) addDomain(domain string) {
-	for i, s := range u.servers {
+func (t probeTargets) addDomain(domain string) {
+	for i, s := range t.servers {
 		if s.Domain() == domain {
-			u.weights[i] = max(u.weights[i], 1)
+			t.weights[i] = max(t.weights[i], 1)
 		}
 	}
 }
 
-// urgency returns how urgent it is to ask the i-th server, zero when it told lately or cannot be asked.
-func (u urgencies) urgency(i int, now time.Time) float64 {
-	s := u.servers[i]
+// priority returns how urgent it is to ask the i-th server, zero when it told lately or cannot be asked.
+func (t probeTargets) priority(i int, now time.Time) float64 {
+	s := t.servers[i]
 	age := min(s.WordAge(now), wordAge)
-	if u.weights[i] == 0 || age < freshWord || s.Leaving() || s.Ended() || s.BackedOff(now) || !s.Askable(now) {
+	if t.weights[i] == 0 || age < freshReportAge || s.Leaving() || s.Ended() || s.BackedOff(now) || !s.Askable(now) {
 		return 0
 	}
-	return age.Seconds() * u.weights[i]
+	return age.Seconds() * t.weights[i]
 }
 
-// oldest returns the server that should be asked first, or nil when all have told lately.
-func (u urgencies) oldest(now time.Time) *backend.Server {
+// highest returns the server that should be asked first, or nil when all have told lately.
+func (t probeTargets) highest(now time.Time) *backend.Server {
 	var out *backend.Server
 	most := 0.0
-	for i, s := range u.servers {
-		if urgency := u.urgency(i, now); urgency > most {
-			out, most = s, urgency
+	for i, s := range t.servers {
+		if priority := t.priority(i, now); priority > most {
+			out, most = s, priority
 		}
 	}
 	return out
 }
 
-// drawn returns a server by chance, since all instances know the same ages and would ask the same one; random is uniform in [0, 1).
-func (u urgencies) drawn(now time.Time, random float64) *backend.Server {
+// draw returns a server by chance, since all instances know the same ages and would ask the same one; random is uniform in [0, 1).
+func (t probeTargets) draw(now time.Time, random float64) *backend.Server {
 	all := 0.0
-	for i := range u.servers {
-		all += u.urgency(i, now)
+	for i := range t.servers {
+		all += t.priority(i, now)
 	}
 	left := random * all
-	for i, s := range u.servers {
-		urgency := u.urgency(i, now)
-		if urgency > 0 && left < urgency {
+	for i, s := range t.servers {
+		priority := t.priority(i, now)
+		if priority > 0 && left < priority {
 			return s
 		}
-		left -= urgency
+		left -= priority
 	}
 	return nil
 }
--- a/forward/ended.go
+++ b/forward/quarantine.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// provenTime is how long a server must have run a request for it to be none that ends each server that begins it: these end
+	// harmlessTime is how long a server must have run a request for it to be none that ends each server that begins it: these end
 	// within a tenth of it.
-	provenTime = time.Second
-	// verdictTime is how long it may take to find out whether a server has ended: several questions to it.
-	verdictTime = time.Second
-	// verdictPause is the pause between two looks.
-	verdictPause = 50 * time.Millisecond
+	harmlessTime = time.Second
+	// endCheckTimeout is how long it may take to find out whether a server has ended: several questions to it.
+	endCheckTimeout = time.Second
+	// endCheckPeriod is the pause between two looks.
+	endCheckPeriod = 50 * time.Millisecond
 )
 
 // kept ends a request that is sent to no server any more since several ended under it.
@@ -52,7 +52,7 @@
 // suspectEnd keeps that a server may have ended under a request that it had run for some time, and finds out in the background whether it
 // has. Until then the end counts here, so that this attempt goes on no further than it may.
 func (h *Handler) suspectEnd(r *request, server *backend.Server, ran time.Duration) {
-	if ran >= provenTime {
+	if ran >= harmlessTime {
 		h.absolve(r)
 		return
 	}
@@ -72,7 +72,7 @@
 		h.record.Failure(id, "server ended under a request", decision.Fields{
 			"server": server.ID(), "address": server.Addr(), "fingerprint": end.Request.String(), "ends": h.ends.Ends(end.Request),
 		})
-		h.teller.Wake()
+		h.publisher.Wake()
 	}()
 }
 
@@ -83,7 +83,7 @@
 		// A plain service tells nothing of itself without taking a place for the question; whether it listens is for nothing.
 		return server.Ended() || !server.Listens(h.clock.Now())
 	}
-	for h.clock.Since(broke) < verdictTime {
+	for h.clock.Since(broke) < endCheckTimeout {
 		if server.Ended() || server.Gone() || server.SilentSince(broke) {
 			return true
 		}
@@ -91,7 +91,7 @@
 			return false
 		}
 		h.question(server, "broken run")
-		<-h.clock.After(verdictPause)
+		<-h.clock.After(endCheckPeriod)
 	}
 	return true
 }
@@ -108,5 +108,5 @@
 	}
 	h.stats.Counter("quarantine_absolved_total").Inc(1)
 	h.record.Failure(r.meta.ID, "request proved harmless", decision.Fields{"fingerprint": fingerprint.String(), "ends": ends})
-	h.teller.Wake()
+	h.publisher.Wake()
 }
--- a/forward/ended_test.go
+++ b/forward/quarantine_test.go
@@ -28,37 +28,37 @@
 	return quarantine.NewEnd(quarantine.FingerprintOf([]byte("h"), []byte("/a"), "", nil), fmt.Sprint(server), "earlier")
 }
 
-// TestARequestUnderWhichServersEndedIsRefusedAtOnce tells of the ends only, as other instances do; the request may not be repeated.
-func TestARequestUnderWhichServersEndedIsRefusedAtOnce(t *testing.T) {
-	d := newDesk(t, "1", sealed)
+// TestAQuarantinedRequestIsRefusedAtOnce tells of the ends only, as other instances do; the request may not be repeated.
+func TestAQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
+	ts := newTestServer(t, "1", sealed)
 	h := plainHandler(t, timer.NewReal())
-	s := frontOf(t, h, onceRoute(), []*desk{d})
+	s := frontOf(t, h, onceRoute(), []*testServer{ts})
 	for n := range 2 {
 		h.ends.Hear(endOf(n), time.Now())
 	}
-	require.Equal(t, http.StatusOK, statusAt(t, callFront(t, s, "second")))
+	require.Equal(t, http.StatusOK, readStatus(t, callFront(t, s, "second")))
 	require.Zero(t, h.ends.Size(), "a server has run it and stands")
 	for n := range 3 {
 		h.ends.Hear(endOf(n), time.Now())
 	}
-	require.Equal(t, http.StatusServiceUnavailable, statusAt(t, callFront(t, s, "third")))
-	require.Equal(t, 1, asked([]*desk{d}))
+	require.Equal(t, http.StatusServiceUnavailable, readStatus(t, callFront(t, s, "third")))
+	require.Equal(t, 1, requestCount([]*testServer{ts}))
 }
 
-// TestAPlainServerThatEndsCountsAndOneThatOnlyBreaksDoesNot lets desks break off, of which one listens no more then.
-func TestAPlainServerThatEndsCountsAndOneThatOnlyBreaksDoesNot(t *testing.T) {
+// TestABrokenRunCountsOnlyIfThePlainServerHasEnded lets servers break off, of which one listens no more then.
+func TestABrokenRunCountsOnlyIfThePlainServerHasEnded(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		t.Run(fmt.Sprint(ends), func(t *testing.T) {
-			d := newDesk(t, "1", func(c net.Conn, _ int) { _ = c.Close() })
-			d.answer = func(c net.Conn, _ int) {
+			ts := newTestServer(t, "1", func(c net.Conn, _ int) { _ = c.Close() })
+			ts.answer = func(c net.Conn, _ int) {
 				if ends {
-					_ = d.listener.Close()
+					_ = ts.listener.Close()
 				}
 				_ = c.Close()
 			}
 			h := plainHandler(t, timer.NewReal())
-			s := frontOf(t, h, onceRoute(), []*desk{d})
-			require.Equal(t, http.StatusBadGateway, statusAt(t, callFront(t, s, "one")))
+			s := frontOf(t, h, onceRoute(), []*testServer{ts})
+			require.Equal(t, http.StatusBadGateway, readStatus(t, callFront(t, s, "one")))
 			if !ends {
 				require.Eventually(t, func() bool { return h.ends.Size() == 0 }, soonEnough, time.Millisecond)
 				return
@@ -68,16 +68,16 @@
 	}
 }
 
-// suspicion lets a stream break at the first server of a group, after it had run there for some time.
-func suspicion(t *testing.T, e *engines, g *backend.Group, ran time.Duration) (*Handler, *request, *clockwork.FakeClock) {
+// suspectedEnd lets a stream break at the first server of a group, after it had run there for some time.
+func suspectedEnd(t *testing.T, e *engines, g *backend.Group, ran time.Duration) (*Handler, *request, *clockwork.FakeClock) {
 	h, clock := testHandler(t, e)
 	f := begun(g, 2)
 	h.suspectEnd(f.r, g.Servers()[0], ran)
 	return h, f.r, clock
 }
 
-// eventuallyAs waits for something while the clock goes on.
-func eventuallyAs(t *testing.T, clock *clockwork.FakeClock, what func() bool) {
+// eventuallyAdvancing waits for something while the clock goes on.
+func eventuallyAdvancing(t *testing.T, clock *clockwork.FakeClock, what func() bool) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		clock.Advance(10 * time.Millisecond)
@@ -85,37 +85,37 @@
 	}, soonEnough, time.Millisecond)
 }
 
-// TestAnEngineIsBlamedOnNobodyUnlessItHasEnded lets the connection of a stream break.
-func TestAnEngineIsBlamedOnNobodyUnlessItHasEnded(t *testing.T) {
+// TestABrokenRunCountsOnlyIfTheEngineHasEndedOrIsSilent lets the connection of a stream break.
+func TestABrokenRunCountsOnlyIfTheEngineHasEndedOrIsSilent(t *testing.T) {
 	t.Run("ended", func(t *testing.T) {
 		g := twoCopies()
-		h, r, clock := suspicion(t, newEngines(g, 0), g, 0)
+		h, r, clock := suspectedEnd(t, newEngines(g, 0), g, 0)
 		require.Equal(t, 1, h.ends.Ends(r.fingerprint()), "it counts here at once")
-		eventuallyAs(t, clock, func() bool { told, _ := h.ends.Untold(9); return len(told) == 1 })
+		eventuallyAdvancing(t, clock, func() bool { told, _ := h.ends.Untold(9); return len(told) == 1 })
 	})
 	t.Run("stands", func(t *testing.T) {
 		g := twoCopies()
-		h, _, clock := suspicion(t, newEngines(g), g, 0)
-		eventuallyAs(t, clock, func() bool { return h.ends.Size() == 0 })
+		h, _, clock := suspectedEnd(t, newEngines(g), g, 0)
+		eventuallyAdvancing(t, clock, func() bool { return h.ends.Size() == 0 })
 	})
 	t.Run("silent", func(t *testing.T) {
 		g := twoCopies()
 		e := newEngines(g)
 		e.dark, e.end = map[string]bool{g.Servers()[0].Addr(): true}, make(chan struct{})
-		h, _, clock := suspicion(t, e, g, 0)
+		h, _, clock := suspectedEnd(t, e, g, 0)
 		close(e.end)
-		eventuallyAs(t, clock, func() bool { told, _ := h.ends.Untold(9); return len(told) == 1 })
+		eventuallyAdvancing(t, clock, func() bool { told, _ := h.ends.Untold(9); return len(told) == 1 })
 	})
 	t.Run("ran for long", func(t *testing.T) {
 		g := twoCopies()
-		h, r, _ := suspicion(t, newEngines(g, 0), g, provenTime)
+		h, r, _ := suspectedEnd(t, newEngines(g, 0), g, harmlessTime)
 		require.Zero(t, h.ends.Ends(r.fingerprint()))
 	})
 }
 
-// TestAStreamIsNotSentAgainOnceServersHaveEndedUnderIt breaks a stream at one server after the other, faster than it is found out whether
+// TestAStreamIsQuarantinedAfterSeveralServersEndedUnderIt breaks a stream at one server after the other, faster than it is found out whether
 // they have ended.
-func TestAStreamIsNotSentAgainOnceServersHaveEndedUnderIt(t *testing.T) {
+func TestAStreamIsQuarantinedAfterSeveralServersEndedUnderIt(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g, 0, 1, 2, 3))
 	r := &request{x: &front.Exchange{}, group: g, route: onceRoute()}
@@ -130,9 +130,9 @@
 	require.False(t, h.again(r, k, 1))
 }
 
-// BenchmarkASendWhileNothingIsKept shows what the look at the ends adds to a send, with the making of a request: 24 ns while no server has ended
+// BenchmarkQuarantineCheckPerSend shows what the look at the ends adds to a send, with the making of a request: 24 ns while no server has ended
 // under a request and 0.7 us while ends are known, most of it for the digest. Before there was such a look it was nothing.
-func BenchmarkASendWhileNothingIsKept(b *testing.B) {
+func BenchmarkQuarantineCheckPerSend(b *testing.B) {
 	for _, cases := range []int{0, 1} {
 		b.Run(fmt.Sprint(cases), func(b *testing.B) {
 			h := &Handler{ends: testBook(), clock: timer.NewReal()}
--- a/forward/inquire.go
+++ b/forward/query.go
@@ -10,14 +10,14 @@
 	"junctioncross/decision"
 )
 
-// whyMemory is the reason of the questions that follow no event.
-const whyMemory = "memory"
+// reasonMemory is the reason of the questions that follow no event.
+const reasonMemory = "memory"
 
 const (
 	// askTime bounds a question to a server; one that takes longer is as good as gone.
 	askTime = 300 * time.Millisecond
-	// fullMemory is the part of a server's memory beyond which a line in the log says so.
-	fullMemory = 0.93
+	// fullMemoryShare is the part of a server's memory beyond which a line in the log says so.
+	fullMemoryShare = 0.93
 	// slowPace is how many times slower than usual a server has to be for a line in the log.
 	slowPace = 1.5
 )
@@ -47,9 +47,9 @@
 // reportSlack is how much longer than a report lags its entry may take to be heard, with the way of the report.
 const reportSlack = 200 * time.Millisecond
 
-// tellsLayers reports whether what a server says of its layers is newer than what its entry said: a report is some time old, and the
+// reportsNewerLayers reports whether what a server says of its layers is newer than what its entry said: a report is some time old, and the
 // entry of a server that has just loaded its layers is heard of before.
-func (h *Handler) tellsLayers(server *backend.Server) bool {
+func (h *Handler) reportsNewerLayers(server *backend.Server) bool {
 	lag := time.Duration(0)
 	if c := h.board.Current().Catalog(); c != nil {
 		if service := c.Service(server.Service()); service != nil && service.Engine != nil {
@@ -59,8 +59,8 @@
 	return server.LayersFor(h.clock.Now()) > lag+reportSlack
 }
 
-// believeOther takes over that another start of the server has answered: a later one tells that this one is over, an earlier one nothing.
-func (h *Handler) believeOther(server *backend.Server, report backend.Report, now time.Time) {
+// applyOtherIncarnation takes over that another start of the server has answered: a later one tells that this one is over, an earlier one nothing.
+func (h *Handler) applyOtherIncarnation(server *backend.Server, report backend.Report, now time.Time) {
 	later := backend.Incarnation{ID: server.ID(), Born: report.Born}
 	if !later.After(server.Incarnation()) {
 		return
@@ -86,7 +86,7 @@
 	if report.RetryAfter > 0 {
 		// It answers, and says that it does not want to be asked.
 		server.NoteAnswer(now)
-		h.heed("", server, report.Notice)
+		h.applyNotice("", server, report.Notice)
 		return
 	}
 	if err != nil {
@@ -100,11 +100,11 @@
 		return
 	}
 	if report.Born != server.Incarnation().Born {
-		h.believeOther(server, report, now)
+		h.applyOtherIncarnation(server, report, now)
 		return
 	}
 	server.NoteAnswer(now)
-	h.heed("", server, report.Notice)
+	h.applyNotice("", server, report.Notice)
 	if report.Limit.Named {
 		// A report without a limit says nothing of what stands on answers to requests.
 		h.noteLimit("", server, report.Limit, now)
@@ -114,17 +114,17 @@
 	fields["pace"], fields["running"], fields["waiting"] = report.Pace, report.Running, report.Waiting
 	fields["memory_used"], fields["memory"], fields["layers"] = report.Used, report.Total, report.Layers.String()
 	switch {
-	case report.Layers != server.Layers() && h.tellsLayers(server):
+	case report.Layers != server.Layers() && h.reportsNewerLayers(server):
 		// A server that was given more layers beside those of its entry still holds every path that was chosen by the entry.
 		if !report.Layers.Holds(server.Layers()) {
 			server.WasStale(now)
 		}
 		h.record.Failure("", "server holds other layers", fields)
-	case report.Total > 0 && report.Used > fullMemory*report.Total:
+	case report.Total > 0 && report.Used > fullMemoryShare*report.Total:
 		h.record.Failure("", "server is full", fields)
 	case report.Pace >= slowPace:
 		h.record.Failure("", "server is slow", fields)
-	case why == whyMemory:
+	case why == reasonMemory:
 		// Told too often for a line each; the line of a stream tells what its choice went by.
 	default:
 		h.record.Routine("", "server is well", fields)
--- a/forward/reload_test.go
+++ b/forward/reload_test.go
@@ -10,9 +10,9 @@
 	"junctioncross/retry"
 )
 
-// TestAReloadLeavesStreamsUnderWayAsTheyAre replaces each setting that a reload can change, one after the other, while a stream passes a
+// TestAReloadDoesNotDisturbRunningStreams replaces each setting that a reload can change, one after the other, while a stream passes a
 // sound path: it keeps path, connection, memory and runs, and the new limits count from then on.
-func TestAReloadLeavesStreamsUnderWayAsTheyAre(t *testing.T) {
+func TestAReloadDoesNotDisturbRunningStreams(t *testing.T) {
 	base := Terms{
 		Domain: "a", KeysAge: time.Second, Repeats: retry.Limit{Window: 10 * time.Second, Share: 0, Fixed: 1}, StallTime: 2 * time.Second,
 		DrainTime: 3 * time.Second,
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestAReloadChangesTheLimitOnRepeatsOfServicesThatAreKnown raises the share after the first repeat was counted.
-func TestAReloadChangesTheLimitOnRepeatsOfServicesThatAreKnown(t *testing.T) {
+// TestAReloadChangesTheRetryLimitOfKnownServices raises the share after the first repeat was counted.
+func TestAReloadChangesTheRetryLimitOfKnownServices(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g))
 	terms := Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 2}}
--- a/forward/words_test.go
+++ b/forward/reportsharing_test.go
@@ -13,52 +13,52 @@
 	"junctioncross/models"
 )
 
-// copies returns so many copies of a model in one domain, of three servers each.
-func copies(n int) *backend.Group {
+// threeStageCopies returns so many threeStageCopies of a model in one domain, of three servers each.
+func threeStageCopies(n int) *backend.Group {
 	service := &catalog.Service{Name: "s", Engine: &catalog.Engine{
 		Layers: 9, LayerMB: 100, TokenBytes: 9000, Step: time.Millisecond, ReadPerSecond: 1e5, UsualPrompt: 100, UsualAnswer: 40,
 		Kinds: []catalog.Kind{{Name: "k", MemoryMB: 1000, StepPace: 1, ReadPace: 1}},
 	}}
 	var servers []*backend.Server
 	for i := range n {
-		for part := range 3 {
+		for stage := range 3 {
 			servers = append(servers, backend.NewServer(backend.Entry{
-				ID: fmt.Sprint("s", i, "-", part), Service: "s", Addr: fmt.Sprintf("127.0.0.1:%d", 3*i+part+1), Domain: "a", Kind: "k",
-				Layers: models.Layers{First: 3 * part, End: 3*part + 3},
+				ID: fmt.Sprint("s", i, "-", stage), Service: "s", Addr: fmt.Sprintf("127.0.0.1:%d", 3*i+stage+1), Domain: "a", Kind: "k",
+				Layers: models.Layers{First: 3 * stage, End: 3*stage + 3},
 			}))
 		}
 	}
 	return backend.NewGroup(service, servers)
 }
 
-// neighbour is one of the instances of a domain, with its own view of the servers.
-type neighbour struct {
-	group   *backend.Group
-	book    laneBook
-	allowed float64
-	sent    time.Time
-	mark    time.Time
+// simInstance is one of the instances of a domain, with its own view of the servers.
+type simInstance struct {
+	group    *backend.Group
+	book     laneBook
+	allowed  float64
+	passedOn time.Time
+	received time.Time
 }
 
-// slowDay plays a domain in which some servers turn slow: each instance asks servers, picks paths for new streams and exchanges words
+// simDomain plays a domain in which some servers turn slow: each instance asks servers, picks paths for new streams and exchanges words
 // with the first of them, which is the relay.
-type slowDay struct {
-	all    []*neighbour
-	slow   map[string]bool
-	random *rand.Rand
-	asked  int
+type simDomain struct {
+	all     []*simInstance
+	slow    map[string]bool
+	random  *rand.Rand
+	queries int
 }
 
-func (d *slowDay) ask(n *neighbour, now time.Time) {
-	lanes, _ := n.book.get(n.group, now)
-	due := narrowest(n.group, lanes, "a")
+func (d *simDomain) query(i *simInstance, now time.Time) {
+	lanes, _ := i.book.get(i.group, now)
+	due := bottlenecks(i.group, lanes, "a")
 	due.addDomain("a")
-	for n.allowed += sharedProbes * probePeriod.Seconds(); n.allowed >= 1; n.allowed-- {
-		s := due.drawn(now, d.random.Float64())
+	for i.allowed += sharedProbes * probePeriod.Seconds(); i.allowed >= 1; i.allowed-- {
+		s := due.draw(now, d.random.Float64())
 		if s == nil || !s.MayAsk(now) {
 			continue
 		}
-		d.asked++
+		d.queries++
 		pace := 1.0
 		if d.slow[s.ID()] {
 			pace = 12
@@ -69,14 +69,14 @@
 }
 
 // exchange passes the words of an instance to the relay and the relay's back.
-func (d *slowDay) exchange(n *neighbour, now time.Time) {
-	pass(n.group, d.all[0].group, n.sent, now, true)
-	pass(d.all[0].group, n.group, n.mark, now, false)
+func (d *simDomain) exchange(i *simInstance, now time.Time) {
+	passReports(i.group, d.all[0].group, i.passedOn, now, true)
+	passReports(d.all[0].group, i.group, i.received, now, false)
 	// What the relay hears in the same round from those that come after this one is passed on in the next.
-	n.sent, n.mark = now, now.Add(-1)
+	i.passedOn, i.received = now, now.Add(-1)
 }
 
-func pass(from, to *backend.Group, after, now time.Time, ownOnly bool) {
+func passReports(from, to *backend.Group, after, now time.Time, ownOnly bool) {
 	for i, s := range from.Servers() {
 		if w, ok := s.Word(after, now, ownOnly); ok {
 			to.Servers()[i].Hear(w, now)
@@ -85,21 +85,21 @@
 }
 
 // start picks a path for a stream and reports whether it passes a slow server.
-func (d *slowDay) start(n *neighbour, now time.Time) bool {
-	lanes, _ := n.book.get(n.group, now)
-	picked := newLaneChoice(n.group, lanes, "a", len(d.all), now).pick()
+func (d *simDomain) start(i *simInstance, now time.Time) bool {
+	lanes, _ := i.book.get(i.group, now)
+	picked := newLaneChoice(i.group, lanes, "a", len(d.all), now).pick()
 	for _, hop := range lanes[picked].Hops {
-		if d.slow[n.group.Servers()[hop.Server].ID()] {
+		if d.slow[i.group.Servers()[hop.Server].ID()] {
 			return true
 		}
 	}
 	return false
 }
 
-// TestStreamsAvoidServersThatTurnSlowWithinTwoSeconds plays a domain of 59 instances and 14 copies of a model, of which four servers in
+// TestStreamsAvoidSlowServersWithinTwoSeconds plays a domain of 59 instances and 14 copies of a model, of which four servers in
 // ten turn twelve times slower: a stream through any of them is late. Of the streams that begin two seconds later or more 0.76 passed one
 // while each instance found out for itself with two questions a second; 0.02 do with one question a second and words passed on.
-func TestStreamsAvoidServersThatTurnSlowWithinTwoSeconds(t *testing.T) {
+func TestStreamsAvoidSlowServersWithinTwoSeconds(t *testing.T) {
 	const (
 		instances = 59
 		turn      = 5 * time.Second
@@ -107,9 +107,9 @@
 		end       = 15 * time.Second
 		most      = 0.03
 	)
-	d := &slowDay{slow: map[string]bool{}, random: rand.New(rand.NewPCG(1, 2))}
+	d := &simDomain{slow: map[string]bool{}, random: rand.New(rand.NewPCG(1, 2))}
 	for range instances {
-		d.all = append(d.all, &neighbour{group: copies(14), allowed: d.random.Float64()})
+		d.all = append(d.all, &simInstance{group: threeStageCopies(14), allowed: d.random.Float64()})
 	}
 	begun := time.Unix(100, 0)
 	late, started := 0, 0
@@ -121,7 +121,7 @@
 			}
 		}
 		for i, n := range d.all {
-			d.ask(n, now)
+			d.query(n, now)
 			if (at/probePeriod+time.Duration(i))%4 == 0 {
 				d.exchange(n, now)
 			}
@@ -134,5 +134,5 @@
 		}
 	}
 	require.Less(t, float64(late)/float64(started), most)
-	require.LessOrEqual(t, float64(d.asked), instances*(sharedProbes*end.Seconds()+1))
+	require.LessOrEqual(t, float64(d.queries), instances*(sharedProbes*end.Seconds()+1))
 }
--- a/forward/reading_test.go
+++ b/forward/resumedprompt_test.go
@@ -10,8 +10,8 @@
 	"junctioncross/front"
 )
 
-// TestAStreamThatGoesOnElsewhereIsMissedWhereItIsForgotten lets the server that goes on with a stream take the request and forget it.
-func TestAStreamThatGoesOnElsewhereIsMissedWhereItIsForgotten(t *testing.T) {
+// TestAResumedStreamIsCutIfItsServerForgotTheRequest lets the server that goes on with a stream take the request and forget it.
+func TestAResumedStreamIsCutIfItsServerForgotTheRequest(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	e.forgets = map[string]bool{"one": true}
@@ -25,9 +25,9 @@
 	require.False(t, isOpen(conn), "its connection is closed, so that it goes on elsewhere")
 }
 
-// TestAStreamThatIsBeingReadElsewhereStays lets a part of a path leave while the first part still reads the prompt of a stream that goes
+// TestAResumedStreamIsNotMovedWhileItsPromptIsRead lets a part of a path leave while the first part still reads the prompt of a stream that goes
 // on there.
-func TestAStreamThatIsBeingReadElsewhereStays(t *testing.T) {
+func TestAResumedStreamIsNotMovedWhileItsPromptIsRead(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	f, _ := connected(t, h, g, "one", 0, 1)
--- a/forward/repeats.go
+++ b/forward/retries.go
@@ -26,7 +26,7 @@
 	if allowed {
 		h.stats.Counter("repeats_total{service=\"" + service + "\"}").Inc(1)
 	}
-	if h.repeatsTold.may(service, now) {
+	if h.retryLog.may(service, now) {
 		h.record.Routine("", "repeats", h.allowanceFields(service, decision.Fields{"service": service}))
 	}
 	return allowed
--- /dev/null
+++ b/forward/retries_test.go
@@ -0,0 +1,37 @@
+package forward
+
+import (
+	"net/http"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"junctioncross/timer"
+)
+
+// TestARequestThatReachedNoServerUsesNoRetry lets the server that is chosen first have ended.
+func TestARequestThatReachedNoServerUsesNoRetry(t *testing.T) {
+	ended, other := newTestServer(t, "ended", nil), newTestServer(t, "other", sealed)
+	require.NoError(t, ended.listener.Close())
+	other.server.Observe(false)
+	h := plainHandler(t, timer.NewReal())
+	s := frontOf(t, h, retryRoute(), []*testServer{ended, other})
+	require.Equal(t, http.StatusOK, readStatus(t, callFront(t, s, "1")))
+	require.NotContains(t, scrape(t, h), "jx_repeats_total", "one request arrived")
+}
+
+// TestARetryThatReachedNoServerIsReusedForTheNextAttempt lets three servers be chosen in turn: one turns the request away, one has ended, one
+// answers.
+func TestARetryThatReachedNoServerIsReusedForTheNextAttempt(t *testing.T) {
+	away, ended, other := newTestServer(t, "away", refusing("20")), newTestServer(t, "ended", nil), newTestServer(t, "other", sealed)
+	require.NoError(t, ended.listener.Close())
+	ended.server.Observe(false)
+	for range 3 {
+		other.server.Observe(false)
+	}
+	h := plainHandler(t, timer.NewReal())
+	s := frontOf(t, h, retryRoute(), []*testServer{away, ended, other})
+	require.Equal(t, http.StatusOK, readStatus(t, callFront(t, s, "1")))
+	require.Equal(t, 1, requestCount([]*testServer{away}))
+	require.Contains(t, scrape(t, h), "jx_repeats_total{service=\"s\"} 1\n", "two requests arrived")
+}
--- a/forward/news_test.go
+++ b/forward/startup_test.go
@@ -21,30 +21,30 @@
 	const sleepers = 3
 	h, clock := testHandler(t, nil)
 	got := make(chan *follow.Snapshot, 1)
-	go func() { got <- h.awaitNews(t.Context()) }()
-	for waited := time.Duration(0); waited < newsWait; waited += newsPoll {
+	go func() { got <- h.awaitSnapshot(t.Context()) }()
+	for waited := time.Duration(0); waited < startupWait; waited += startupPoll {
 		require.Empty(t, got, "it is not refused at once")
 		require.NoError(t, clock.BlockUntilContext(t.Context(), sleepers))
-		clock.Advance(newsPoll)
+		clock.Advance(startupPoll)
 	}
 	require.Nil(t, (<-got).Catalog(), "without a configuration it is refused in time")
 }
 
-// TestARequestDoesNotWaitForNewsThatAnOutageKeepsAway lets a request arrive long after the start of an instance that has heard nothing.
-func TestARequestDoesNotWaitForNewsThatAnOutageKeepsAway(t *testing.T) {
+// TestARequestDoesNotWaitForTheConfigurationDuringAnOutage lets a request arrive long after the start of an instance that has heard nothing.
+func TestARequestDoesNotWaitForTheConfigurationDuringAnOutage(t *testing.T) {
 	h, clock := testHandler(t, nil)
-	clock.Advance(newsTime)
-	require.Nil(t, h.awaitNews(t.Context()).Catalog(), "the clock stands still, so that any wait would not end")
+	clock.Advance(startupPeriod)
+	require.Nil(t, h.awaitSnapshot(t.Context()).Catalog(), "the clock stands still, so that any wait would not end")
 }
 
-// starting is a source that knows the configuration at once and the servers later, as a store that is asked by all instances at once.
-type starting struct {
+// lateServers is a source that knows the configuration at once and the servers later, as a store that is asked by all instances at once.
+type lateServers struct {
 	catalog *catalog.Catalog
 	servers chan struct{}
 }
 
 // Read implements follow.Source.
-func (s starting) Read(ctx context.Context, feed follow.Feed) (follow.News, error) {
+func (s lateServers) Read(ctx context.Context, feed follow.Feed) (follow.News, error) {
 	if feed == follow.FeedConfig {
 		return follow.News{Changes: []follow.Change{follow.Configured{Catalog: s.catalog}}, At: 1, Known: time.Now()}, nil
 	}
@@ -58,7 +58,7 @@
 }
 
 // Next implements follow.Source.
-func (starting) Next(ctx context.Context, _ follow.Feed, _ follow.Position) (follow.News, error) {
+func (lateServers) Next(ctx context.Context, _ follow.Feed, _ follow.Position) (follow.News, error) {
 	<-ctx.Done()
 	return follow.News{}, ctx.Err()
 }
@@ -70,23 +70,23 @@
 	ready := make(chan struct{})
 	c, err := catalog.New(&catalog.Content{Version: 1, Services: []catalog.Service{{Name: "plain"}}})
 	require.NoError(t, err)
-	source := starting{catalog: c, servers: ready}
+	source := lateServers{catalog: c, servers: ready}
 	follow.New(t.Context(), source, h.board, h.ends, timer.New(clock), metrics.New(), testlog.New(t))
 	require.Eventually(t, func() bool { return h.board.Current().Catalog() != nil }, 30*time.Second, time.Millisecond)
 	got := make(chan *follow.Snapshot, 1)
-	go func() { got <- h.awaitNews(t.Context()) }()
+	go func() { got <- h.awaitSnapshot(t.Context()) }()
 	// The tickers of the watcher, of the prober and of the control goroutine, and the request.
 	const sleepers = 4
 	for range 10 {
 		require.NoError(t, clock.BlockUntilContext(t.Context(), sleepers))
 		require.Empty(t, got, "it waits")
-		clock.Advance(newsPoll)
+		clock.Advance(startupPoll)
 	}
 	close(ready)
 	require.Eventually(t, h.board.Listed, 30*time.Second, time.Millisecond)
 	// The request may have looked after the servers were listed already, or sleeps.
 	require.Eventually(t, func() bool {
-		clock.Advance(newsPoll)
+		clock.Advance(startupPoll)
 		return len(got) > 0
 	}, 30*time.Second, time.Millisecond)
 	require.Len(t, (<-got).Group("plain").Servers(), 1)
