--- a/forward/probe.go
+++ b/forward/probe.go
@@ -23,9 +23,9 @@
 	maxProbesPerRound = 4.0
 	// freshReportAge is how old the latest report of a server on its memory must be for the server to be queried again.
 	freshReportAge = 500 * time.Millisecond
-	// ownDomainWeight is the weight of servers of the own domain, which are queried that many times sooner since they get
+	// ownDomainProbeWeight is the weight of servers of the own domain, which are queried that many times sooner since they get
 	// most of the streams.
-	ownDomainWeight = 3
+	ownDomainProbeWeight = 3
 )
 
 // prober queries the servers that limit the lanes for their memory. An instance knows only its own streams, so a server that
@@ -108,7 +108,7 @@
 		n := chain.Narrowest(group.Graph(), lanes[i].Hops)
 		t.weights[n] = max(t.weights[n], 1)
 		if lanes[i].Domain == domain {
-			t.weights[n] = ownDomainWeight
+			t.weights[n] = ownDomainProbeWeight
 		}
 	}
 	return t
