--- a/forward/queue.go
+++ b/forward/queue.go
@@ -19,8 +19,8 @@
 	initialLifetime   = 3 * time.Second
 	initialFirstEvent = 100 * time.Millisecond
 	initialOutage     = 3 * time.Second
-	// usualQuantile is the part of the first events that arrive within the usual time.
-	usualQuantile = 0.75
+	// firstEventQuantile is the part of the first events that arrive within the usual time.
+	firstEventQuantile = 0.75
 	// initialEnds is the weight of the initial assumption that each own stream that ends makes one place free, in streams;
 	// after maxEnds ends, older ones count half.
 	initialEnds = 8.0
@@ -208,7 +208,7 @@
 func (q *queue) usualFirstEvent() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.firstEvents.quantile(usualQuantile)
+	return q.firstEvents.quantile(firstEventQuantile)
 }
 
 // awaitPath returns the path for the next attempt. A first attempt waits its turn for room while that is likely to leave time
