--- a/backend/limit.go
+++ b/backend/limit.go
@@ -12,10 +12,10 @@
 // limiter keeps an instance's part of the limit that a server names in its answers.
 type limiter struct {
 	mu    sync.Mutex
-	named call.Limit
-	// at is when an answer last named it.
-	at   time.Time
-	pace retry.Pace
+	limit call.Limit
+	// namedAt is when an answer last named it.
+	namedAt time.Time
+	pacer   retry.Pacer
 }
 
 // NameLimit takes over what an answer to a request that was sent at a moment says of the server's limit, and reports whether that is new. A
@@ -25,16 +25,16 @@
 	k := &s.limiter
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if l.Named && l.PerSecond < 0 || !l.Named && !sent.After(k.at) {
+	if l.Named && l.PerSecond < 0 || !l.Named && !sent.After(k.namedAt) {
 		return false
 	}
-	was := k.named
-	k.named = l
+	was := k.limit
+	k.limit = l
 	if l.Named {
-		k.at = now
+		k.namedAt = now
 	}
 	if l.Named && !was.Named {
-		k.pace = retry.NewPace(now, rand.Float64())
+		k.pacer = retry.NewPacer(now, rand.Float64())
 	}
 	return l != was
 }
@@ -55,7 +55,7 @@
 	if !k.readyLocked(instances, now) {
 		return false
 	}
-	k.pace.Sent(k.part(instances), now, rand.Float64())
+	k.pacer.Sent(k.quota(instances), now, rand.Float64())
 	return true
 }
 
@@ -65,32 +65,34 @@
 	k := &s.limiter
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.named.Named {
+	if !k.limit.Named {
 		return time.Time{}, 0, false
 	}
-	part := k.part(instances)
-	return k.pace.Next(part), part.Period(), true
+	quota := k.quota(instances)
+	return k.pacer.Next(quota), quota.Period(), true
 }
 
-func (k *limiter) part(instances int) retry.Part { return retry.PartOf(k.named.PerSecond, instances) }
+func (k *limiter) quota(instances int) retry.Quota {
+	return retry.QuotaOf(k.limit.PerSecond, instances)
+}
 
 func (k *limiter) readyLocked(instances int, now time.Time) bool {
-	return !k.named.Named || k.pace.Ready(k.part(instances), now, rand.Float64())
+	return !k.limit.Named || k.pacer.Ready(k.quota(instances), now, rand.Float64())
 }
 
 // limited reports whether the server names a limit.
 func (s *Server) limited() bool {
 	s.limiter.mu.Lock()
 	defer s.limiter.mu.Unlock()
-	return s.limiter.named.Named
+	return s.limiter.limit.Named
 }
 
 // inheritLimit takes over what the same start of the server has named.
 func (s *Server) inheritLimit(former *Server) {
 	former.limiter.mu.Lock()
-	named, at, pace := former.limiter.named, former.limiter.at, former.limiter.pace
+	limit, namedAt, pacer := former.limiter.limit, former.limiter.namedAt, former.limiter.pacer
 	former.limiter.mu.Unlock()
 	s.limiter.mu.Lock()
 	defer s.limiter.mu.Unlock()
-	s.limiter.named, s.limiter.at, s.limiter.pace = named, at, pace
+	s.limiter.limit, s.limiter.namedAt, s.limiter.pacer = limit, namedAt, pacer
 }
--- a/retry/pause.go
+++ b/retry/backoff.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	firstPause   = 5 * time.Millisecond
-	longestPause = 500 * time.Millisecond
+	basePause = 5 * time.Millisecond
+	maxPause  = 500 * time.Millisecond
 )
 
 // maxDoublings keeps a doubled pause from overflowing; it is far beyond every longest pause.
@@ -20,6 +20,6 @@
 	if retry == 0 {
 		return 0
 	}
-	full := Doubled(firstPause, longestPause, retry)
+	full := Doubled(basePause, maxPause, retry)
 	return time.Duration(float64(full) * random)
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// steadyPart is the part of the limit that comes in evenly, burstPart the part that may be saved. What a window holds is what was saved
+	// refillFraction is the part of the limit that comes in evenly, burstPart the part that may be saved. What a window holds is what was saved
 	// before it and what came in during it, so that both together are the whole limit, however often processes start without savings.
-	steadyPart = 0.5
-	burstPart  = 1 - steadyPart
+	refillFraction = 0.5
+	burstFraction  = 1 - refillFraction
 	// windowSlots is the number of parts of a window; the oldest part is forgotten as a whole.
 	windowSlots = 10
 )
@@ -31,7 +31,7 @@
 type Budget struct {
 	mu      sync.Mutex
 	limit   Limit
-	begun   time.Time
+	started time.Time
 	buckets map[string]*bucket
 }
 
@@ -47,7 +47,7 @@
 
 // NewBudget returns the part of an instance whose process has just started.
 func NewBudget(limit Limit, now time.Time) *Budget {
-	return &Budget{limit: limit, begun: now, buckets: map[string]*bucket{}}
+	return &Budget{limit: limit, started: now, buckets: map[string]*bucket{}}
 }
 
 // SetLimit replaces the Limit; what was saved is cut to what the new one lets be saved.
@@ -56,7 +56,7 @@
 	defer b.mu.Unlock()
 	b.limit = limit
 	for _, k := range b.buckets {
-		k.requests.divide(limit.Window / windowSlots)
+		k.requests.setSlot(limit.Window / windowSlots)
 	}
 }
 
@@ -65,9 +65,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.bucket(service)
-	k.settle(b.limit, instances, now)
+	k.refill(b.limit, instances, now)
 	k.requests.Add(now)
-	k.tokens += steadyPart * b.limit.Share
+	k.tokens += refillFraction * b.limit.Share
 }
 
 // Take takes a repeat for a service and reports whether it is allowed; instances is the number of those that share the Limit.
@@ -75,7 +75,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.bucket(service)
-	k.settle(b.limit, instances, now)
+	k.refill(b.limit, instances, now)
 	if k.tokens < 1 {
 		return false
 	}
@@ -88,7 +88,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.bucket(service)
-	k.settle(b.limit, instances, now)
+	k.refill(b.limit, instances, now)
 	return Allowance{Requests: k.requests.Sum(now), Fixed: b.limit.Fixed / float64(instances), Left: k.tokens}
 }
 
@@ -103,7 +103,7 @@
 func (b *Budget) bucket(service string) *bucket {
 	k := b.buckets[service]
 	if k == nil {
-		k = &bucket{settled: b.begun, requests: NewTally(windowSlots, b.limit.Window/windowSlots)}
+		k = &bucket{refilledAt: b.started, requests: NewTally(windowSlots, b.limit.Window/windowSlots)}
 		b.buckets[service] = k
 	}
 	return k
@@ -112,17 +112,17 @@
 // bucket holds the repeats that one service may still have.
 type bucket struct {
 	tokens float64
-	// settled is up to when the fixed part has come in.
-	settled time.Time
+	// refilledAt is up to when the fixed part has come in.
+	refilledAt time.Time
 	// requests are those of at most one window.
 	requests *Tally
 }
 
-// settle lets the fixed part come in and forgets what is more than may be saved. It goes before the count of a request, so that
+// refill lets the fixed part come in and forgets what is more than may be saved. It goes before the count of a request, so that
 // what may be saved follows from requests before the moment only.
-func (k *bucket) settle(limit Limit, instances int, now time.Time) {
+func (k *bucket) refill(limit Limit, instances int, now time.Time) {
 	fixed := limit.Fixed / float64(instances)
-	k.tokens += steadyPart * fixed * now.Sub(k.settled).Seconds() / limit.Window.Seconds()
-	k.settled = now
-	k.tokens = min(k.tokens, burstPart*(limit.Share*float64(k.requests.Sum(now))+fixed))
+	k.tokens += refillFraction * fixed * now.Sub(k.refilledAt).Seconds() / limit.Window.Seconds()
+	k.refilledAt = now
+	k.tokens = min(k.tokens, burstFraction*(limit.Share*float64(k.requests.Sum(now))+fixed))
 }
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -10,15 +10,15 @@
 	"junctioncross/retry"
 )
 
-// TestABudgetTakesOverNewLimitsAndKeepsWhatTheyAllow changes share, fixed part and window while repeats are taken.
-func TestABudgetTakesOverNewLimitsAndKeepsWhatTheyAllow(t *testing.T) {
+// TestABudgetAppliesNewLimits changes share, fixed part and window while repeats are taken.
+func TestABudgetAppliesNewLimits(t *testing.T) {
 	now := time.Unix(0, 0)
 	limit := retry.Limit{Window: 10 * time.Second, Fixed: 2}
 	b := retry.NewBudget(limit, now)
-	take := func() bool { return b.Take(one, 1, now) }
+	take := func() bool { return b.Take(serviceName, 1, now) }
 	requests := func(n int) {
 		for range n {
-			b.Request(one, 1, now)
+			b.Request(serviceName, 1, now)
 		}
 	}
 	now = now.Add(limit.Window)
@@ -43,26 +43,26 @@
 	require.False(t, take())
 }
 
-// TestNoWindowHoldsMoreRepeatsThanItsRequestsAllow counts over every span of the window's length that ends at a repeat, with
+// TestNoWindowHoldsMoreRetriesThanItsRequestsAllow counts over every span of the window's length that ends at a repeat, with
 // the requests of that span and of the one before, as the users count them.
-func TestNoWindowHoldsMoreRepeatsThanItsRequestsAllow(t *testing.T) {
+func TestNoWindowHoldsMoreRetriesThanItsRequestsAllow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 10 * time.Second
-		const share, slack = 0.2, 7.0
+		const share, fixed = 0.2, 7.0
 		now := time.Unix(0, 0)
-		b := retry.NewBudget(retry.Limit{Window: length, Share: share, Fixed: slack}, now)
-		var requests, repeats []time.Time
+		b := retry.NewBudget(retry.Limit{Window: length, Share: share, Fixed: fixed}, now)
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(one, 1, now)
+				b.Request(serviceName, 1, now)
 				requests = append(requests, now)
 				continue
 			}
-			if b.Take(one, 1, now) {
-				repeats = append(repeats, now)
-				allowed := share*float64(within(requests, now, 2*length)) + slack
-				require.LessOrEqual(t, float64(within(repeats, now, length)), allowed)
+			if b.Take(serviceName, 1, now) {
+				retries = append(retries, now)
+				allowed := share*float64(within(requests, now, 2*length)) + fixed
+				require.LessOrEqual(t, float64(within(retries, now, length)), allowed)
 			}
 		}
 	})
@@ -78,16 +78,16 @@
 	return n
 }
 
-// TestALimitIsUsedUpWhereRepeatsAreWanted lets one instance and a hundred want repeats for one window and for many.
-func TestALimitIsUsedUpWhereRepeatsAreWanted(t *testing.T) {
+// TestTheBudgetIsUsedUpWhereRetriesAreWanted lets one instance and a hundred want repeats for one window and for many.
+func TestTheBudgetIsUsedUpWhereRetriesAreWanted(t *testing.T) {
 	for _, instances := range []int{1, 100} {
 		f := newSimulatedFleet(instances, shared)
 		each := func(int) float64 { return 300 / float64(instances) }
 		f.run(2*shared.Window, each, false)
 		f.run(shared.Window, each, true)
-		require.InDelta(t, 0.97, f.mostOfAllowed(), 0.03, "the first window in which repeats are wanted")
+		require.InDelta(t, 0.97, f.maxUse(), 0.03, "the first window in which repeats are wanted")
 		begun := f.now
 		f.run(2*shared.Window, each, true)
-		require.InDelta(t, 0.5, float64(between(f.repeats, begun, f.now))/(2*f.allowed(f.now)), 0.03, "what comes in evenly")
+		require.InDelta(t, 0.5, float64(between(f.retries, begun, f.now))/(2*f.allowed(f.now)), 0.03, "what comes in evenly")
 	}
 }
--- a/retry/circuit.go
+++ b/retry/circuit.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	firstOpen = 250 * time.Millisecond
-	longest   = 8 * time.Second
+	initialOpenTime = 250 * time.Millisecond
+	maxOpenTime     = 8 * time.Second
 )
 
 // Circuit keeps work away from a backend server that has failed, and lets a single trial through after a while.
@@ -20,7 +20,7 @@
 	if now.Before(c.until) {
 		return
 	}
-	c.until = now.Add(Doubled(firstOpen, longest, c.failures))
+	c.until = now.Add(Doubled(initialOpenTime, maxOpenTime, c.failures))
 	c.failures++
 	c.trial = false
 }
@@ -36,12 +36,12 @@
 	return now.Before(c.until) || c.trial
 }
 
-// Admit takes the single trial of a circuit whose pause is over; it does nothing to a closed one.
-func (c *Circuit) Admit() {
+// StartTrial takes the single trial of a circuit whose pause is over; it does nothing to a closed one.
+func (c *Circuit) StartTrial() {
 	if c.failures > 0 {
 		c.trial = true
 	}
 }
 
-// Settled gives the trial back when its outcome says nothing about the server.
-func (c *Circuit) Settled() { c.trial = false }
+// ReleaseTrial gives the trial back when its outcome says nothing about the server.
+func (c *Circuit) ReleaseTrial() { c.trial = false }
--- a/retry/fleet_test.go
+++ b/retry/fleet_test.go
@@ -14,8 +14,8 @@
 
 const (
 	// tick is the step of the simulated time.
-	tick = 50 * time.Millisecond
-	one  = "service"
+	tick        = 50 * time.Millisecond
+	serviceName = "service"
 )
 
 var shared = retry.Limit{Window: 10 * time.Second, Share: 0.2, Fixed: 330}
@@ -25,14 +25,14 @@
 	limit   retry.Limit
 	now     time.Time
 	budgets []*retry.Budget
-	// owed is the part of a request that each instance is still to get.
-	owed     []float64
-	requests []time.Time
-	repeats  []time.Time
+	// owedRequests is the part of a request that each instance is still to get.
+	owedRequests []float64
+	requests     []time.Time
+	retries      []time.Time
 }
 
 func newSimulatedFleet(instances int, limit retry.Limit) *simulatedFleet {
-	f := &simulatedFleet{limit: limit, now: time.Unix(0, 0), owed: make([]float64, instances)}
+	f := &simulatedFleet{limit: limit, now: time.Unix(0, 0), owedRequests: make([]float64, instances)}
 	for range instances {
 		f.budgets = append(f.budgets, retry.NewBudget(limit, f.now))
 	}
@@ -45,35 +45,35 @@
 // resize lets instances come or leave until there are so many; all of them know at once.
 func (f *simulatedFleet) resize(instances int) {
 	for len(f.budgets) < instances {
-		f.budgets, f.owed = append(f.budgets, retry.NewBudget(f.limit, f.now)), append(f.owed, 0)
+		f.budgets, f.owedRequests = append(f.budgets, retry.NewBudget(f.limit, f.now)), append(f.owedRequests, 0)
 	}
-	f.budgets, f.owed = f.budgets[:instances], f.owed[:instances]
+	f.budgets, f.owedRequests = f.budgets[:instances], f.owedRequests[:instances]
 }
 
 // run lets time pass; rate returns the requests a second of an instance, and wants whether instances want repeats.
-func (f *simulatedFleet) run(span time.Duration, rate func(instance int) float64, wants bool) {
+func (f *simulatedFleet) run(span time.Duration, rate func(instance int) float64, wantsRetries bool) {
 	for end := f.now.Add(span); f.now.Before(end); f.now = f.now.Add(tick) {
 		for i, b := range f.budgets {
-			for f.owed[i] += rate(i) * tick.Seconds(); f.owed[i] >= 1; f.owed[i]-- {
-				b.Request(one, len(f.budgets), f.now)
+			for f.owedRequests[i] += rate(i) * tick.Seconds(); f.owedRequests[i] >= 1; f.owedRequests[i]-- {
+				b.Request(serviceName, len(f.budgets), f.now)
 				f.requests = append(f.requests, f.now)
 			}
-			for wants && b.Take(one, len(f.budgets), f.now) {
-				f.repeats = append(f.repeats, f.now)
+			for wantsRetries && b.Take(serviceName, len(f.budgets), f.now) {
+				f.retries = append(f.retries, f.now)
 			}
 		}
 	}
 }
 
-// mostOfAllowed returns the most repeats that a window of the limit held, against those that it allows.
-func (f *simulatedFleet) mostOfAllowed() float64 {
+// maxUse returns the most repeats that a window of the limit held, against those that it allows.
+func (f *simulatedFleet) maxUse() float64 {
 	most := 0.0
-	for i := range f.repeats {
-		if i+1 < len(f.repeats) && f.repeats[i+1].Equal(f.repeats[i]) {
+	for i := range f.retries {
+		if i+1 < len(f.retries) && f.retries[i+1].Equal(f.retries[i]) {
 			continue
 		}
-		end := f.repeats[i].Add(1)
-		most = max(most, float64(between(f.repeats, end.Add(-f.limit.Window), end))/f.allowed(end))
+		end := f.retries[i].Add(1)
+		most = max(most, float64(between(f.retries, end.Add(-f.limit.Window), end))/f.allowed(end))
 	}
 	return most
 }
@@ -98,33 +98,33 @@
 	return at(to) - at(from)
 }
 
-// TestRestartsDoNotRenewTheAllowanceOfRepeats restarts a part of the instances, once or in series, while all want repeats.
-func TestRestartsDoNotRenewTheAllowanceOfRepeats(t *testing.T) {
+// TestRestartsDoNotRenewTheRetryBudget restarts a part of the instances, once or in series, while all want repeats.
+func TestRestartsDoNotRenewTheRetryBudget(t *testing.T) {
 	for _, c := range []struct {
 		requests float64
-		part     int
+		percent  int
 		times    int
 	}{{282, 0, 0}, {282, 60, 1}, {282, 100, 1}, {282, 60, 3}, {60, 60, 1}, {60, 100, 1}, {60, 100, 4}, {60, 100, 20}} {
-		t.Run(fmt.Sprintf("%v requests a second, %d in 100 restart %d times", c.requests, c.part, c.times), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v requests a second, %d in 100 restart %d times", c.requests, c.percent, c.times), func(t *testing.T) {
 			f := newSimulatedFleet(73, shared)
 			each := func(int) float64 { return c.requests / float64(len(f.budgets)) }
 			f.run(20*time.Second, each, false)
 			f.run(time.Second, each, true)
 			for range c.times {
-				for i := range len(f.budgets) * c.part / 100 {
+				for i := range len(f.budgets) * c.percent / 100 {
 					f.restart(i)
 				}
 				f.run(time.Second, each, true)
 			}
 			f.run(20*time.Second, each, true)
-			require.NotEmpty(t, f.repeats)
-			require.LessOrEqual(t, f.mostOfAllowed(), 1.0)
+			require.NotEmpty(t, f.retries)
+			require.LessOrEqual(t, f.maxUse(), 1.0)
 		})
 	}
 }
 
-// TestTheLimitOnRepeatsHoldsWhileTrafficMoves sends all requests to one half of the instances and then to the other.
-func TestTheLimitOnRepeatsHoldsWhileTrafficMoves(t *testing.T) {
+// TestTheRetryLimitHoldsWhileTrafficMoves sends all requests to one half of the instances and then to the other.
+func TestTheRetryLimitHoldsWhileTrafficMoves(t *testing.T) {
 	f := newSimulatedFleet(10, shared)
 	half := func(of int) func(int) float64 {
 		return func(i int) float64 { return float64(200 * (1 - (i+of)%2)) }
@@ -132,12 +132,12 @@
 	f.run(20*time.Second, half(0), false)
 	f.run(time.Second, half(0), true)
 	f.run(30*time.Second, half(1), true)
-	require.LessOrEqual(t, f.mostOfAllowed(), 1.0)
+	require.LessOrEqual(t, f.maxUse(), 1.0)
 }
 
-// TestTheLimitOnRepeatsHoldsForTheWholeFleet draws restarts, instances that come and leave, traffic that moves, rises and falls, and times
+// TestTheRetryLimitHoldsForTheWholeFleet draws restarts, instances that come and leave, traffic that moves, rises and falls, and times
 // in which repeats are wanted.
-func TestTheLimitOnRepeatsHoldsForTheWholeFleet(t *testing.T) {
+func TestTheRetryLimitHoldsForTheWholeFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := retry.Limit{
 			Window: time.Duration(rapid.IntRange(1, 12).Draw(t, "window")) * time.Second,
@@ -155,6 +155,6 @@
 				f.resize(rapid.IntRange(1, 12).Draw(t, "now"))
 			}
 		}
-		require.LessOrEqual(t, f.mostOfAllowed(), 1.0)
+		require.LessOrEqual(t, f.maxUse(), 1.0)
 	})
 }
--- a/retry/pace_test.go
+++ b/retry/pace_test.go
@@ -15,7 +15,7 @@
 	random *rand.Rand
 	now    time.Time
 	limit  float64
-	paces  []Pace
+	pacers []Pacer
 	// sent holds the requests of each step.
 	sent []int
 }
@@ -23,19 +23,19 @@
 func newPacedFleet(seed uint64, limit float64, instances int) *pacedFleet {
 	f := &pacedFleet{random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(0, 0), limit: limit}
 	for range instances {
-		f.paces = append(f.paces, NewPace(f.now, f.random.Float64()))
+		f.pacers = append(f.pacers, NewPacer(f.now, f.random.Float64()))
 	}
 	return f
 }
 
-// play lets each instance have a request for the server with a likelihood in each step.
-func (f *pacedFleet) play(lasts time.Duration, demand float64) {
-	part := PartOf(f.limit, len(f.paces))
+// run lets each instance have a request for the server with a likelihood in each step.
+func (f *pacedFleet) run(lasts time.Duration, demand float64) {
+	quota := QuotaOf(f.limit, len(f.pacers))
 	for range lasts / paceStep {
 		sent := 0
-		for i := range f.paces {
-			if f.random.Float64() < demand && f.paces[i].Ready(part, f.now, f.random.Float64()) {
-				f.paces[i].Sent(part, f.now, f.random.Float64())
+		for i := range f.pacers {
+			if f.random.Float64() < demand && f.pacers[i].Ready(quota, f.now, f.random.Float64()) {
+				f.pacers[i].Sent(quota, f.now, f.random.Float64())
 				sent++
 			}
 		}
@@ -44,35 +44,35 @@
 	}
 }
 
-// worst returns the most requests in a window by what is allowed in it.
-func (f *pacedFleet) worst() float64 {
-	slots, in, most := int(limitWindow/paceStep), 0, 0
+// maxLoad returns the most requests in a window by what is allowed in it.
+func (f *pacedFleet) maxLoad() float64 {
+	slots, inWindow, most := int(limitWindow/paceStep), 0, 0
 	for i, n := range f.sent {
-		in += n
+		inWindow += n
 		if i >= slots {
-			in -= f.sent[i-slots]
+			inWindow -= f.sent[i-slots]
 		}
-		most = max(most, in)
+		most = max(most, inWindow)
 	}
 	return float64(most) / (limitShare*limitWindow.Seconds()*f.limit + limitFixed)
 }
 
 func TestAllInstancesTogetherKeepToTheLimitOfAServer(t *testing.T) {
-	const draws, busy = 3, 30 * time.Second
+	const seeds, busy = 3, 30 * time.Second
 	for _, instances := range []int{1, 8, 24, 73, 985} {
 		for _, limit := range []float64{0, 1, 4.4, 20, 200} {
 			worst := 0.0
-			for seed := range uint64(draws) {
+			for seed := range uint64(seeds) {
 				f := newPacedFleet(seed, limit, instances)
-				f.play(busy, 1)
-				worst = max(worst, f.worst())
+				f.run(busy, 1)
+				worst = max(worst, f.maxLoad())
 				// All have rested for long, and are all asked at once.
-				f.play(busy, 0)
-				f.play(busy, 1)
-				worst = max(worst, f.worst())
-				f.play(busy, 0.01)
-				f.play(busy, 1)
-				worst = max(worst, f.worst())
+				f.run(busy, 0)
+				f.run(busy, 1)
+				worst = max(worst, f.maxLoad())
+				f.run(busy, 0.01)
+				f.run(busy, 1)
+				worst = max(worst, f.maxLoad())
 			}
 			require.LessOrEqual(t, worst, 1.0, "limit %.2f, %d instances", limit, instances)
 		}
@@ -81,19 +81,19 @@
 
 func TestAnInstanceThatHearsOfALimitSendsNothingForAWhile(t *testing.T) {
 	now := time.Unix(0, 0)
-	p := NewPace(now, 0)
-	part := PartOf(200, 1)
-	require.False(t, p.Ready(part, now.Add(debtTime-1), 0))
-	require.True(t, p.Ready(part, now.Add(debtTime), 0))
+	p := NewPacer(now, 0)
+	quota := QuotaOf(200, 1)
+	require.False(t, p.Ready(quota, now.Add(initialDelay-1), 0))
+	require.True(t, p.Ready(quota, now.Add(initialDelay), 0))
 }
 
-func TestAFewInstancesKeepATurnThatManyWouldLose(t *testing.T) {
+func TestUnusedPermitsExpireOnlyInLargeFleets(t *testing.T) {
 	now := time.Unix(0, 0)
 	for name, c := range map[string]struct {
 		instances int
 		ready     bool
 	}{"few": {8, true}, "many": {985, false}} {
-		p := NewPace(now, 0)
-		require.Equal(t, c.ready, p.Ready(PartOf(4.4, c.instances), now.Add(time.Hour), 0.5), name)
+		p := NewPacer(now, 0)
+		require.Equal(t, c.ready, p.Ready(QuotaOf(4.4, c.instances), now.Add(time.Hour), 0.5), name)
 	}
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -24,10 +24,10 @@
 		require.GreaterOrEqual(t, pause, last)
 		last = pause
 		now = now.Add(pause)
-		c.Admit()
+		c.StartTrial()
 		require.True(t, c.Open(now), "a second trial at the same time")
 	}
-	c.Settled()
+	c.ReleaseTrial()
 	require.False(t, c.Open(now))
 	c.Succeeded()
 	for range 100 {
--- a/retry/guard.go
+++ b/retry/synccircuit.go
@@ -29,14 +29,14 @@
 func (g *Guard) Settled() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.circuit.Settled()
+	g.circuit.ReleaseTrial()
 }
 
 // Admit takes the single trial of a circuit whose pause is over.
 func (g *Guard) Admit() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.circuit.Admit()
+	g.circuit.StartTrial()
 }
 
 // Open reports whether the server gets no work now.
--- a/retry/tally.go
+++ b/retry/windowcounter.go
@@ -4,11 +4,11 @@
 
 // Tally counts events of the last while in equal parts of the time, of which the oldest is forgotten as a whole.
 type Tally struct {
-	slot   time.Duration
-	counts []int
-	at     int
-	// since is when the present part began; zero before the first use.
-	since time.Time
+	slot    time.Duration
+	counts  []int
+	current int
+	// slotStart is when the present part began; zero before the first use.
+	slotStart time.Time
 }
 
 // NewTally returns a Tally over so many parts of length slot, the present one included.
@@ -19,7 +19,7 @@
 // Add counts one event.
 func (t *Tally) Add(now time.Time) {
 	t.advance(now)
-	t.counts[t.at]++
+	t.counts[t.current]++
 }
 
 // Sum returns how many events there were.
@@ -28,35 +28,35 @@
 	return t.total()
 }
 
-// divide takes over another length of the parts; what was counted counts as if it had all happened now.
-func (t *Tally) divide(slot time.Duration) {
+// setSlot takes over another length of the parts; what was counted counts as if it had all happened now.
+func (t *Tally) setSlot(slot time.Duration) {
 	if slot == t.slot {
 		return
 	}
-	all := t.total()
+	sum := t.total()
 	clear(t.counts)
-	t.counts[t.at], t.slot = all, slot
+	t.counts[t.current], t.slot = sum, slot
 }
 
 func (t *Tally) total() int {
-	all := 0
+	sum := 0
 	for _, c := range t.counts {
-		all += c
+		sum += c
 	}
-	return all
+	return sum
 }
 
 func (t *Tally) advance(now time.Time) {
-	if t.since.IsZero() {
-		t.since = now
+	if t.slotStart.IsZero() {
+		t.slotStart = now
 	}
-	steps := int(now.Sub(t.since) / t.slot)
+	steps := int(now.Sub(t.slotStart) / t.slot)
 	if steps <= 0 {
 		return
 	}
-	t.since = t.since.Add(time.Duration(steps) * t.slot)
+	t.slotStart = t.slotStart.Add(time.Duration(steps) * t.slot)
 	for range min(steps, len(t.counts)) {
-		t.at = (t.at + 1) % len(t.counts)
-		t.counts[t.at] = 0
+		t.current = (t.current + 1) % len(t.counts)
+		t.counts[t.current] = 0
 	}
 }
