--- a/backend/backoff.go
+++ b/backend/backoff.go
@@ -4,7 +4,7 @@
 
 // BackOff keeps new work of this instance away from the server until a moment, since the server asked for that. Of two such moments the
 // later one holds.
-func (s *Server) BackOff(until time.Time) { s.backOff.extend(until) }
+func (s *Server) BackOff(until time.Time) { s.backOff.storeIfLater(until) }
 
 // BackedOff reports whether the server wants nothing new from this instance yet.
 func (s *Server) BackedOff(now time.Time) bool { return now.Before(s.backOff.load()) }
@@ -12,7 +12,7 @@
 // Returns returns when the server may get new work again that it gets none of only because it asked for that; false means that it may now, or
 // that there is another reason.
 func (s *Server) Returns(now time.Time) (time.Time, bool) {
-	if !s.BackedOff(now) || !s.standing(now) {
+	if !s.BackedOff(now) || !s.usableIgnoringBackOff(now) {
 		return time.Time{}, false
 	}
 	return s.backOff.load(), true
@@ -27,7 +27,7 @@
 		return next, true
 	case backedOff:
 		return at, true
-	case limited && next.After(now) && s.standing(now):
+	case limited && next.After(now) && s.usableIgnoringBackOff(now):
 		return next, true
 	default:
 		return time.Time{}, false
@@ -36,7 +36,7 @@
 
 // SayFarewell notes that the server says in an answer that it leaves, whatever its entry says, and reports whether that is new.
 func (s *Server) SayFarewell(now time.Time) bool {
-	if !s.farewell.CompareAndSwap(false, true) {
+	if !s.leaveNotice.CompareAndSwap(false, true) {
 		return false
 	}
 	s.NoteLeaving(now)
@@ -45,15 +45,15 @@
 
 // Remembers reports whether the server has said something to this instance that holds for as long as it runs, or for a time that is not over.
 func (s *Server) Remembers(now time.Time) bool {
-	return s.farewell.Load() || s.leaving.Load() || s.limited() || s.BackedOff(now)
+	return s.leaveNotice.Load() || s.leaving.Load() || s.limited() || s.BackedOff(now)
 }
 
 // Inherit takes over what the same start of the server said to this instance before its entry had vanished for a while.
 func (s *Server) Inherit(former *Server) {
 	s.BackOff(former.backOff.load())
 	s.inheritLimit(former)
-	if former.farewell.Load() || former.leaving.Load() {
-		s.farewell.Store(true)
+	if former.leaveNotice.Load() || former.leaving.Load() {
+		s.leaveNotice.Store(true)
 		s.NoteLeaving(former.leavingSince.load())
 	}
 }
--- a/backend/backoff_test.go
+++ b/backend/backoff_test.go
@@ -27,7 +27,7 @@
 	require.False(t, s.Suspected(now), "it is well")
 }
 
-func TestAServerThatGetsNoWorkForAnotherReasonDoesNotReturnWithItsBackOff(t *testing.T) {
+func TestTheEndOfABackOffIsNotReportedWhileAnotherReasonHolds(t *testing.T) {
 	s, now := testServer(1), time.Unix(100, 0)
 	s.BackOff(now.Add(time.Second))
 	s.SetAside(now.Add(time.Minute))
@@ -35,7 +35,7 @@
 	require.False(t, ok)
 }
 
-func TestAFarewellOutlastsTheEntryOfTheSameStart(t *testing.T) {
+func TestALeaveNoticeOutlastsTheEntryOfItsIncarnation(t *testing.T) {
 	s, now := testServer(1), time.Unix(100, 0)
 	require.True(t, s.SayFarewell(now))
 	require.False(t, s.SayFarewell(now.Add(time.Second)), "it is told once")
@@ -52,9 +52,9 @@
 	require.Equal(t, 2*time.Second, again.LeavingFor(now.Add(2*time.Second)))
 }
 
-// TestMomentsDoNotFollowTheTimeOfDay notes moments by a clock whose time of day may be set: they must keep the reading of the steady clock, by
+// TestTimesKeepTheMonotonicClockReading notes moments by a clock whose time of day may be set: they must keep the reading of the steady clock, by
 // which differences of times are worked out where both have one.
-func TestMomentsDoNotFollowTheTimeOfDay(t *testing.T) {
+func TestTimesKeepTheMonotonicClockReading(t *testing.T) {
 	s, now := testServer(1), time.Now()
 	s.BackOff(now.Add(time.Minute))
 	s.NoteLeaving(now)
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// dialTime is several round trips between failure domains; a server that takes longer is as good as gone.
-	dialTime = 400 * time.Millisecond
-	// silentTime ends connections that fell silent, which no reset tells about: neither what was sent nor a keep-alive is acknowledged.
+	// dialTimeout is several round trips between failure domains; a server that takes longer is as good as gone.
+	dialTimeout = 400 * time.Millisecond
+	// unacknowledgedTimeout ends connections that fell silent, which no reset tells about: neither what was sent nor a keep-alive is acknowledged.
 	// It is less than the two seconds without an event after which callers leave, so that there is time to go on elsewhere. A server
 	// that is slow acknowledges all the same.
-	silentTime = 1500 * time.Millisecond
-	// idleUnknown is how long a connection may rest when the server did not say how long it keeps it.
-	idleUnknown = 4 * time.Second
+	unacknowledgedTimeout = 1500 * time.Millisecond
+	// defaultIdleTime is how long a connection may rest when the server did not say how long it keeps it.
+	defaultIdleTime = 4 * time.Second
 	// idleMargin is subtracted from what the server says, for the time until the next request arrives.
 	idleMargin = time.Second
-	// readBuffer holds the head of an answer.
-	readBuffer = 4 << 10
+	// readBufferSize holds the head of an answer.
+	readBufferSize = 4 << 10
 )
 
 // ErrDial means that no connection came about, so that nothing was sent.
@@ -58,12 +58,12 @@
 			return c, nil
 		}
 	}
-	dialer := once.AliveDialer(dialTime, silentTime)
+	dialer := once.AliveDialer(dialTimeout, unacknowledgedTimeout)
 	c, err := dialer.DialContext(ctx, "tcp4", s.addr)
 	if err != nil {
 		return nil, errors.Wrap(ErrDial, err.Error())
 	}
-	return &Conn{Conn: c, Reader: bufio.NewReaderSize(c, readBuffer), server: s}, nil
+	return &Conn{Conn: c, Reader: bufio.NewReaderSize(c, readBufferSize), server: s}, nil
 }
 
 // Listens reports whether something listens at the server's address. The connection that shows it is kept for a request.
@@ -88,15 +88,15 @@
 		i := s.idle[last]
 		s.idle = s.idle[:last]
 		s.mu.Unlock()
-		if now.Before(i.until) && i.conn.quiet() {
+		if now.Before(i.until) && i.conn.reusable() {
 			return i.conn
 		}
 		_ = i.conn.Close()
 	}
 }
 
-// quiet reports whether the connection is open and nothing has arrived on it that belongs to no request.
-func (c *Conn) quiet() bool {
+// reusable reports whether the connection is open and nothing has arrived on it that belongs to no request.
+func (c *Conn) reusable() bool {
 	if c.Reader.Buffered() > 0 {
 		return false
 	}
@@ -117,7 +117,7 @@
 // Keep keeps the connection for the next request; idle is how long the server said that it keeps it, 0 for unknown.
 func (c *Conn) Keep(now time.Time, idle time.Duration) {
 	if idle == 0 {
-		idle = idleUnknown
+		idle = defaultIdleTime
 	}
 	s := c.server
 	if idle <= idleMargin || s.Leaving() || c.Reader.Buffered() > 0 {
--- a/backend/conn_test.go
+++ b/backend/conn_test.go
@@ -11,8 +11,8 @@
 	"junctioncross/backend"
 )
 
-// TestNothingIsSentForACallerThatHasLeft asks for a connection with a context that has ended, while one rests.
-func TestNothingIsSentForACallerThatHasLeft(t *testing.T) {
+// TestNoConnectionIsGivenOutOnceTheContextHasEnded asks for a connection with a context that has ended, while one rests.
+func TestNoConnectionIsGivenOutOnceTheContextHasEnded(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
--- a/backend/alive_test.go
+++ b/backend/keepalive_test.go
@@ -12,12 +12,12 @@
 	"junctioncross/backend"
 )
 
-// callersPatience is the shortest time without an event after which callers leave.
-const callersPatience = 2000
+// callerTimeoutMillis is the shortest time without an event after which callers leave.
+const callerTimeoutMillis = 2000
 
-// TestSilentConnectionsAreFound reads back what the kernel was told: it asks the other end of an idle connection, and gives one up whose
+// TestDeadConnectionsAreDetected reads back what the kernel was told: it asks the other end of an idle connection, and gives one up whose
 // other end acknowledges nothing before callers leave.
-func TestSilentConnectionsAreFound(t *testing.T) {
+func TestDeadConnectionsAreDetected(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -36,6 +36,6 @@
 	require.NotZero(t, option(unix.SOL_SOCKET, unix.SO_KEEPALIVE))
 	idle, period := option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL)
 	unacknowledged := option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
-	require.Less(t, unacknowledged, callersPatience)
+	require.Less(t, unacknowledged, callerTimeoutMillis)
 	require.LessOrEqual(t, idle+period, 2, "in whole seconds, the least that the kernel takes")
 }
--- a/backend/limit_test.go
+++ b/backend/limit_test.go
@@ -9,14 +9,14 @@
 	"junctioncross/call"
 )
 
-// hour is longer than any space between two requests of these tests.
-const hour = time.Hour
+// longerThanAnyGap is longer than any space between two requests of these tests.
+const longerThanAnyGap = time.Hour
 
-func named(perSecond float64) call.Limit { return call.Limit{Named: true, PerSecond: perSecond} }
+func namedLimit(perSecond float64) call.Limit { return call.Limit{Named: true, PerSecond: perSecond} }
 
 func TestALimitEndsWithTheAnswerToALaterRequestThatNamesNone(t *testing.T) {
 	s, start := NewServer(Entry{ID: "1"}), time.Unix(0, 0)
-	require.True(t, s.NameLimit(named(4), start, start.Add(time.Second)))
+	require.True(t, s.NameLimit(namedLimit(4), start, start.Add(time.Second)))
 	require.False(t, s.NameLimit(call.Limit{}, start, start.Add(2*time.Second)), "the request was sent before the limit was named")
 	require.False(t, s.WithinLimit(1, start.Add(2*time.Second)))
 	require.True(t, s.NameLimit(call.Limit{}, start.Add(2*time.Second), start.Add(3*time.Second)))
@@ -25,17 +25,17 @@
 
 func TestALimitThatCannotBeReadChangesNothing(t *testing.T) {
 	s, start := NewServer(Entry{ID: "1"}), time.Unix(0, 0)
-	require.False(t, s.NameLimit(named(-1), start, start))
+	require.False(t, s.NameLimit(namedLimit(-1), start, start))
 	require.True(t, s.WithinLimit(1, start))
-	require.True(t, s.NameLimit(named(4), start, start))
-	require.False(t, s.NameLimit(named(-1), start.Add(time.Second), start.Add(time.Second)))
+	require.True(t, s.NameLimit(namedLimit(4), start, start))
+	require.False(t, s.NameLimit(namedLimit(-1), start.Add(time.Second), start.Add(time.Second)))
 	require.False(t, s.WithinLimit(1, start.Add(time.Second)))
 }
 
-func TestATurnIsTakenOnce(t *testing.T) {
+func TestAPermitIsUsedOnce(t *testing.T) {
 	s, start := NewServer(Entry{ID: "1"}), time.Unix(0, 0)
-	s.NameLimit(named(1), start, start)
-	now := start.Add(hour)
+	s.NameLimit(namedLimit(1), start, start)
+	now := start.Add(longerThanAnyGap)
 	require.True(t, s.WithinLimit(1, now))
 	require.True(t, s.TakeTurn(1, now))
 	require.False(t, s.TakeTurn(1, now))
@@ -47,8 +47,8 @@
 
 func TestALimitOutlastsAnEntryThatLapses(t *testing.T) {
 	former, now := NewServer(Entry{ID: "1", Born: 1}), time.Unix(0, 0)
-	former.NameLimit(named(4), now, now)
-	require.True(t, former.Remembers(now.Add(hour)))
+	former.NameLimit(namedLimit(4), now, now)
+	require.True(t, former.Remembers(now.Add(longerThanAnyGap)))
 	s := NewServer(Entry{ID: "1", Born: 1})
 	s.Inherit(former)
 	require.False(t, s.WithinLimit(1, now.Add(time.Second)))
--- a/backend/memory.go
+++ b/backend/memory.go
@@ -9,8 +9,8 @@
 	// waiting is the number of requests that waited for memory or a place in the batch.
 	waiting int
 	at      time.Time
-	// ownThen is what this instance had reserved on the server at that time.
-	ownThen int64
+	// reservedAtReport is what this instance had reserved on the server at that time.
+	reservedAtReport int64
 	// refusedAt is when the server last turned work away for want of memory.
 	refusedAt time.Time
 }
@@ -23,8 +23,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.memory.used, s.memory.total, s.memory.waiting = used, total, waiting
-	s.memory.at, s.memory.ownThen = now, s.reserved.Load()
-	s.told = told{at: now, heard: now, own: true}
+	s.memory.at, s.memory.reservedAtReport = now, s.reserved.Load()
+	s.reportSource = reportSource{queriedAt: now, learnedAt: now, own: true}
 }
 
 // NoRoom notes that the server turned work away for want of memory. It counts as full until there has been time for its report
@@ -42,13 +42,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := &s.memory
-	if now.Sub(m.refusedAt) < fullTime {
+	if now.Sub(m.refusedAt) < fullBackOff {
 		return 1, true
 	}
 	if m.total <= 0 || now.Sub(m.at) > age {
 		return 0, false
 	}
-	change := float64(s.reserved.Load() - m.ownThen)
+	change := float64(s.reserved.Load() - m.reservedAtReport)
 	if change > 0 {
 		change *= instances
 	}
--- a/backend/memory_test.go
+++ b/backend/memory_test.go
@@ -9,41 +9,41 @@
 	"junctioncross/backend"
 )
 
-const age = 5 * time.Second
+const maxReportAge = 5 * time.Second
 
 // TestMemoryFollowsTheReportAndTheOwnReservationsSince reserves and releases after a report.
 func TestMemoryFollowsTheReportAndTheOwnReservationsSince(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := backend.NewServer(backend.Entry{ID: "s"})
-	_, known := s.Filled(now, age, 1)
+	_, known := s.Filled(now, maxReportAge, 1)
 	require.False(t, known)
 	s.Reserve(100)
 	s.SetMemory(500, 1000, 0, now)
-	filled, known := s.Filled(now, age, 1)
+	filled, known := s.Filled(now, maxReportAge, 1)
 	require.True(t, known)
 	require.InDelta(t, 0.5, filled, 1e-9, "the report includes the own reservation")
 	s.Reserve(200)
-	filled, _ = s.Filled(now, age, 1)
+	filled, _ = s.Filled(now, maxReportAge, 1)
 	require.InDelta(t, 0.7, filled, 1e-9)
-	filled, _ = s.Filled(now, age, 2)
+	filled, _ = s.Filled(now, maxReportAge, 2)
 	require.InDelta(t, 0.9, filled, 1e-9, "another instance has likely added as much")
 	s.Release(100)
-	filled, _ = s.Filled(now, age, 1)
+	filled, _ = s.Filled(now, maxReportAge, 1)
 	require.InDelta(t, 0.6, filled, 1e-9)
-	_, known = s.Filled(now.Add(age+1), age, 1)
+	_, known = s.Filled(now.Add(maxReportAge+1), maxReportAge, 1)
 	require.False(t, known, "the report is too old")
 }
 
-// TestAServerThatHadNoRoomIsFullUntilItsReportCanTell refuses work and reports room a moment later.
-func TestAServerThatHadNoRoomIsFullUntilItsReportCanTell(t *testing.T) {
+// TestAServerWithoutRoomCountsAsFullUntilItsReportIsNewer refuses work and reports room a moment later.
+func TestAServerWithoutRoomCountsAsFullUntilItsReportIsNewer(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := backend.NewServer(backend.Entry{ID: "s"})
 	s.SetMemory(100, 1000, 0, now)
 	s.NoRoom(now)
-	filled, known := s.Filled(now, age, 1)
+	filled, known := s.Filled(now, maxReportAge, 1)
 	require.True(t, known)
 	require.InDelta(t, 1, filled, 1e-9)
 	require.True(t, s.Usable(now), "repairs may still use it")
-	filled, _ = s.Filled(now.Add(time.Second), age, 1)
+	filled, _ = s.Filled(now.Add(time.Second), maxReportAge, 1)
 	require.InDelta(t, 0.1, filled, 1e-9)
 }
--- a/backend/report.go
+++ b/backend/report.go
@@ -46,17 +46,17 @@
 	call.Notice
 }
 
-// notThere is both ErrNoAnswer and ErrNotThere.
-type notThere struct{ cause error }
+// notListening is both ErrNoAnswer and ErrNotThere.
+type notListening struct{ cause error }
 
 // NotThere returns the error of a call whose connection was refused.
-func NotThere(cause error) error { return notThere{cause: cause} }
+func NotThere(cause error) error { return notListening{cause: cause} }
 
 // Error implements error.
-func (e notThere) Error() string { return ErrNotThere.Error() + ": " + e.cause.Error() }
+func (e notListening) Error() string { return ErrNotThere.Error() + ": " + e.cause.Error() }
 
 // Is implements the test of package errors.
-func (notThere) Is(target error) bool { return target == ErrNoAnswer || target == ErrNotThere }
+func (notListening) Is(target error) bool { return target == ErrNoAnswer || target == ErrNotThere }
 
 // Suspect is a server that stands still, as another one sees it.
 type Suspect struct {
--- a/backend/server.go
+++ b/backend/server.go
@@ -14,83 +14,83 @@
 )
 
 const (
-	// fullTime is how long a server that had no room is left alone at first: about the age of what is known of its memory.
+	// fullBackOff is how long a server that had no room is left alone at first: about the age of what is known of its memory.
 	// The time doubles with each refusal up to longestFull, since a server that is gone refuses in the same words until its
 	// entry vanishes.
-	fullTime    = 250 * time.Millisecond
-	longestFull = 2 * time.Second
-	// paceAge is how long a server's word on its pace counts.
-	paceAge = 3 * time.Second
-	// askPeriod is how often a server may be asked for its state by one instance: each question has its price, and an answer is
+	fullBackOff    = 250 * time.Millisecond
+	maxFullBackOff = 2 * time.Second
+	// maxPaceAge is how long a server's word on its pace counts.
+	maxPaceAge = 3 * time.Second
+	// queryInterval is how often a server may be asked for its state by one instance: each question has its price, and an answer is
 	// some 200 ms old, so that a second question within that time learns nothing new.
-	askPeriod = 240 * time.Millisecond
-	// staleTime is how long a server that did not hold its layers is left alone at most, if its entry does not tell before what it
+	queryInterval = 240 * time.Millisecond
+	// maxStaleTime is how long a server that did not hold its layers is left alone at most, if its entry does not tell before what it
 	// holds.
-	staleTime = time.Second
+	maxStaleTime = time.Second
 	// failWeight is the weight of the newest request in the share of failures: some ten requests tell a bad server.
 	failWeight = 0.1
 )
 
 // Server is one start of a backend server.
 type Server struct {
-	name    Incarnation
-	service string
-	addr    string
-	domain  string
-	slots   int
-	kind    string
+	incarnation Incarnation
+	service     string
+	addr        string
+	domain      string
+	slots       int
+	kind        string
 
 	leaving atomic.Bool
 	gone    atomic.Bool
-	// farewell is true once the server has said in an answer that it leaves.
-	farewell atomic.Bool
+	// leaveNotice is true once the server has said in an answer that it leaves.
+	leaveNotice atomic.Bool
 	// backOff is until when the server wants nothing new from this instance.
-	backOff moment
+	backOff atomicTime
 	limiter limiter
-	// over ends once another start of the server is known, so that nothing is at work at this one; finish ends it.
-	over   context.Context
-	finish context.CancelFunc
+	// ctx ends once another start of the server is known, so that nothing is at work at this one; finish ends it.
+	ctx    context.Context
+	cancel context.CancelFunc
 	// ended is true once nothing listens at the server's address any more, as far as known.
 	ended atomic.Bool
 	// leavingSince is when this instance first heard that the server leaves, if it has.
-	leavingSince moment
-	// doubted is true while it is not known whether the server leaves.
-	doubted atomic.Bool
-	layers  atomic.Pointer[models.Layers]
+	leavingSince atomicTime
+	// possiblyLeaving is true while it is not known whether the server leaves.
+	possiblyLeaving atomic.Bool
+	layers          atomic.Pointer[models.Layers]
 	// layersAt is when the instance heard of the present layers.
-	layersAt moment
+	layersAt atomicTime
 	// running counts the requests of this instance on the server, as the first or any other part.
 	running atomic.Int64
-	// starting counts those of which the server is the first part.
-	starting atomic.Int64
+	// firstStage counts those of which the server is the first part.
+	firstStage atomic.Int64
 	// reserved is the memory that these will need, in tokens times layers.
 	reserved atomic.Int64
 
 	circuit retry.Guard
 
 	mu sync.Mutex
-	// aside is when the server may get work again.
-	aside time.Time
-	// stale is until when the server is left alone since it did not hold what its entry said.
-	stale time.Time
-	// suspect is until when the server is taken as gone because it did not answer.
-	suspect time.Time
-	load    call.Load
-	loadAt  time.Time
-	memory  memory
-	told    told
+	// asideUntil is when the server may get work again.
+	asideUntil time.Time
+	// staleUntil is until when the server is left alone since it did not hold what its entry said.
+	staleUntil time.Time
+	// suspectUntil is until when the server is taken as gone because it did not answer.
+	suspectUntil time.Time
+	load         call.Load
+	loadAt       time.Time
+	memory       memory
+	reportSource reportSource
 	// refusals counts the refusals since the last success.
 	refusals int
 	// pace is how many times slower than usual the server said to be, at paceAt.
 	pace   float64
 	paceAt time.Time
-	// asked is when the server was last asked for its state.
-	asked time.Time
-	// answered is when the server last answered a question of this instance, and silent when it did not.
-	answered time.Time
-	silent   time.Time
-	// startingAtLoad is the number of own requests that the load included.
-	startingAtLoad int64
+	// queriedAt is when the server was last queriedAt for its state.
+	queriedAt time.Time
+	// answeredAt is when the server last answeredAt a question of this instance, and silent when it did not.
+	answeredAt time.Time
+	silentAt   time.Time
+	// firstStageAtLoad is the number of own requests that the load included.
+	firstStageAtLoad int64
 	// failRate is the share of the latest requests that failed.
 	failRate float64
 	idle     []*idleConn
@@ -98,8 +98,8 @@
 
 // NewServer returns the server that the entry describes.
 func NewServer(e Entry) *Server {
-	s := &Server{name: e.Incarnation(), service: e.Service, addr: e.Addr, domain: e.Domain, slots: e.Slots, kind: e.Kind}
-	s.over, s.finish = context.WithCancel(context.Background())
+	s := &Server{incarnation: e.Incarnation(), service: e.Service, addr: e.Addr, domain: e.Domain, slots: e.Slots, kind: e.Kind}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.Update(e)
 	return s
 }
@@ -108,7 +108,7 @@
 func (s *Server) Update(e Entry) {
 	layers := e.Layers
 	if was := s.layers.Swap(&layers); was != nil && *was != layers {
-		s.wasCorrected()
+		s.clearStale()
 	}
 	if e.Leaving {
 		s.leaving.Store(true)
@@ -116,19 +116,19 @@
 }
 
 // ID returns the name of the server, which other starts of it may have as well.
-func (s *Server) ID() string { return s.name.ID }
+func (s *Server) ID() string { return s.incarnation.ID }
 
 // Incarnation returns which start of the server this is.
-func (s *Server) Incarnation() Incarnation { return s.name }
+func (s *Server) Incarnation() Incarnation { return s.incarnation }
 
 // Over returns what ends once another start of the server is known.
-func (s *Server) Over() context.Context { return s.over }
+func (s *Server) Over() context.Context { return s.ctx }
 
 // Finish notes that another start of the server is known: whatever was under way at this one is lost, and so are its connections.
 func (s *Server) Finish() {
 	s.End()
 	s.Lapse()
-	s.finish()
+	s.cancel()
 }
 
 // Service returns the name of the service.
@@ -158,10 +158,10 @@
 func (s *Server) Layers() models.Layers { return *s.layers.Load() }
 
 // Leaving reports whether the server takes no new work.
-func (s *Server) Leaving() bool { return s.leaving.Load() || s.gone.Load() || s.farewell.Load() }
+func (s *Server) Leaving() bool { return s.leaving.Load() || s.gone.Load() || s.leaveNotice.Load() }
 
 // NoteLeaving keeps when the instance first heard that the server leaves; later calls change nothing.
-func (s *Server) NoteLeaving(now time.Time) { s.leavingSince.start(now) }
+func (s *Server) NoteLeaving(now time.Time) { s.leavingSince.storeIfUnset(now) }
 
 // ForgetLeaving takes back that the server leaves, since its entry is there again.
 func (s *Server) ForgetLeaving() { s.leavingSince.store(time.Time{}) }
@@ -198,10 +198,10 @@
 }
 
 // Doubt keeps new work away from the server, or no longer.
-func (s *Server) Doubt(doubted bool) { s.doubted.Store(doubted) }
+func (s *Server) Doubt(possibly bool) { s.possiblyLeaving.Store(possibly) }
 
 // Departs reports whether the server leaves, or may well do so as far as known.
-func (s *Server) Departs() bool { return s.Leaving() || s.doubted.Load() }
+func (s *Server) Departs() bool { return s.Leaving() || s.possiblyLeaving.Load() }
 
 // Gone reports whether the server's entry was removed.
 func (s *Server) Gone() bool { return s.gone.Load() }
@@ -225,7 +225,7 @@
 }
 
 // Start counts one more request of which the server is the first part, or with -1 one less.
-func (s *Server) Start(n int) { s.starting.Add(int64(n)) }
+func (s *Server) Start(n int) { s.firstStage.Add(int64(n)) }
 
 // Node returns the server as a node of a chain's graph; index is how the graph names it.
 func (s *Server) Node(index int, e *catalog.Engine) chain.Node {
--- a/backend/word.go
+++ b/backend/sharedreport.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// newerBy is how much newer a word must be to replace another one: the same word comes back over other instances, and looks younger by
+	// minNewer is how much newer a word must be to replace another one: the same word comes back over other instances, and looks younger by
 	// the time that it was under way.
-	newerBy = 100 * time.Millisecond
-	// hearsayTime is how long a server gets no new work after another instance has found it silent. It is renewed while others find the
+	minNewer = 100 * time.Millisecond
+	// sharedSilenceTime is how long a server gets no new work after another instance has found it silent. It is renewed while others find the
 	// same; a packet that one of them lost costs the server no more.
-	hearsayTime = time.Second
-	// slowWord is how many times slower than usual a server has to be for all to hear of it at once.
-	slowWord = 1.5
+	sharedSilenceTime = time.Second
+	// slowPace is how many times slower than usual a server has to be for all to hear of it at once.
+	slowPace = 1.5
 )
 
 // Word is what one instance knows of the state of a chained engine, as it passes it on to others.
@@ -31,60 +31,60 @@
 	Waiting int `cbor:"7,keyasint,omitempty"`
 }
 
-// told is where the newest word on a server comes from.
-type told struct {
-	// at is when the server was asked, and heard when this instance learned of it.
-	at    time.Time
-	heard time.Time
+// reportSource is where the newest word on a server comes from.
+type reportSource struct {
+	// queriedAt is when the server was asked, and heard when this instance learned of it.
+	queriedAt time.Time
+	learnedAt time.Time
 	// own is true when this instance asked.
 	own    bool
 	silent bool
 }
 
 // bad reports whether a server of which w is known should get no new work where others can take it.
-func (w Word) bad() bool { return w.Silent || w.Pace >= slowWord }
+func (w Word) bad() bool { return w.Silent || w.Pace >= slowPace }
 
 // NoteAnswer keeps that the server answered a question of this instance.
 func (s *Server) NoteAnswer(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answered = now
+	s.answeredAt = now
 }
 
 // AnsweredSince reports whether the server has answered a question of this instance after a moment.
 func (s *Server) AnsweredSince(moment time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answered.After(moment)
+	return s.answeredAt.After(moment)
 }
 
 // SilentSince reports whether the server has left a question of this instance unanswered after a moment.
 func (s *Server) SilentSince(moment time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.silent.After(moment)
+	return s.silentAt.After(moment)
 }
 
 // NoteSilent keeps that the server did not answer this instance.
 func (s *Server) NoteSilent(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = now
-	s.told = told{at: now, heard: now, own: true, silent: true}
+	s.silentAt = now
+	s.reportSource = reportSource{queriedAt: now, learnedAt: now, own: true, silent: true}
 }
 
 // Word returns the newest word on the server if the instance learned of it after a moment; ownOnly leaves out what others passed on.
 func (s *Server) Word(after, now time.Time, ownOnly bool) (Word, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.told.heard.After(after) || ownOnly && !s.told.own {
+	if !s.reportSource.learnedAt.After(after) || ownOnly && !s.reportSource.own {
 		return Word{}, false
 	}
-	return s.wordLocked(now), true
+	return s.reportLocked(now), true
 }
 
-func (s *Server) wordLocked(now time.Time) Word {
-	w := Word{ID: s.name.ID, Born: s.name.Born, Age: now.Sub(s.told.at), Silent: s.told.silent}
+func (s *Server) reportLocked(now time.Time) Word {
+	w := Word{ID: s.incarnation.ID, Born: s.incarnation.Born, Age: now.Sub(s.reportSource.queriedAt), Silent: s.reportSource.silent}
 	if !w.Silent {
 		w.Pace, w.Used, w.Total, w.Waiting = s.pace, s.memory.used, s.memory.total, s.memory.waiting
 	}
@@ -95,27 +95,27 @@
 func (s *Server) WordAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Sub(s.told.at)
+	return now.Sub(s.reportSource.queriedAt)
 }
 
 // Hear takes over what another instance passed on, if it is newer than what is known, and reports whether the server turned bad by it.
 func (s *Server) Hear(w Word, now time.Time) bool {
 	at := now.Add(-w.Age)
 	s.mu.Lock()
-	if at.Sub(s.told.at) < newerBy {
+	if at.Sub(s.reportSource.queriedAt) < minNewer {
 		s.mu.Unlock()
 		return false
 	}
-	was := s.wordLocked(now).bad()
-	s.told = told{at: at, heard: now, silent: w.Silent}
+	was := s.reportLocked(now).bad()
+	s.reportSource = reportSource{queriedAt: at, learnedAt: now, silent: w.Silent}
 	if !w.Silent && w.Total > 0 {
 		s.pace, s.paceAt = w.Pace, at
 		s.memory.used, s.memory.total, s.memory.waiting = w.Used, w.Total, w.Waiting
-		s.memory.at, s.memory.ownThen = at, s.reserved.Load()
+		s.memory.at, s.memory.reservedAtReport = at, s.reserved.Load()
 	}
 	s.mu.Unlock()
 	if w.Silent {
-		s.SetAside(at.Add(hearsayTime))
+		s.SetAside(at.Add(sharedSilenceTime))
 	}
 	return w.bad() && !was
 }
--- a/backend/word_test.go
+++ b/backend/sharedreport_test.go
@@ -9,8 +9,8 @@
 	"junctioncross/backend"
 )
 
-// TestAWordIsPassedOnAndTheNewestCounts lets two instances tell each other of one server.
-func TestAWordIsPassedOnAndTheNewestCounts(t *testing.T) {
+// TestTheNewestSharedReportCounts lets two instances tell each other of one server.
+func TestTheNewestSharedReportCounts(t *testing.T) {
 	now := time.Unix(100, 0)
 	entry := backend.Entry{ID: "s"}
 	here, there := backend.NewServer(entry), backend.NewServer(entry)
@@ -21,10 +21,10 @@
 	require.True(t, ok)
 	require.True(t, there.Hear(w, now), "a slow server is news")
 	require.InDelta(t, 12, there.Pace(now), 1e-9)
-	filled, known := there.Filled(now, age, 1)
+	filled, known := there.Filled(now, maxReportAge, 1)
 	require.True(t, known)
 	require.InDelta(t, 0.5, filled, 1e-9)
-	require.True(t, there.Crowded(now, age))
+	require.True(t, there.Crowded(now, maxReportAge))
 	require.Equal(t, 400*time.Millisecond, there.WordAge(now))
 
 	_, ok = there.Word(time.Time{}, now, true)
@@ -41,9 +41,9 @@
 	require.InDelta(t, 1, there.Pace(now.Add(time.Second)), 1e-9)
 }
 
-// TestASilentServerGetsNoNewWorkForAWhileByHearsay also checks that its streams are not cut for it: only an own question may find a
+// TestASharedReportOfSilenceKeepsNewWorkAwayForAWhile also checks that its streams are not cut for it: only an own question may find a
 // server dead.
-func TestASilentServerGetsNoNewWorkForAWhileByHearsay(t *testing.T) {
+func TestASharedReportOfSilenceKeepsNewWorkAwayForAWhile(t *testing.T) {
 	now := time.Unix(100, 0)
 	entry := backend.Entry{ID: "s"}
 	here, there := backend.NewServer(entry), backend.NewServer(entry)
--- a/backend/stale_test.go
+++ b/backend/stale_test.go
@@ -14,8 +14,8 @@
 	return backend.Entry{ID: "s", Layers: models.Layers{First: first, End: end}}
 }
 
-// TestAServerThatWasStaleGetsWorkOnceItsEntryTellsWhatItHolds lets a server turn work away since it was moved, and its entry follow.
-func TestAServerThatWasStaleGetsWorkOnceItsEntryTellsWhatItHolds(t *testing.T) {
+// TestAStaleServerGetsWorkOnceItsEntryNamesOtherLayers lets a server turn work away since it was moved, and its entry follow.
+func TestAStaleServerGetsWorkOnceItsEntryNamesOtherLayers(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := backend.NewServer(holding(0, 3))
 	s.WasStale(now)
@@ -26,7 +26,7 @@
 	require.True(t, s.Usable(now), "the entry tells what it holds now")
 }
 
-func TestAServerThatWasStaleGetsWorkAfterAWhileAlthoughItsEntryTellsNothing(t *testing.T) {
+func TestAStaleServerGetsWorkAfterAWhileWithoutANewEntry(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := backend.NewServer(holding(0, 3))
 	s.WasStale(now)
--- a/backend/standing.go
+++ b/backend/status.go
@@ -10,7 +10,7 @@
 // Suspect takes the server as gone until a moment, since it did not answer.
 func (s *Server) Suspect(until time.Time) {
 	s.mu.Lock()
-	s.suspect = until
+	s.suspectUntil = until
 	s.mu.Unlock()
 	s.SetAside(until)
 }
@@ -19,29 +19,29 @@
 func (s *Server) Suspected(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Before(s.suspect)
+	return now.Before(s.suspectUntil)
 }
 
 func (s *Server) isAside(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Before(s.aside) || now.Before(s.stale)
+	return now.Before(s.asideUntil) || now.Before(s.staleUntil)
 }
 
 // SetAside keeps new work away from the server until a moment.
 func (s *Server) SetAside(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if until.After(s.aside) {
-		s.aside = until
+	if until.After(s.asideUntil) {
+		s.asideUntil = until
 	}
 }
 
 // WasFull keeps new work away from a server that had no room, longer each time until it takes work again.
 func (s *Server) WasFull(now time.Time) {
 	s.mu.Lock()
-	pause := retry.Doubled(fullTime, longestFull, s.refusals)
-	if !now.Before(s.aside) {
+	pause := retry.Doubled(fullBackOff, maxFullBackOff, s.refusals)
+	if !now.Before(s.asideUntil) {
 		s.refusals++
 	}
 	s.mu.Unlock()
@@ -59,10 +59,10 @@
 func (s *Server) MayAsk(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.askableLocked(now) {
+	if !s.mayQueryLocked(now) {
 		return false
 	}
-	s.asked = now
+	s.queriedAt = now
 	return true
 }
 
@@ -70,10 +70,10 @@
 func (s *Server) Askable(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.askableLocked(now)
+	return s.mayQueryLocked(now)
 }
 
-func (s *Server) askableLocked(now time.Time) bool { return now.Sub(s.asked) >= askPeriod }
+func (s *Server) mayQueryLocked(now time.Time) bool { return now.Sub(s.queriedAt) >= queryInterval }
 
 // SetPace keeps how many times slower than usual the server says to be.
 func (s *Server) SetPace(pace float64, now time.Time) {
@@ -86,7 +86,7 @@
 func (s *Server) Pace(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pace < 1 || now.Sub(s.paceAt) > paceAge {
+	if s.pace < 1 || now.Sub(s.paceAt) > maxPaceAge {
 		return 1
 	}
 	return s.pace
@@ -96,22 +96,22 @@
 func (s *Server) WasStale(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stale = now.Add(staleTime)
+	s.staleUntil = now.Add(maxStaleTime)
 }
 
-// wasCorrected notes that the entry tells other layers than before.
-func (s *Server) wasCorrected() {
+// clearStale notes that the entry tells other layers than before.
+func (s *Server) clearStale() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stale = time.Time{}
+	s.staleUntil = time.Time{}
 }
 
 // Usable reports whether the server may get new work.
-func (s *Server) Usable(now time.Time) bool { return !s.BackedOff(now) && s.standing(now) }
+func (s *Server) Usable(now time.Time) bool { return !s.BackedOff(now) && s.usableIgnoringBackOff(now) }
 
-// standing reports whether the server may get new work as far as it has not asked for none.
-func (s *Server) standing(now time.Time) bool {
-	if s.Leaving() || s.doubted.Load() {
+// usableIgnoringBackOff reports whether the server may get new work as far as it has not asked for none.
+func (s *Server) usableIgnoringBackOff(now time.Time) bool {
+	if s.Leaving() || s.possiblyLeaving.Load() {
 		return false
 	}
 	return !s.isAside(now) && !s.circuit.Open(now)
@@ -154,19 +154,19 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.load, s.loadAt, s.startingAtLoad = l, now, s.starting.Load()
+	s.load, s.loadAt, s.firstStageAtLoad = l, now, s.firstStage.Load()
 }
 
 // Sequences returns the number of requests of which the server is the first part, for all instances: what it last said, if
 // that is no older than age, and how the own requests have changed since.
 func (s *Server) Sequences(now time.Time, age time.Duration) float64 {
-	own := s.starting.Load()
+	own := s.firstStage.Load()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.load.Known || now.Sub(s.loadAt) > age {
 		return float64(own)
 	}
-	return max(float64(int64(s.load.Running+s.load.Waiting)+own-s.startingAtLoad), float64(own))
+	return max(float64(int64(s.load.Running+s.load.Waiting)+own-s.firstStageAtLoad), float64(own))
 }
 
 // Load returns what the server last said of its work, and when.
