--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -3,19 +3,21 @@
 import "time"
 
 const (
+	// basePause is doubled with each retry, and maxPause is the longest pause before one.
 	basePause = 5 * time.Millisecond
 	maxPause  = 500 * time.Millisecond
 )
 
-// maxDoublings keeps a doubled pause from overflowing; it is far beyond every longest pause.
+// maxDoublings keeps a doubled duration from overflowing. The longest durations in use are reached after fewer doublings.
 const maxDoublings = 16
 
-// Doubled returns a pause that starts at first, doubles with each of times, and never exceeds longest.
+// Doubled returns an exponential backoff: first, doubled so many times, but no more than longest.
 func Doubled(first, longest time.Duration, times int) time.Duration {
 	return min(first<<min(times, maxDoublings), longest)
 }
 
-// Pause returns how long to wait before that retry, counted from zero; random is uniform in [0, 1).
+// Pause returns how long to wait before a retry, by exponential backoff with full jitter. Retries are counted from zero, and the
+// first one does not wait; random is uniform in [0, 1).
 func Pause(retry int, random float64) time.Duration {
 	if retry == 0 {
 		return 0
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -8,26 +8,30 @@
 )
 
 const (
-	// refillFraction is the part of the limit that comes in evenly, burstPart the part that may be saved. What a window holds is what was saved
-	// before it and what came in during it, so that both together are the whole limit, however often processes start without savings.
+	// refillFraction is the fraction of the limit by which a bucket is refilled during a window, and burstFraction the fraction
+	// that a bucket holds at most. The retries of a window come from what the bucket held at its beginning and from what is
+	// refilled during it, so that the fractions must add up to 1. A restarted process begins with an empty bucket, so that
+	// restarts never add retries.
 	refillFraction = 0.5
 	burstFraction  = 1 - refillFraction
-	// windowSlots is the number of parts of a window; the oldest part is forgotten as a whole.
+	// windowSlots is the number of slots into which a window is divided for counting requests; the oldest slot is dropped as a
+	// whole.
 	windowSlots = 10
 )
 
-// Limit is what all instances together may repeat for a service.
+// Limit is the number of retries that all instances together may make for a service.
 type Limit struct {
-	// Window is the time over which requests and repeats are counted.
+	// Window is the time over which requests and retries are counted.
 	Window time.Duration
-	// Share is the number of repeats for each request in a Window.
+	// Share is the number of retries that are allowed for each request in a Window.
 	Share float64
-	// Fixed is the number of repeats in a Window besides, of which each instance has an equal part.
+	// Fixed is the number of retries that are allowed in a Window in addition, whatever the number of requests. It is divided
+	// equally among the instances.
 	Fixed float64
 }
 
-// Budget is an instance's part of a Limit, for each service by itself: a token bucket that is empty when the process starts. Several
-// goroutines may use it.
+// Budget is an instance's part of a Limit: a token bucket for each service, which is empty when the process starts. It is safe for
+// concurrent use.
 type Budget struct {
 	mu      sync.Mutex
 	limit   Limit
@@ -35,22 +39,22 @@
 	buckets map[string]*bucket
 }
 
-// Allowance is what a Budget has for a service at a moment.
+// Allowance is the state of a Budget for a service at a given time.
 type Allowance struct {
-	// Requests are those of the last window.
+	// Requests is the number of requests during the last window.
 	Requests int
-	// Fixed is the instance's part of the repeats that are allowed besides a share of the requests.
+	// Fixed is the instance's part of Limit.Fixed.
 	Fixed float64
-	// Left is the number of repeats that are left; the part of one counts.
+	// Left is the number of retries that are left, which may be fractional.
 	Left float64
 }
 
-// NewBudget returns the part of an instance whose process has just started.
+// NewBudget returns the Budget of an instance whose process has just started.
 func NewBudget(limit Limit, now time.Time) *Budget {
 	return &Budget{limit: limit, started: now, buckets: map[string]*bucket{}}
 }
 
-// SetLimit replaces the Limit; what was saved is cut to what the new one lets be saved.
+// SetLimit replaces the Limit. A bucket that holds more retries than the new Limit lets it hold is cut at its next use.
 func (b *Budget) SetLimit(limit Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,7 +64,7 @@
 	}
 }
 
-// Request counts a request for a service; instances is the number of those that share the Limit.
+// Request counts a request for a service; instances is the number of instances that share the Limit.
 func (b *Budget) Request(service string, instances int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,7 +74,8 @@
 	k.tokens += refillFraction * b.limit.Share
 }
 
-// Take takes a repeat for a service and reports whether it is allowed; instances is the number of those that share the Limit.
+// Take takes a retry for a service out of the budget and reports whether it is allowed; instances is the number of instances that
+// share the Limit.
 func (b *Budget) Take(service string, instances int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,7 +88,7 @@
 	return true
 }
 
-// Allowance returns what there is for a service; instances is the number of those that share the Limit.
+// Allowance returns the state of the budget for a service; instances is the number of instances that share the Limit.
 func (b *Budget) Allowance(service string, instances int, now time.Time) Allowance {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,7 +97,7 @@
 	return Allowance{Requests: k.requests.Sum(now), Fixed: b.limit.Fixed / float64(instances), Left: k.tokens}
 }
 
-// Services returns the names of the services that had requests.
+// Services returns the names of the services that the budget has been used for.
 func (b *Budget) Services() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -109,17 +114,17 @@
 	return k
 }
 
-// bucket holds the repeats that one service may still have.
+// bucket is the token bucket of one service; a token is one retry.
 type bucket struct {
 	tokens float64
-	// refilledAt is up to when the fixed part has come in.
+	// refilledAt is when the part of Limit.Fixed was last added.
 	refilledAt time.Time
-	// requests are those of at most one window.
+	// requests counts the requests of at most one window.
 	requests *Tally
 }
 
-// refill lets the fixed part come in and forgets what is more than may be saved. It goes before the count of a request, so that
-// what may be saved follows from requests before the moment only.
+// refill adds the part of Limit.Fixed for the time since the last refill, and drops tokens beyond the capacity of the bucket. It
+// must run before a request is counted, since the capacity may depend on earlier requests only.
 func (k *bucket) refill(limit Limit, instances int, now time.Time) {
 	fixed := limit.Fixed / float64(instances)
 	k.tokens += refillFraction * fixed * now.Sub(k.refilledAt).Seconds() / limit.Window.Seconds()
--- a/retry/circuit.go
+++ b/retry/circuit.go
@@ -3,19 +3,25 @@
 import "time"
 
 const (
+	// initialOpenTime is how long a circuit stays open after the first failure, and maxOpenTime the longest time after many
+	// failures.
 	initialOpenTime = 250 * time.Millisecond
 	maxOpenTime     = 8 * time.Second
 )
 
-// Circuit keeps work away from a backend server that has failed, and lets a single trial through after a while.
+// Circuit is a circuit breaker: it keeps work away from a backend server that has failed, and lets a single trial request through
+// after a while.
 type Circuit struct {
+	// failures is the number of failures since the last success.
 	failures int
-	until    time.Time
-	trial    bool
+	// until is when a trial request may be sent.
+	until time.Time
+	// trial is true while a trial request is under way.
+	trial bool
 }
 
-// Failed records a failure; the pause doubles with each one in a row. Failures of work that was under way when the
-// circuit opened say nothing new.
+// Failed records a failure. Each consecutive failure doubles the time for which the circuit stays open. Failures while it is open
+// are ignored: they belong to work that was under way when it opened, and say nothing new.
 func (c *Circuit) Failed(now time.Time) {
 	if now.Before(c.until) {
 		return
@@ -28,7 +34,7 @@
 // Succeeded closes the circuit.
 func (c *Circuit) Succeeded() { *c = Circuit{} }
 
-// Open reports whether the server gets no work now.
+// Open reports whether work must be kept away from the server now.
 func (c *Circuit) Open(now time.Time) bool {
 	if c.failures == 0 {
 		return false
@@ -36,12 +42,13 @@
 	return now.Before(c.until) || c.trial
 }
 
-// StartTrial takes the single trial of a circuit whose pause is over; it does nothing to a closed one.
+// StartTrial records that the single trial request is sent once the circuit has been open for long enough. It does nothing to a
+// closed circuit.
 func (c *Circuit) StartTrial() {
 	if c.failures > 0 {
 		c.trial = true
 	}
 }
 
-// ReleaseTrial gives the trial back when its outcome says nothing about the server.
+// ReleaseTrial allows another trial request, after one whose outcome says nothing about the server.
 func (c *Circuit) ReleaseTrial() { c.trial = false }
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,2 +1,3 @@
-// Package retry decides whether and when an attempt may be repeated: limits, circuits and pauses, without clock or I/O.
+// Package retry holds the means to retry failed work and to limit its rate: retry budgets, circuit breakers, exponential backoff
+// and pacers for rate limits. It reads no clock and does no I/O: callers pass in the time and the random numbers.
 package retry
--- a/retry/fleet_test.go
+++ b/retry/fleet_test.go
@@ -18,14 +18,14 @@
 	serviceName = "service"
 )
 
-var shared = retry.Limit{Window: 10 * time.Second, Share: 0.2, Fixed: 330}
+var sharedLimit = retry.Limit{Window: 10 * time.Second, Share: 0.2, Fixed: 330}
 
-// simulatedFleet is a number of budgets under one limit, with instances that want repeats without end.
+// simulatedFleet simulates instances whose budgets share one limit, and which make as many retries as their budgets allow.
 type simulatedFleet struct {
 	limit   retry.Limit
 	now     time.Time
 	budgets []*retry.Budget
-	// owedRequests is the part of a request that each instance is still to get.
+	// owedRequests is the fraction of a request that each instance has accumulated towards its next one.
 	owedRequests []float64
 	requests     []time.Time
 	retries      []time.Time
@@ -39,10 +39,10 @@
 	return f
 }
 
-// restart replaces the process of an instance.
+// restart replaces the process of an instance, whose new budget is empty.
 func (f *simulatedFleet) restart(instance int) { f.budgets[instance] = retry.NewBudget(f.limit, f.now) }
 
-// resize lets instances come or leave until there are so many; all of them know at once.
+// resize adds or removes instances; all instances know of the new number at once.
 func (f *simulatedFleet) resize(instances int) {
 	for len(f.budgets) < instances {
 		f.budgets, f.owedRequests = append(f.budgets, retry.NewBudget(f.limit, f.now)), append(f.owedRequests, 0)
@@ -50,7 +50,8 @@
 	f.budgets, f.owedRequests = f.budgets[:instances], f.owedRequests[:instances]
 }
 
-// run lets time pass; rate returns the requests a second of an instance, and wants whether instances want repeats.
+// run advances the time by span; rate returns the requests a second of an instance, and wantsRetries says whether instances make
+// retries.
 func (f *simulatedFleet) run(span time.Duration, rate func(instance int) float64, wantsRetries bool) {
 	for end := f.now.Add(span); f.now.Before(end); f.now = f.now.Add(tick) {
 		for i, b := range f.budgets {
@@ -65,7 +66,7 @@
 	}
 }
 
-// maxUse returns the most repeats that a window of the limit held, against those that it allows.
+// maxUse returns the greatest ratio, over all windows of the limit, of the retries in the window to those that are allowed in it.
 func (f *simulatedFleet) maxUse() float64 {
 	most := 0.0
 	for i := range f.retries {
@@ -78,8 +79,8 @@
 	return most
 }
 
-// allowed returns what the limit allows in the window that ends at a moment: requests count of that window, of the one before, or of the one
-// that begins half a window sooner, whichever has most.
+// allowed returns the number of retries that the limit allows in the window that ends at end. Of that window, the one before it
+// and the one that begins half a window sooner, the one with the most requests counts.
 func (f *simulatedFleet) allowed(end time.Time) float64 {
 	requests := 0
 	for _, sooner := range []time.Duration{0, f.limit.Window / 2, f.limit.Window} {
@@ -89,7 +90,7 @@
 	return f.limit.Share*float64(requests) + f.limit.Fixed
 }
 
-// between counts the times from one moment to another, which is left out; times are in order.
+// between counts the times in [from, to); times must be sorted.
 func between(times []time.Time, from, to time.Time) int {
 	at := func(moment time.Time) int {
 		n, _ := slices.BinarySearchFunc(times, moment, time.Time.Compare)
@@ -98,7 +99,8 @@
 	return at(to) - at(from)
 }
 
-// TestRestartsDoNotRenewTheRetryBudget restarts a part of the instances, once or in series, while all want repeats.
+// TestRestartsDoNotRenewTheRetryBudget restarts some of the instances, once or several times, while all of them make retries. A
+// budget that was full after each start would allow more retries with each restart.
 func TestRestartsDoNotRenewTheRetryBudget(t *testing.T) {
 	for _, c := range []struct {
 		requests float64
@@ -106,7 +108,7 @@
 		times    int
 	}{{282, 0, 0}, {282, 60, 1}, {282, 100, 1}, {282, 60, 3}, {60, 60, 1}, {60, 100, 1}, {60, 100, 4}, {60, 100, 20}} {
 		t.Run(fmt.Sprintf("%v requests a second, %d in 100 restart %d times", c.requests, c.percent, c.times), func(t *testing.T) {
-			f := newSimulatedFleet(73, shared)
+			f := newSimulatedFleet(73, sharedLimit)
 			each := func(int) float64 { return c.requests / float64(len(f.budgets)) }
 			f.run(20*time.Second, each, false)
 			f.run(time.Second, each, true)
@@ -123,9 +125,9 @@
 	}
 }
 
-// TestTheRetryLimitHoldsWhileTrafficMoves sends all requests to one half of the instances and then to the other.
+// TestTheRetryLimitHoldsWhileTrafficMoves sends all requests to one half of the instances and then to the other half.
 func TestTheRetryLimitHoldsWhileTrafficMoves(t *testing.T) {
-	f := newSimulatedFleet(10, shared)
+	f := newSimulatedFleet(10, sharedLimit)
 	half := func(of int) func(int) float64 {
 		return func(i int) float64 { return float64(200 * (1 - (i+of)%2)) }
 	}
@@ -135,8 +137,8 @@
 	require.LessOrEqual(t, f.maxUse(), 1.0)
 }
 
-// TestTheRetryLimitHoldsForTheWholeFleet draws restarts, instances that come and leave, traffic that moves, rises and falls, and times
-// in which repeats are wanted.
+// TestTheRetryLimitHoldsForTheWholeFleet draws at random: restarts, numbers of instances, request rates of each instance, and
+// whether retries are wanted.
 func TestTheRetryLimitHoldsForTheWholeFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := retry.Limit{
--- a/retry/pace.go
+++ b/retry/pace.go
@@ -6,34 +6,41 @@
 )
 
 const (
-	// limitWindow is the time in which a server counts what it gets against its limit. In it limitShare times what the limit allows and
-	// limitFixed requests more may arrive, since instances hear of a limit at different moments.
+	// limitWindow is the time over which a server compares the requests that arrive with its limit. Since instances learn of a
+	// limit at different times, the server accepts in a window limitShare times the number of requests that the limit allows, and
+	// limitFixed more.
 	limitWindow            = 4 * time.Second
 	limitShare, limitFixed = 1.5, 5.0
-	// smallFleetUse is the part of a limit that is used while each instance may save one request: the rest of the window has room for these.
+	// smallFleetUse is the fraction of a limit that a small fleet uses. Each of its instances may keep one permit unused, and the
+	// rest of the limit leaves room for all of these permits being used at once.
 	smallFleetUse = 0.75
-	// smallFleetShare and smallFleetFixed say how many instances are few, by the limit: for these there is room.
+	// A fleet is small, so that there is room for an unused permit of each instance, up to smallFleetShare instances for each
+	// request a second of the limit, and smallFleetFixed more.
 	smallFleetShare, smallFleetFixed = 2.0, 4.0
-	// deviations is the number of standard deviations by which the requests of many instances may come together by chance in a window. Low limits
-	// need so many: small counts deviate further than a normal distribution does.
+	// deviations is the number of standard deviations above the mean for which the requests of a large fleet in a window leave
+	// room, since they come at random times. Low limits need as many: small counts deviate further than a normal distribution
+	// does.
 	deviations = 8.0
-	// permitLifetime is how long one of many instances may leave its turn unused; what lapsed later could be used by all in the same moment.
+	// permitLifetime is how long an instance of a large fleet may keep its permit unused. With a longer lifetime, more instances
+	// would hold permits, and could all use them at the same time.
 	permitLifetime = 2 * time.Second
-	// minLimit is what few instances take a lower limit for, in requests a second: whoever sent nothing would never hear that it is over.
+	// minLimit is the limit, in requests a second, that a small fleet assumes instead of a lower one: an instance learns only
+	// from the answer to a request that a limit has ended, so that it must not stop sending.
 	minLimit = 0.1
-	// initialDelay is how long nothing is sent once a limit is named: the server has just got more.
+	// initialDelay is how long an instance sends nothing after it has learned of a limit: the server has just got
+	// more requests than the limit allows.
 	initialDelay = 2500 * time.Millisecond
 )
 
-// Quota is an instance's equal part of a limit on the requests of all instances.
+// Quota is an instance's equal share of a rate limit on the requests of all instances.
 type Quota struct {
-	// period is the time between two requests, in the mean where there are many instances.
+	// period is the time between two requests of the instance; in a large fleet, the mean time.
 	period time.Duration
-	// largeFleet is true when there are so largeFleet instances that none may keep its turn.
+	// largeFleet is true when there are so many instances that unused permits must expire.
 	largeFleet bool
 }
 
-// QuotaOf returns the part of one of so many instances in a number of requests a second.
+// QuotaOf returns the quota of one instance; perSecond is the rate limit for all instances together, in requests a second.
 func QuotaOf(perSecond float64, instances int) Quota {
 	q, rate := Quota{largeFleet: float64(instances) > smallFleetShare*perSecond+smallFleetFixed}, smallFleetUse*max(perSecond, minLimit)
 	if q.largeFleet {
@@ -43,36 +50,38 @@
 	return q
 }
 
-// largeFleetRate returns the requests a second of instances that send independently of each other, so that what they have in a window by chance
-// stays within what is allowed: the mean and spread times its root.
+// largeFleetRate returns the rate, in requests a second, at which a large fleet sends. Its instances send at random and
+// independently of each other, so that the number of requests in a window has a standard deviation of the square root of its
+// mean. The mean is chosen so that the mean plus deviations times its square root is the number that is allowed in a window.
 func largeFleetRate(perSecond float64) float64 {
 	allowed := limitShare*limitWindow.Seconds()*perSecond + limitFixed
 	root := (math.Sqrt(deviations*deviations+4*allowed) - deviations) / 2
 	return root * root / (limitWindow + permitLifetime).Seconds()
 }
 
-// Period returns the time between two requests, in the mean where there are many instances.
+// Period returns the time between two requests of the instance; in a large fleet, the mean time.
 func (q Quota) Period() time.Duration { return q.period }
 
-// Pacer spaces the requests of one instance. No instance knows what the others send: that all together keep to the limit follows from the
-// spaces alone, whatever callers ask for.
+// Pacer spaces the requests of one instance, to keep a rate limit on all instances together. After each request there is a gap,
+// and then a permit for one request. No instance knows what the others send: the gaps alone make all instances keep the limit,
+// however many requests callers make.
 type Pacer struct {
-	// gapStart is when the present space began, and share its length in periods.
+	// gapStart is when the current gap began, and gapPeriods is its length in periods of the quota.
 	gapStart   time.Time
 	gapPeriods float64
 }
 
-// NewPacer returns the pace of an instance that has just heard of a limit; random is uniform in [0, 1).
+// NewPacer returns the pacer of an instance that has just learned of a limit; random is uniform in [0, 1).
 func NewPacer(now time.Time, random float64) Pacer {
 	return Pacer{gapStart: now.Add(initialDelay), gapPeriods: randomGap(random)}
 }
 
-// randomGap returns a space of one period in the mean. Spaces drawn in that way end at any moment equally often, however many instances
-// began theirs at the same moment.
+// randomGap returns the length of a gap in periods, drawn from the exponential distribution with mean 1. Such gaps end at any
+// time with the same probability, so that instances which began theirs at the same time do not send at the same time.
 func randomGap(random float64) float64 { return -math.Log(1 - random) }
 
-// Ready reports whether a request may go now. One of many instances that has left its turn unused for long gets another one; random is
-// uniform in [0, 1).
+// Ready reports whether a request may be sent now. In a large fleet, a permit that has been unused for permitLifetime expires,
+// and another gap begins; random is uniform in [0, 1).
 func (p *Pacer) Ready(quota Quota, now time.Time, random float64) bool {
 	at := p.Next(quota)
 	if quota.largeFleet && now.Sub(at) > permitLifetime {
@@ -82,12 +91,12 @@
 	return !now.Before(at)
 }
 
-// Next returns when the next request may go.
+// Next returns when the next request may be sent.
 func (p *Pacer) Next(quota Quota) time.Time {
 	return p.gapStart.Add(time.Duration(p.gapPeriods * float64(quota.period)))
 }
 
-// Sent notes that a request goes; random is uniform in [0, 1).
+// Sent records that a request is sent, which uses up the permit; random is uniform in [0, 1).
 func (p *Pacer) Sent(quota Quota, now time.Time, random float64) {
 	p.gapStart, p.gapPeriods = now, 1
 	if quota.largeFleet {
--- a/retry/pace_test.go
+++ b/retry/pace_test.go
@@ -10,13 +10,13 @@
 
 const paceStep = 100 * time.Millisecond
 
-// pacedFleet is a number of instances in simulated time that a server has told its limit.
+// pacedFleet simulates instances that have learned of a server's rate limit at the same time.
 type pacedFleet struct {
 	random *rand.Rand
 	now    time.Time
 	limit  float64
 	pacers []Pacer
-	// sent holds the requests of each step.
+	// sent holds the number of requests in each step.
 	sent []int
 }
 
@@ -28,7 +28,7 @@
 	return f
 }
 
-// run lets each instance have a request for the server with a likelihood in each step.
+// run advances the time by lasts; in each step, each instance has a request for the server with probability demand.
 func (f *pacedFleet) run(lasts time.Duration, demand float64) {
 	quota := QuotaOf(f.limit, len(f.pacers))
 	for range lasts / paceStep {
@@ -44,7 +44,7 @@
 	}
 }
 
-// maxLoad returns the most requests in a window by what is allowed in it.
+// maxLoad returns the greatest number of requests in a window, as a ratio to the number that is allowed.
 func (f *pacedFleet) maxLoad() float64 {
 	slots, inWindow, most := int(limitWindow/paceStep), 0, 0
 	for i, n := range f.sent {
@@ -66,7 +66,7 @@
 				f := newPacedFleet(seed, limit, instances)
 				f.run(busy, 1)
 				worst = max(worst, f.maxLoad())
-				// All have rested for long, and are all asked at once.
+				// All instances have been idle for long and then get requests at once.
 				f.run(busy, 0)
 				f.run(busy, 1)
 				worst = max(worst, f.maxLoad())
--- a/retry/synccircuit.go
+++ b/retry/synccircuit.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guard is a Circuit that several goroutines may use; its zero value is closed.
+// Guard is a Circuit that is safe for concurrent use; its zero value is closed.
 type Guard struct {
 	mu      sync.Mutex
 	circuit Circuit
@@ -25,21 +25,21 @@
 	g.circuit.Succeeded()
 }
 
-// Settled gives a trial back whose outcome says nothing about the server.
+// Settled allows another trial request, after one whose outcome says nothing about the server.
 func (g *Guard) Settled() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.circuit.ReleaseTrial()
 }
 
-// Admit takes the single trial of a circuit whose pause is over.
+// Admit records that the single trial request is sent once the circuit has been open for long enough.
 func (g *Guard) Admit() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.circuit.StartTrial()
 }
 
-// Open reports whether the server gets no work now.
+// Open reports whether work must be kept away from the server now.
 func (g *Guard) Open(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/retry/windowcounter.go
+++ b/retry/windowcounter.go
@@ -2,16 +2,19 @@
 
 import "time"
 
-// Tally counts events of the last while in equal parts of the time, of which the oldest is forgotten as a whole.
+// Tally counts the events in a sliding window. The window is divided into slots of equal length, of which the oldest is dropped
+// as a whole.
 type Tally struct {
-	slot    time.Duration
+	// slot is the length of a slot.
+	slot time.Duration
+	// counts holds the events of each slot, and current is the index of the latest slot.
 	counts  []int
 	current int
-	// slotStart is when the present part began; zero before the first use.
+	// slotStart is when the current slot began; zero before the first use.
 	slotStart time.Time
 }
 
-// NewTally returns a Tally over so many parts of length slot, the present one included.
+// NewTally returns a Tally over a number of slots of length slot, including the current one.
 func NewTally(slots int, slot time.Duration) *Tally {
 	return &Tally{slot: slot, counts: make([]int, slots)}
 }
@@ -22,13 +25,13 @@
 	t.counts[t.current]++
 }
 
-// Sum returns how many events there were.
+// Sum returns the number of events in the window.
 func (t *Tally) Sum(now time.Time) int {
 	t.advance(now)
 	return t.total()
 }
 
-// setSlot takes over another length of the parts; what was counted counts as if it had all happened now.
+// setSlot changes the length of the slots. All events counted so far are counted as if they had happened in the current slot.
 func (t *Tally) setSlot(slot time.Duration) {
 	if slot == t.slot {
 		return
