--- a/follow/ends.go
+++ b/follow/ends.go
@@ -6,8 +6,8 @@
 	"junctioncross/quarantine"
 )
 
-// hearEnd takes over that a server ended under a request.
-func (l *Loop) hearEnd(e quarantine.End) {
+// addEnd takes over that a server ended under a request.
+func (l *Loop) addEnd(e quarantine.End) {
 	if !l.ends.Hear(e, l.clock.Now()) {
 		return
 	}
--- a/follow/era.go
+++ b/follow/era.go
@@ -2,15 +2,15 @@
 
 import "github.com/sirupsen/logrus"
 
-// noteEra keeps how far a feed is known, and reports whether the store has lost writes since. It lacks entries of live servers then until these
+// notePosition keeps how far a feed is known, and reports whether the store has lost writes since. It lacks entries of live servers then until these
 // write them again, as after an outage in which the entries lapsed, and ends under requests until instances do.
-func (l *Loop) noteEra(feed Feed, at Position) bool {
-	was := l.at[feed]
-	l.at[feed] = max(was, at)
+func (l *Loop) notePosition(feed Feed, at Position) bool {
+	was := l.positions[feed]
+	l.positions[feed] = max(was, at)
 	if was == 0 || at.Era() <= was.Era() {
 		return false
 	}
-	l.failed = l.clock.Now()
+	l.lastFailure = l.clock.Now()
 	l.stats.Counter("store_losses_total{feed=\"" + feed.String() + "\"}").Inc(1)
 	l.log.WithFields(logrus.Fields{
 		"feed": feed.String(), "era": at.Era(), "was": was.Era(), "at": at.Revision(), "held": was.Revision(),
--- a/follow/feed.go
+++ b/follow/feed.go
@@ -12,104 +12,104 @@
 )
 
 const (
-	// firstPause and longestPause bound the pause after a failed call; short, since the store takes thousands of reads a
+	// minBackoff and longestPause bound the pause after a failed call; short, since the store takes thousands of reads a
 	// second and an instance that is behind serves old configurations.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 800 * time.Millisecond
-	// gatherTime is how long after news of servers the next call is sent, so that news which come together cost one call. A
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
+	// batchDelay is how long after news of servers the next call is sent, so that news which come together cost one call. A
 	// leaving server must get no new work after two seconds; the news may pass another instance that waits as long.
-	gatherTime = 300 * time.Millisecond
+	batchDelay = 300 * time.Millisecond
 )
 
-// Heard is what a feed tells the control goroutine.
-type Heard interface{ heard() }
+// FeedEvent is what a feed tells the control goroutine.
+type FeedEvent interface{ feedEvent() }
 
-// heardAll carries the whole content of a feed.
-type heardAll struct {
+// fullFeed carries the whole content of a feed.
+type fullFeed struct {
 	feed Feed
 	News
 }
 
-// heardChanges carries what changed since the last message of the feed.
-type heardChanges struct {
+// feedUpdates carries what changed since the last message of the feed.
+type feedUpdates struct {
 	feed Feed
 	News
 }
 
-// heardFailure says that a call failed.
-type heardFailure struct {
+// feedFailure says that a call failed.
+type feedFailure struct {
 	feed Feed
 	err  error
 }
 
-func (heardAll) heard()     {}
-func (heardChanges) heard() {}
-func (heardFailure) heard() {}
+func (fullFeed) feedEvent()    {}
+func (feedUpdates) feedEvent() {}
+func (feedFailure) feedEvent() {}
 
-// pump follows one feed and delivers what it hears until ctx ends.
-type pump struct {
+// poller follows one feed and delivers what it hears until ctx ends.
+type poller struct {
 	source Source
 	clock  *timer.Service
 	feed   Feed
-	out    chan<- Heard
-	// at is where to go on from; 0 means that the feed must be read whole.
-	at       Position
+	events chan<- FeedEvent
+	// position is where to go on from; 0 means that the feed must be read whole.
+	position Position
 	failures int
 }
 
-func (p *pump) run(ctx context.Context) {
+func (p *poller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		heard := p.step(ctx)
+		event := p.poll(ctx)
 		select {
-		case p.out <- heard:
+		case p.events <- event:
 		case <-ctx.Done():
 			return
 		}
-		if _, failed := heard.(heardFailure); failed {
-			p.pause(ctx)
+		if _, failed := event.(feedFailure); failed {
+			p.backOff(ctx)
 			continue
 		}
 		p.failures = 0
 		if p.feed == FeedServers {
-			p.gather(ctx, heard)
+			p.waitForMore(ctx, event)
 		}
 	}
 }
 
-// gather waits a little after news of servers, so that those that come together cost one call.
-func (p *pump) gather(ctx context.Context, heard Heard) {
-	if h, ok := heard.(heardChanges); !ok || len(h.Changes) == 0 {
+// waitForMore waits a little after news of servers, so that those that come together cost one call.
+func (p *poller) waitForMore(ctx context.Context, event FeedEvent) {
+	if h, ok := event.(feedUpdates); !ok || len(h.Changes) == 0 {
 		return
 	}
-	p.clock.Sleep(ctx, gatherTime)
+	p.clock.Sleep(ctx, batchDelay)
 }
 
-func (p *pump) step(ctx context.Context) Heard {
-	if p.at == 0 {
-		return p.read(ctx)
+func (p *poller) poll(ctx context.Context) FeedEvent {
+	if p.position == 0 {
+		return p.readFull(ctx)
 	}
-	news, err := p.source.Next(ctx, p.feed, p.at)
+	updates, err := p.source.Next(ctx, p.feed, p.position)
 	if errors.Is(err, ErrHistoryGone) {
-		p.at = 0
+		p.position = 0
 	}
 	if err != nil {
-		return heardFailure{feed: p.feed, err: err}
+		return feedFailure{feed: p.feed, err: err}
 	}
-	p.at = max(p.at, news.At)
-	return heardChanges{feed: p.feed, News: news}
+	p.position = max(p.position, updates.At)
+	return feedUpdates{feed: p.feed, News: updates}
 }
 
-func (p *pump) read(ctx context.Context) Heard {
-	news, err := p.source.Read(ctx, p.feed)
+func (p *poller) readFull(ctx context.Context) FeedEvent {
+	updates, err := p.source.Read(ctx, p.feed)
 	if err != nil {
-		return heardFailure{feed: p.feed, err: err}
+		return feedFailure{feed: p.feed, err: err}
 	}
-	p.at = news.At
-	return heardAll{feed: p.feed, News: news}
+	p.position = updates.At
+	return fullFeed{feed: p.feed, News: updates}
 }
 
-func (p *pump) pause(ctx context.Context) {
-	full := retry.Doubled(firstPause, longestPause, p.failures)
+func (p *poller) backOff(ctx context.Context) {
+	full := retry.Doubled(minBackoff, maxBackoff, p.failures)
 	p.failures++
 	// Half of the pause is random, so that instances which failed together do not come back together.
 	pause := full/2 + time.Duration(rand.Float64()*float64(full/2))
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/pkg/errors"
-	told "github.com/sirupsen/logrus/hooks/test"
+	logtest "github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 
 	"junctioncross/backend"
@@ -19,8 +19,8 @@
 	"junctioncross/timer"
 )
 
-// patience bounds waits that end within some seconds on a sound machine.
-const patience = 30 * time.Second
+// testTimeout bounds waits that end within some seconds on a sound machine.
+const testTimeout = 30 * time.Second
 
 // source is a Source that a test feeds.
 type source struct {
@@ -28,19 +28,19 @@
 	at      follow.Position
 	config  follow.Change
 	servers map[string]follow.Change
-	news    map[follow.Feed][]follow.Change
+	pending map[follow.Feed][]follow.Change
 	down    bool
-	// forgets is true when the next call finds that the history is gone.
-	forgets bool
-	changed chan struct{}
+	// historyGone is true when the next call finds that the history is gone.
+	historyGone bool
+	changed     chan struct{}
 }
 
 func newSource() *source {
-	return &source{at: 1, servers: map[string]follow.Change{}, news: map[follow.Feed][]follow.Change{}, changed: make(chan struct{})}
+	return &source{at: 1, servers: map[string]follow.Change{}, pending: map[follow.Feed][]follow.Change{}, changed: make(chan struct{})}
 }
 
-// tell adds a change; a whole reading holds it as well.
-func (s *source) tell(feed follow.Feed, c follow.Change) {
+// add adds a change; a whole reading holds it as well.
+func (s *source) add(feed follow.Feed, c follow.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch c := c.(type) {
@@ -53,7 +53,7 @@
 	case follow.Unreadable:
 	}
 	s.at++
-	s.news[feed] = append(s.news[feed], c)
+	s.pending[feed] = append(s.pending[feed], c)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -73,50 +73,50 @@
 	if s.down {
 		return follow.News{}, follow.ErrUnavailable
 	}
-	s.news[feed] = nil
+	s.pending[feed] = nil
 	if feed == follow.FeedConfig {
 		if s.config == nil {
-			return s.told(), nil
+			return s.updates(), nil
 		}
-		return s.told(s.config), nil
+		return s.updates(s.config), nil
 	}
 	var all []follow.Change
 	for _, c := range s.servers {
 		all = append(all, c)
 	}
-	return s.told(all...), nil
+	return s.updates(all...), nil
 }
 
-// told returns news as of now; the caller holds the lock.
-func (s *source) told(changes ...follow.Change) follow.News {
+// updates returns news as of now; the caller holds the lock.
+func (s *source) updates(changes ...follow.Change) follow.News {
 	return follow.News{Changes: changes, At: s.at, Known: time.Now()}
 }
 
-// wait is how long Next waits for news.
-const wait = time.Second
+// pollTime is how long Next waits for news.
+const pollTime = time.Second
 
 // Next implements follow.Source.
 func (s *source) Next(ctx context.Context, feed follow.Feed, _ follow.Position) (follow.News, error) {
-	end := time.After(wait)
+	end := time.After(pollTime)
 	for {
 		s.mu.Lock()
-		news, changed, down := s.told(s.news[feed]...), s.changed, s.down
-		forgets := s.forgets && feed == follow.FeedServers
-		s.forgets = s.forgets && !forgets
-		s.news[feed] = nil
+		updates, changed, down := s.updates(s.pending[feed]...), s.changed, s.down
+		historyGone := s.historyGone && feed == follow.FeedServers
+		s.historyGone = s.historyGone && !historyGone
+		s.pending[feed] = nil
 		s.mu.Unlock()
 		switch {
-		case forgets:
+		case historyGone:
 			return follow.News{}, follow.ErrHistoryGone
 		case down:
 			return follow.News{}, errors.Wrap(follow.ErrUnavailable, "down")
-		case len(news.Changes) > 0:
-			return news, nil
+		case len(updates.Changes) > 0:
+			return updates, nil
 		}
 		select {
 		case <-changed:
 		case <-end:
-			return news, nil
+			return updates, nil
 		case <-ctx.Done():
 			return follow.News{}, follow.ErrUnavailable
 		}
@@ -124,26 +124,26 @@
 }
 
 func start(t *testing.T, s *source) *follow.Board {
-	board, _ := startTold(t, s)
+	board, _ := startLogged(t, s)
 	return board
 }
 
-// startTold starts a loop and keeps what it logs.
-func startTold(t *testing.T, s *source) (*follow.Board, *told.Hook) {
+// startLogged starts a loop and keeps what it logs.
+func startLogged(t *testing.T, s *source) (*follow.Board, *logtest.Hook) {
 	log := testlog.New(t)
-	lines := told.NewLocal(log)
+	lines := logtest.NewLocal(log)
 	board := follow.NewBoard()
 	follow.New(t.Context(), s, board, quarantine.NewBook(quarantine.Terms{}), timer.NewReal(), metrics.New(), log)
 	return board, lines
 }
 
-func configured(t *testing.T, version int64) follow.Configured {
+func config(t *testing.T, version int64) follow.Configured {
 	c, err := catalog.New(&catalog.Content{Version: version, Services: []catalog.Service{{Name: "s"}}})
 	require.NoError(t, err)
 	return follow.Configured{Catalog: c}
 }
 
-func seen(id string, leaving bool) follow.ServerSeen {
+func serverSeen(id string, leaving bool) follow.ServerSeen {
 	return follow.ServerSeen{Entry: backend.Entry{ID: id, Service: "s", Addr: "127.0.0.1:1", Leaving: leaving}}
 }
 
@@ -161,52 +161,54 @@
 	return 0
 }
 
-func soon(t *testing.T, what func() bool) { require.Eventually(t, what, patience, 5*time.Millisecond) }
+func eventually(t *testing.T, what func() bool) {
+	require.Eventually(t, what, testTimeout, 5*time.Millisecond)
+}
 
-func TestAConfigurationNeverGoesBackAndABadOneChangesNothing(t *testing.T) {
+func TestOlderAndUnreadableConfigurationsAreIgnored(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
-	s.tell(follow.FeedConfig, configured(t, 5))
-	soon(t, func() bool { return version(b) == 5 })
-	s.tell(follow.FeedConfig, configured(t, 3))
-	s.tell(follow.FeedConfig, follow.Unreadable{Key: "k", Err: errors.New("bad")})
-	s.tell(follow.FeedConfig, configured(t, 9))
-	soon(t, func() bool { return version(b) != 5 })
+	s.add(follow.FeedConfig, config(t, 5))
+	eventually(t, func() bool { return version(b) == 5 })
+	s.add(follow.FeedConfig, config(t, 3))
+	s.add(follow.FeedConfig, follow.Unreadable{Key: "k", Err: errors.New("bad")})
+	s.add(follow.FeedConfig, config(t, 9))
+	eventually(t, func() bool { return version(b) != 5 })
 	require.EqualValues(t, 9, version(b))
 }
 
-func TestServersComeLeaveAndGo(t *testing.T) {
+func TestServersAreAddedMarkedLeavingAndRemoved(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
-	s.tell(follow.FeedConfig, configured(t, 1))
-	s.tell(follow.FeedServers, seen("a", false))
-	soon(t, func() bool { return servers(b) == 1 })
+	s.add(follow.FeedConfig, config(t, 1))
+	s.add(follow.FeedServers, serverSeen("a", false))
+	eventually(t, func() bool { return servers(b) == 1 })
 	server := b.Current().Group("s").Servers()[0]
-	s.tell(follow.FeedServers, seen("a", true))
-	soon(t, server.Leaving)
-	s.tell(follow.FeedServers, follow.ServerGone{ID: "a"})
-	soon(t, func() bool { return servers(b) == 0 })
+	s.add(follow.FeedServers, serverSeen("a", true))
+	eventually(t, server.Leaving)
+	s.add(follow.FeedServers, follow.ServerGone{ID: "a"})
+	eventually(t, func() bool { return servers(b) == 0 })
 	require.True(t, server.Gone())
 }
 
-// TestAnEntryThatVanishesWithTheStoreIsKeptUntilItWouldBeBack lets two entries lapse in an outage; one comes back.
-func TestAnEntryThatVanishesWithTheStoreIsKeptUntilItWouldBeBack(t *testing.T) {
+// TestAServerIsKeptForAWhileWhenItsEntryExpiresInAnOutage lets two entries lapse in an outage; one comes back.
+func TestAServerIsKeptForAWhileWhenItsEntryExpiresInAnOutage(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
-	s.tell(follow.FeedConfig, configured(t, 1))
-	s.tell(follow.FeedServers, seen("back", false))
-	s.tell(follow.FeedServers, seen("gone", false))
-	soon(t, func() bool { return servers(b) == 2 })
+	s.add(follow.FeedConfig, config(t, 1))
+	s.add(follow.FeedServers, serverSeen("back", false))
+	s.add(follow.FeedServers, serverSeen("gone", false))
+	eventually(t, func() bool { return servers(b) == 2 })
 	known := b.Current().Group("s").Servers()
 	s.setDown(true)
 	age := b.Confirmed()
 	time.Sleep(300 * time.Millisecond)
-	s.tell(follow.FeedServers, follow.ServerGone{ID: "back"})
-	s.tell(follow.FeedServers, follow.ServerGone{ID: "gone"})
+	s.add(follow.FeedServers, follow.ServerGone{ID: "back"})
+	s.add(follow.FeedServers, follow.ServerGone{ID: "gone"})
 	s.setDown(false)
-	soon(t, func() bool { return b.Confirmed().After(age) })
-	s.tell(follow.FeedServers, seen("back", false))
-	soon(t, func() bool { return servers(b) == 1 })
+	eventually(t, func() bool { return b.Confirmed().After(age) })
+	s.add(follow.FeedServers, serverSeen("back", false))
+	eventually(t, func() bool { return servers(b) == 1 })
 	require.Equal(t, "back", b.Current().Group("s").Servers()[0].ID())
 	for _, one := range known {
 		if one.Gone() {
@@ -215,23 +217,23 @@
 	}
 }
 
-// TestAServerThatVanishesAfterAnOutageGetsNoNewWork lets one of many entries vanish just after the store came back: whether its
+// TestAServerWhoseEntryVanishesAfterAnOutageGetsNoNewWork lets one of many entries vanish just after the store came back: whether its
 // server leaves or its entry lapsed shows later. When most vanish, they have lapsed.
-func TestAServerThatVanishesAfterAnOutageGetsNoNewWork(t *testing.T) {
+func TestAServerWhoseEntryVanishesAfterAnOutageGetsNoNewWork(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
-	s.tell(follow.FeedConfig, configured(t, 1))
+	s.add(follow.FeedConfig, config(t, 1))
 	for _, id := range []string{"a", "b", "c", "d"} {
-		s.tell(follow.FeedServers, seen(id, false))
+		s.add(follow.FeedServers, serverSeen(id, false))
 	}
-	soon(t, func() bool { return usable(b) == 4 })
+	eventually(t, func() bool { return usable(b) == 4 })
 	s.setDown(true)
 	age := b.Confirmed()
 	time.Sleep(300 * time.Millisecond)
 	s.setDown(false)
-	soon(t, func() bool { return b.Confirmed().After(age) })
-	s.tell(follow.FeedServers, follow.ServerGone{ID: "a"})
-	soon(t, func() bool { return usable(b) == 3 })
+	eventually(t, func() bool { return b.Confirmed().After(age) })
+	s.add(follow.FeedServers, follow.ServerGone{ID: "a"})
+	eventually(t, func() bool { return usable(b) == 3 })
 	require.Equal(t, 4, servers(b), "it is kept until it would be back")
 	leaving := func() (n int) {
 		for _, one := range b.Current().Group("s").Servers() {
@@ -243,12 +245,12 @@
 	}
 	require.Equal(t, 1, leaving(), "streams may leave it from now on")
 	for _, id := range []string{"b", "c", "d"} {
-		s.tell(follow.FeedServers, follow.ServerGone{ID: id})
+		s.add(follow.FeedServers, follow.ServerGone{ID: id})
 	}
-	soon(t, func() bool { return usable(b) == 4 })
+	eventually(t, func() bool { return usable(b) == 4 })
 	require.Zero(t, leaving(), "the entries have lapsed")
-	s.tell(follow.FeedServers, seen("a", false))
-	soon(t, func() bool { return servers(b) == 1 })
+	s.add(follow.FeedServers, serverSeen("a", false))
+	eventually(t, func() bool { return servers(b) == 1 })
 	require.Equal(t, 1, usable(b))
 }
 
@@ -267,46 +269,46 @@
 	return n
 }
 
-// TestAServerThatDrainsHasNotEndedSinceItsEntryLapsed lets the entry of a server that has said that it leaves lapse with the store: it still
+// TestALeavingServerHasNotEndedWhenItsEntryExpires lets the entry of a server that has said that it leaves lapse with the store: it still
 // does what it has.
-func TestAServerThatDrainsHasNotEndedSinceItsEntryLapsed(t *testing.T) {
+func TestALeavingServerHasNotEndedWhenItsEntryExpires(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
-	s.tell(follow.FeedConfig, configured(t, 1))
-	s.tell(follow.FeedServers, seen("drains", true))
-	soon(t, func() bool { return servers(b) == 1 })
+	s.add(follow.FeedConfig, config(t, 1))
+	s.add(follow.FeedServers, serverSeen("drains", true))
+	eventually(t, func() bool { return servers(b) == 1 })
 	server := b.Current().Group("s").Servers()[0]
 	s.setDown(true)
 	time.Sleep(300 * time.Millisecond)
-	s.tell(follow.FeedServers, follow.ServerGone{ID: "drains"})
+	s.add(follow.FeedServers, follow.ServerGone{ID: "drains"})
 	s.setDown(false)
-	soon(t, func() bool { return server.Gone() })
+	eventually(t, func() bool { return server.Gone() })
 	require.False(t, server.Ended())
 }
 
-// TestAServerThatLeavesWithoutAWordWhileTheHistoryIsGoneHasLeft lets a store that answers well forget its past.
-func TestAServerThatLeavesWithoutAWordWhileTheHistoryIsGoneHasLeft(t *testing.T) {
+// TestAServerMissingFromAFullReadIsRemovedWhenTheHistoryIsGone lets a store that answers well forget its past.
+func TestAServerMissingFromAFullReadIsRemovedWhenTheHistoryIsGone(t *testing.T) {
 	s := newSource()
-	b, lines := startTold(t, s)
-	s.tell(follow.FeedConfig, configured(t, 1))
-	s.tell(follow.FeedServers, seen("leaves", false))
-	soon(t, func() bool { return servers(b) == 1 })
+	b, lines := startLogged(t, s)
+	s.add(follow.FeedConfig, config(t, 1))
+	s.add(follow.FeedServers, serverSeen("leaves", false))
+	eventually(t, func() bool { return servers(b) == 1 })
 	server := b.Current().Group("s").Servers()[0]
 	s.mu.Lock()
-	s.forgets = true
+	s.historyGone = true
 	delete(s.servers, "leaves")
 	close(s.changed)
 	s.changed = make(chan struct{})
 	s.mu.Unlock()
-	soon(t, func() bool { return server.Gone() })
+	eventually(t, func() bool { return server.Gone() })
 	for _, line := range lines.AllEntries() {
 		require.NotContains(t, line.Message, "kept for now", "its streams have two seconds in all to go on elsewhere")
 	}
 }
 
-func TestTheAgeOfTheServersIsKnownOnceTheyWereRead(t *testing.T) {
+func TestServersAgeIsKnownAfterTheFirstRead(t *testing.T) {
 	const ever = 24 * time.Hour
 	require.Greater(t, follow.NewBoard().ServersAge(time.Now()), ever)
 	b := start(t, newSource())
-	soon(t, func() bool { return b.ServersAge(time.Now()) < ever })
+	eventually(t, func() bool { return b.ServersAge(time.Now()) < ever })
 }
--- a/follow/loop.go
+++ b/follow/loop.go
@@ -17,51 +17,51 @@
 )
 
 const (
-	// houseKeeping is the period of the work that follows no message.
-	houseKeeping = 250 * time.Millisecond
-	// heardQueue holds messages while the control goroutine is busy.
-	heardQueue = 16
-	// mostLogged is the number of entries that come together up to which each has its line: each of hundreds of instances would write thousands
+	// housekeepingPeriod is the period of the work that follows no message.
+	housekeepingPeriod = 250 * time.Millisecond
+	// eventQueueSize holds messages while the control goroutine is busy.
+	eventQueueSize = 16
+	// maxLoggedEntries is the number of entries that come together up to which each has its line: each of hundreds of instances would write thousands
 	// at a start and while all servers load.
-	mostLogged = 100
+	maxLoggedEntries = 100
 )
 
-// errNoService means that an entry names a service that the configuration does not.
-var errNoService = errors.New("follow: no such service")
+// errUnknownService means that an entry names a service that the configuration does not.
+var errUnknownService = errors.New("follow: no such service")
 
 // Loop owns the control state of an instance.
 type Loop struct {
-	board *Board
-	ends  *quarantine.Book
-	clock *timer.Service
-	stats *metrics.Registry
-	log   *logrus.Logger
-	heard chan Heard
+	board  *Board
+	ends   *quarantine.Book
+	clock  *timer.Service
+	stats  *metrics.Registry
+	log    *logrus.Logger
+	events chan FeedEvent
 
 	catalog *catalog.Catalog
 	// servers holds what is known of each server by its id.
-	servers map[string]*known
+	servers map[string]*trackedServer
 	// former holds servers without an entry, should their entries come back.
-	former map[backend.Incarnation]former
-	// lost says which feeds fail at present.
-	lost [feeds]bool
-	// outdated is true while the store holds an older configuration than the one in force.
-	outdated bool
-	// at is how far each feed is known.
-	at [feeds]Position
-	// failed is when a call last failed.
-	failed time.Time
+	former map[backend.Incarnation]formerServer
+	// failing says which feeds fail at present.
+	failing [feeds]bool
+	// storeOutdated is true while the store holds an older configuration than the one in force.
+	storeOutdated bool
+	// positions is how far each feed is known.
+	positions [feeds]Position
+	// lastFailure is when a call last lastFailure.
+	lastFailure time.Time
 	// terse is true while many entries are taken over, which have one line together.
 	terse bool
 }
 
-// known is what is known of one server.
-type known struct {
+// trackedServer is what is trackedServer of one server.
+type trackedServer struct {
 	server *backend.Server
 	// entry is the newest one that can be used.
 	entry backend.Entry
-	// missing is when the server was first missed, if its entry has vanished around an outage.
-	missing time.Time
+	// missingSince is when the server was first missed, if its entry has vanished around an outage.
+	missingSince time.Time
 	// unusable is true while the server's entry names none to use.
 	unusable bool
 }
@@ -72,22 +72,22 @@
 	log *logrus.Logger,
 ) *Loop {
 	l := &Loop{
-		board: board, ends: ends, clock: clock, stats: stats, log: log, heard: make(chan Heard, heardQueue),
-		servers: map[string]*known{}, former: map[backend.Incarnation]former{},
+		board: board, ends: ends, clock: clock, stats: stats, log: log, events: make(chan FeedEvent, eventQueueSize),
+		servers: map[string]*trackedServer{}, former: map[backend.Incarnation]formerServer{},
 	}
 	for _, feed := range []Feed{FeedConfig, FeedServers, FeedQuarantine} {
-		p := &pump{source: source, clock: clock, feed: feed, out: l.heard}
+		p := &poller{source: source, clock: clock, feed: feed, events: l.events}
 		go func() { p.run(ctx) }()
 	}
-	ticks := clock.Subscribe(houseKeeping)
+	ticks := clock.Subscribe(housekeepingPeriod)
 	go func() {
 		defer ticks.Stop()
 		for {
 			select {
-			case h := <-l.heard:
-				l.take(h)
+			case h := <-l.events:
+				l.handle(h)
 			case <-ticks.C():
-				l.tidy()
+				l.housekeep()
 			case <-ctx.Done():
 				return
 			}
@@ -96,73 +96,73 @@
 	return l
 }
 
-func (l *Loop) take(h Heard) {
+func (l *Loop) handle(h FeedEvent) {
 	switch h := h.(type) {
-	case heardAll:
-		l.regained(h.feed)
-		lost := l.noteEra(h.feed, h.At)
+	case fullFeed:
+		l.noteRegained(h.feed)
+		lostWrites := l.notePosition(h.feed, h.At)
 		dropped := h.feed == FeedServers && l.dropUnlisted(h.Changes)
-		l.show(l.apply(h.Changes) || dropped)
-		if h.feed == FeedQuarantine && !lost {
+		l.publish(l.apply(h.Changes) || dropped)
+		if h.feed == FeedQuarantine && !lostWrites {
 			l.dropUnlistedEnds(h.Changes)
 		}
-		l.doubt()
+		l.markPossiblyLeaving()
 		l.confirm(h.feed, h.Known)
-	case heardChanges:
-		l.regained(h.feed)
-		if l.noteEra(h.feed, h.At) && h.feed == FeedQuarantine {
+	case feedUpdates:
+		l.noteRegained(h.feed)
+		if l.notePosition(h.feed, h.At) && h.feed == FeedQuarantine {
 			h.Changes = slices.DeleteFunc(h.Changes, isEndGone)
 		}
-		l.show(l.apply(h.Changes))
-		l.doubt()
+		l.publish(l.apply(h.Changes))
+		l.markPossiblyLeaving()
 		l.confirm(h.feed, h.Known)
-	case heardFailure:
-		l.failure(h)
+	case feedFailure:
+		l.handleFailure(h)
 	}
 }
 
-func (l *Loop) failure(h heardFailure) {
+func (l *Loop) handleFailure(h feedFailure) {
 	if !errors.Is(h.err, ErrHistoryGone) {
 		// A store that forgets its past is there.
-		l.failed = l.clock.Now()
+		l.lastFailure = l.clock.Now()
 	}
 	l.stats.Counter("store_failures_total{feed=\"" + h.feed.String() + "\"}").Inc(1)
-	if !l.lost[h.feed] {
-		l.lost[h.feed] = true
+	if !l.failing[h.feed] {
+		l.failing[h.feed] = true
 		l.log.WithFields(logrus.Fields{"dependency": "store", "feed": h.feed.String()}).WithError(h.err).Warn("dependency lost")
 	}
 }
 
-func (l *Loop) regained(feed Feed) {
-	if l.lost[feed] {
-		l.lost[feed] = false
+func (l *Loop) noteRegained(feed Feed) {
+	if l.failing[feed] {
+		l.failing[feed] = false
 		l.log.WithFields(logrus.Fields{"dependency": "store", "feed": feed.String()}).Info("dependency regained")
 	}
 }
 
 func (l *Loop) confirm(feed Feed, at time.Time) {
-	var known *atomic.Pointer[time.Time]
+	var newest *atomic.Pointer[time.Time]
 	switch feed {
 	case FeedConfig:
-		if l.outdated {
+		if l.storeOutdated {
 			// What is in force may have been replaced by what the store has lost as well.
 			return
 		}
-		known = &l.board.confirmed
+		newest = &l.board.confirmed
 	case FeedServers:
-		known = &l.board.listed
+		newest = &l.board.listed
 	default:
 		return
 	}
-	if at.After(*known.Load()) {
-		known.Store(&at)
+	if at.After(*newest.Load()) {
+		newest.Store(&at)
 	}
 }
 
 // apply takes changes over in order and reports whether any made a difference.
 func (l *Loop) apply(changes []Change) bool {
 	changed := false
-	if l.terse = len(changes) > mostLogged; l.terse {
+	if l.terse = len(changes) > maxLoggedEntries; l.terse {
 		defer func() {
 			l.terse = false
 			l.log.WithFields(logrus.Fields{"servers": len(l.servers), "entries": len(changes)}).Info("servers known")
@@ -171,15 +171,15 @@
 	for _, c := range changes {
 		switch c := c.(type) {
 		case Configured:
-			changed = l.configure(c.Catalog) || changed
+			changed = l.applyConfig(c.Catalog) || changed
 		case ServerSeen:
-			changed = l.see(c.Entry) || changed
+			changed = l.applyEntry(c.Entry) || changed
 		case EntryUnusable:
-			changed = l.disown(c) || changed
+			changed = l.markUnusable(c) || changed
 		case ServerGone:
-			changed = l.miss(c.ID) || changed
+			changed = l.handleVanished(c.ID) || changed
 		case EndSeen:
-			l.hearEnd(c.End)
+			l.addEnd(c.End)
 		case EndGone:
 			l.ends.Forget(c.End, l.clock.Now())
 		case Unreadable:
@@ -190,8 +190,8 @@
 	return changed
 }
 
-func (l *Loop) configure(c *catalog.Catalog) bool {
-	if l.outdated = l.catalog != nil && c.Version() < l.catalog.Version(); l.outdated {
+func (l *Loop) applyConfig(c *catalog.Catalog) bool {
+	if l.storeOutdated = l.catalog != nil && c.Version() < l.catalog.Version(); l.storeOutdated {
 		l.log.WithFields(logrus.Fields{"version": c.Version(), "in_force": l.catalog.Version()}).Warn("older configuration ignored")
 		return false
 	}
@@ -204,12 +204,12 @@
 	return true
 }
 
-func (l *Loop) see(e backend.Entry) bool {
+func (l *Loop) applyEntry(e backend.Entry) bool {
 	k := l.servers[e.ID]
 	if k == nil {
-		return l.meet(e)
+		return l.addServer(e)
 	}
-	k.missing = time.Time{}
+	k.missingSince = time.Time{}
 	if e.Revision < k.entry.Revision || k.entry.Incarnation().After(e.Incarnation()) {
 		// A late word, or one of an earlier start.
 		late, known := Position(e.Revision), Position(k.entry.Revision)
@@ -218,19 +218,19 @@
 		}).Warn("late entry ignored")
 		return false
 	}
-	if e.Service != k.entry.Service && !l.names(e.Service) {
-		return l.disown(EntryUnusable{ID: e.ID, Field: "service", Value: e.Service, Err: errNoService})
+	if e.Service != k.entry.Service && !l.hasService(e.Service) {
+		return l.markUnusable(EntryUnusable{ID: e.ID, Field: "service", Value: e.Service, Err: errUnknownService})
 	}
 	if !k.entry.SameStart(e) {
-		l.finish(k.server)
-		return l.meet(e)
+		l.noteRestart(k.server)
+		return l.addServer(e)
 	}
-	return l.renew(k, e)
+	return l.updateServer(k, e)
 }
 
-// meet takes the first entry of a start over.
-func (l *Loop) meet(e backend.Entry) bool {
-	k := &known{server: l.newServer(e), entry: e}
+// addServer takes the first entry of a start over.
+func (l *Loop) addServer(e backend.Entry) bool {
+	k := &trackedServer{server: l.newServer(e), entry: e}
 	l.servers[e.ID] = k
 	k.server.NoteLayers(l.clock.Now())
 	l.noteLeaving(k)
@@ -240,16 +240,16 @@
 	return true
 }
 
-// renew takes a newer entry of a known start over.
-func (l *Loop) renew(k *known, e backend.Entry) bool {
-	old, again := k.entry, k.unusable
+// updateServer takes a newer entry of a known start over.
+func (l *Loop) updateServer(k *trackedServer, e backend.Entry) bool {
+	old, wasUnusable := k.entry, k.unusable
 	k.entry, k.unusable = e, false
 	k.server.Update(e)
 	if e.Layers != old.Layers {
 		k.server.NoteLayers(l.clock.Now())
 	}
 	l.noteLeaving(k)
-	if old.Same(e) && !again {
+	if old.Same(e) && !wasUnusable {
 		return false
 	}
 	if !l.terse {
@@ -259,7 +259,7 @@
 }
 
 // noteLeaving keeps when a server was first heard to leave.
-func (l *Loop) noteLeaving(k *known) {
+func (l *Loop) noteLeaving(k *trackedServer) {
 	if k.entry.Leaving {
 		k.server.NoteLeaving(l.clock.Now())
 	}
@@ -272,19 +272,19 @@
 	}).Info(message)
 }
 
-// names reports whether the configuration in force names a service.
-func (l *Loop) names(service string) bool {
+// hasService reports whether the configuration in force hasService a service.
+func (l *Loop) hasService(service string) bool {
 	return l.catalog != nil && l.catalog.Service(service) != nil
 }
 
-// finish notes that a server has started again, under its id: what was under way at its former start is lost.
-func (l *Loop) finish(s *backend.Server) {
+// noteRestart notes that a server has started again, under its id: what was under way at its former start is lost.
+func (l *Loop) noteRestart(s *backend.Server) {
 	s.Finish()
 	l.log.WithFields(logrus.Fields{"server": s.ID(), "address": s.Addr(), "born": s.Incarnation().Born}).Info("server started again")
 }
 
-// disown takes a server out of use whose entry names none to use, until there is a good one. What it runs goes on.
-func (l *Loop) disown(c EntryUnusable) bool {
+// markUnusable takes a server out of use whose entry names none to use, until there is a good one. What it runs goes on.
+func (l *Loop) markUnusable(c EntryUnusable) bool {
 	l.stats.Counter("entries_unusable_total{field=\"" + c.Field + "\"}").Inc(1)
 	l.log.WithFields(logrus.Fields{"server": c.ID, "field": c.Field, "value": c.Value}).WithError(c.Err).Warn("entry names no server to use")
 	k := l.servers[c.ID]
@@ -295,8 +295,8 @@
 	return true
 }
 
-// show replaces the snapshot after a change, as a whole and never with a part of what was heard.
-func (l *Loop) show(changed bool) {
+// publish replaces the snapshot after a change, as a whole and never with a part of what was heard.
+func (l *Loop) publish(changed bool) {
 	if !changed || l.catalog == nil {
 		return
 	}
--- a/follow/position.go
+++ b/follow/position.go
@@ -8,13 +8,13 @@
 const (
 	// revisionBits hold the revision; an era has what is left beside the sign.
 	revisionBits = 48
-	mostRevision = 1<<revisionBits - 1
-	mostEra      = 1<<(63-revisionBits) - 1
+	maxRevision  = 1<<revisionBits - 1
+	maxEra       = 1<<(63-revisionBits) - 1
 )
 
 // PositionOf returns the place of a revision in an era; false means that one of them is out of range.
 func PositionOf(era, revision int64) (Position, bool) {
-	if era < 0 || era > mostEra || revision < 0 || revision > mostRevision {
+	if era < 0 || era > maxEra || revision < 0 || revision > maxRevision {
 		return 0, false
 	}
 	return Position(era<<revisionBits | revision), true
@@ -24,4 +24,4 @@
 func (p Position) Era() int64 { return int64(p >> revisionBits) }
 
 // Revision returns the store's revision.
-func (p Position) Revision() int64 { return int64(p & mostRevision) }
+func (p Position) Revision() int64 { return int64(p & maxRevision) }
--- a/follow/words.go
+++ b/follow/reports.go
@@ -6,16 +6,16 @@
 	"junctioncross/backend"
 )
 
-// sharedTime is how long after the last word of another instance the words of all count as shared: they come every half second.
-const sharedTime = 2 * time.Second
+// sharingWindow is how long after the last word of another instance the words of all count as shared: they come every half second.
+const sharingWindow = 2 * time.Second
 
 // OwnWords returns what this instance was told by servers, or not told, after a moment.
-func (b *Board) OwnWords(after, now time.Time) []backend.Word { return b.words(after, now, true) }
+func (b *Board) OwnWords(after, now time.Time) []backend.Word { return b.reports(after, now, true) }
 
 // Words returns what this instance was told by servers and by other instances after a moment.
-func (b *Board) Words(after, now time.Time) []backend.Word { return b.words(after, now, false) }
+func (b *Board) Words(after, now time.Time) []backend.Word { return b.reports(after, now, false) }
 
-func (b *Board) words(after, now time.Time, ownOnly bool) []backend.Word {
+func (b *Board) reports(after, now time.Time, ownOnly bool) []backend.Word {
 	var out []backend.Word
 	for _, group := range b.Current().Groups() {
 		for _, s := range group.Servers() {
@@ -28,13 +28,13 @@
 }
 
 // Hear takes over what other instances pass on, and reports whether a server turned bad by it.
-func (b *Board) Hear(words []backend.Word, now time.Time) bool {
-	if len(words) == 0 {
+func (b *Board) Hear(reports []backend.Word, now time.Time) bool {
+	if len(reports) == 0 {
 		return false
 	}
-	b.shared.Store(&now)
+	b.lastShared.Store(&now)
 	worse := false
-	for _, w := range words {
+	for _, w := range reports {
 		// A word on another start of the server says nothing of this one.
 		if s := b.Current().server(w.ID); s != nil && s.Incarnation().Born == w.Born {
 			worse = s.Hear(w, now) || worse
@@ -44,4 +44,4 @@
 }
 
 // Shared reports whether instances pass on to each other what servers tell them.
-func (b *Board) Shared(now time.Time) bool { return now.Sub(*b.shared.Load()) < sharedTime }
+func (b *Board) Shared(now time.Time) bool { return now.Sub(*b.lastShared.Load()) < sharingWindow }
--- a/follow/snapshot.go
+++ b/follow/snapshot.go
@@ -34,8 +34,8 @@
 	confirmed atomic.Pointer[time.Time]
 	// listed is the same for the servers.
 	listed atomic.Pointer[time.Time]
-	// shared is when other instances last passed on what they know of servers.
-	shared atomic.Pointer[time.Time]
+	// lastShared is when other instances last passed on what they know of servers.
+	lastShared atomic.Pointer[time.Time]
 }
 
 // NewBoard returns a Board with an empty Snapshot.
@@ -44,7 +44,7 @@
 	b.current.Store(&Snapshot{})
 	b.confirmed.Store(&time.Time{})
 	b.listed.Store(&time.Time{})
-	b.shared.Store(&time.Time{})
+	b.lastShared.Store(&time.Time{})
 	return b
 }
 
