--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// mostAttempts is the number of attempts that are kept for each end: one tells that another attempt is another one, two that there are
+// maxAttempts is the number of attempts that are kept for each end: one tells that another attempt is another one, two that there are
 // several.
-const mostAttempts = 2
+const maxAttempts = 2
 
 // Terms say when a request is kept from servers.
 type Terms struct {
@@ -24,66 +24,66 @@
 	Most int
 }
 
-// tellAbsolved is the number of ends from which others are told that a request is harmless: one alone keeps it from nothing, and telling
+// minPublishedClear is the number of ends from which others are told that a request is harmless: one alone keeps it from nothing, and telling
 // would double the writes for all that merely ran beside one that ended a server.
-const tellAbsolved = 2
+const minPublishedClear = 2
 
 const (
-	// remembered is how many times longer than an end counts it is remembered that a request was kept from servers: when it is tried again, the
+	// releasedFactor is how many times longer than an end counts it is releasedFactor that a request was kept from servers: when it is tried again, the
 	// first server that ends under it is the last for that time, not the third.
-	remembered = 6
-	// surely is the part of its time for which an end is kept for certain. One that is gone sooner was taken back.
-	surely = 0.5
+	releasedFactor = 6
+	// minKeepShare is the part of its time for which an end is kept for certain. One that is gone sooner was taken back.
+	minKeepShare = 0.5
 )
 
-// stage is how far the news of an end has come.
-type stage int
+// endState is how far the news of an end has come.
+type endState int
 
 const (
 	// suspected ends count here; whether the server has ended is being found out.
-	suspected stage = iota
+	suspected endState = iota
 	// confirmed ends have to be written where all instances read them.
 	confirmed
-	// written ends have been written there.
-	written
-	// shared ends were read there.
-	shared
+	// published ends have been published there.
+	published
+	// listed ends were read there.
+	listed
 )
 
 // Book holds what servers ended under.
 type Book struct {
 	terms Terms
 
-	mu    sync.Mutex
-	cases map[Fingerprint]*suspect
-	// former holds when requests that were kept from servers could be tried again.
-	former map[Fingerprint]time.Time
-	// absolved are ends that others still have to be told to forget.
-	absolved []End
+	mu       sync.Mutex
+	requests map[Fingerprint]*requestRecord
+	// released holds when requests that were kept from servers could be tried again.
+	released map[Fingerprint]time.Time
+	// cleared are ends that others still have to be told to forget.
+	cleared []End
 	// size is the number of cases, for those who ask while there are none.
 	size atomic.Int64
-	// again delivers a value when ends have to be written that were before.
-	again chan struct{}
+	// republish delivers a value when ends have to be written that were before.
+	republish chan struct{}
 }
 
-// suspect is a request under which servers have ended, each with what is known of that end.
-type suspect struct {
-	ends map[string]*evidence
+// requestRecord is a request under which servers have ended, each with what is known of that end.
+type requestRecord struct {
+	ends map[string]*endRecord
 }
 
-// evidence is what is known of one end.
-type evidence struct {
+// endRecord is what is known of one end.
+type endRecord struct {
 	attempts []string
 	at       time.Time
-	stage    stage
-	// own is true when this instance wrote the end.
-	own bool
+	state    endState
+	// publishedHere is true when this instance wrote the end.
+	publishedHere bool
 }
 
 // NewBook returns a Book without ends.
 func NewBook(terms Terms) *Book {
 	return &Book{
-		terms: terms, cases: map[Fingerprint]*suspect{}, former: map[Fingerprint]time.Time{}, again: make(chan struct{}, 1),
+		terms: terms, requests: map[Fingerprint]*requestRecord{}, released: map[Fingerprint]time.Time{}, republish: make(chan struct{}, 1),
 	}
 }
 
@@ -97,31 +97,31 @@
 func (b *Book) Confirm(e End, now time.Time) bool { return b.add(e, confirmed, now) }
 
 // Hear keeps an end that all instances can read, and reports whether it is news here.
-func (b *Book) Hear(e End, now time.Time) bool { return b.add(e, shared, now) }
+func (b *Book) Hear(e End, now time.Time) bool { return b.add(e, listed, now) }
 
 // add brings an end to a stage, and reports whether it had not come that far.
-func (b *Book) add(e End, to stage, now time.Time) bool {
+func (b *Book) add(e End, to endState, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.caseLocked(e.Request)
+	c := b.recordLocked(e.Request)
 	known := c.ends[e.Server]
 	if known == nil {
-		known = &evidence{at: now, stage: to}
+		known = &endRecord{at: now, state: to}
 		c.ends[e.Server] = known
-		known.take(e.Attempt)
+		known.addAttempt(e.Attempt)
 		return true
 	}
-	known.take(e.Attempt)
-	if known.stage >= to {
+	known.addAttempt(e.Attempt)
+	if known.state >= to {
 		return false
 	}
-	known.stage = to
+	known.state = to
 	return true
 }
 
-// take adds an attempt.
-func (e *evidence) take(attempt string) {
-	if len(e.attempts) < mostAttempts && !slices.Contains(e.attempts, attempt) {
+// addAttempt adds an attempt.
+func (e *endRecord) addAttempt(attempt string) {
+	if len(e.attempts) < maxAttempts && !slices.Contains(e.attempts, attempt) {
 		e.attempts = append(e.attempts, attempt)
 	}
 }
@@ -130,7 +130,7 @@
 func (b *Book) Withdraw(e End) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c := b.cases[e.Request]; c != nil && c.ends[e.Server] != nil && c.ends[e.Server].stage == suspected {
+	if c := b.requests[e.Request]; c != nil && c.ends[e.Server] != nil && c.ends[e.Server].state == suspected {
 		b.forgetLocked(e.Request, e.Server)
 	}
 }
@@ -139,22 +139,22 @@
 func (b *Book) Forget(e End, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lapseLocked(e.Request, e.Server, now)
+	b.expireLocked(e.Request, e.Server, now)
 }
 
 // Replace takes over all ends that can be read; those that no longer can are forgotten.
 func (b *Book) Replace(ends []End, now time.Time) {
-	listed := make(map[End]bool, len(ends))
+	current := make(map[End]bool, len(ends))
 	for _, e := range ends {
-		listed[End{Request: e.Request, Server: e.Server}] = true
+		current[End{Request: e.Request, Server: e.Server}] = true
 		b.Hear(e, now)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for request, c := range b.cases {
+	for request, c := range b.requests {
 		for server, known := range c.ends {
-			if known.stage == shared && !listed[End{Request: request, Server: server}] {
-				b.lapseLocked(request, server, now)
+			if known.state == listed && !current[End{Request: request, Server: server}] {
+				b.expireLocked(request, server, now)
 			}
 		}
 	}
@@ -165,17 +165,17 @@
 func (b *Book) Absolve(request Fingerprint) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.cases[request]
+	c := b.requests[request]
 	if c == nil {
 		return 0
 	}
-	if len(c.ends) >= tellAbsolved && len(b.absolved) < b.terms.Most {
+	if len(c.ends) >= minPublishedClear && len(b.cleared) < b.terms.Most {
 		for server := range c.ends {
-			b.absolved = append(b.absolved, End{Request: request, Server: server})
+			b.cleared = append(b.cleared, End{Request: request, Server: server})
 		}
 	}
 	b.removeLocked(request)
-	delete(b.former, request)
+	delete(b.released, request)
 	return len(c.ends)
 }
 
@@ -186,59 +186,59 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.cases[request]
-	if c == nil || !b.keepsLocked(request, c, attempt) {
+	c := b.requests[request]
+	if c == nil || !b.quarantinedLocked(request, c, attempt) {
 		return 0, false
 	}
-	return max(b.terms.Keep-now.Sub(c.newest()), 0), true
+	return max(b.terms.Keep-now.Sub(c.latestEnd()), 0), true
 }
 
-// keepsLocked reports whether the ends of a request keep an attempt from servers; the caller holds the lock.
-func (b *Book) keepsLocked(request Fingerprint, c *suspect, attempt string) bool {
-	if _, before := b.former[request]; before {
+// quarantinedLocked reports whether the ends of a request keep an attempt from servers; the caller holds the lock.
+func (b *Book) quarantinedLocked(request Fingerprint, c *requestRecord, attempt string) bool {
+	if _, wasReleased := b.released[request]; wasReleased {
 		return true
 	}
-	return len(c.ends) >= b.terms.EndsOfOne || len(c.ends) >= b.terms.Ends && c.byOther(attempt)
+	return len(c.ends) >= b.terms.EndsOfOne || len(c.ends) >= b.terms.Ends && c.hasOtherAttempt(attempt)
 }
 
 // Ends returns the number of servers that have ended under a request.
 func (b *Book) Ends(request Fingerprint) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c := b.cases[request]; c != nil {
+	if c := b.requests[request]; c != nil {
 		return len(c.ends)
 	}
 	return 0
 }
 
 // Untold returns some ends that others cannot read yet, and some that they should forget.
-func (b *Book) Untold(most int) (ends, absolved []End) {
+func (b *Book) Untold(limit int) (ends, cleared []End) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	absolved = slices.Clone(b.absolved[:min(most, len(b.absolved))])
-	for request, c := range b.cases {
+	cleared = slices.Clone(b.cleared[:min(limit, len(b.cleared))])
+	for request, c := range b.requests {
 		for server, known := range c.ends {
-			if len(ends)+len(absolved) >= most {
-				return ends, absolved
+			if len(ends)+len(cleared) >= limit {
+				return ends, cleared
 			}
-			if known.stage == confirmed {
+			if known.state == confirmed {
 				ends = append(ends, End{Request: request, Server: server, Attempt: known.attempts[0]})
 			}
 		}
 	}
-	return ends, absolved
+	return ends, cleared
 }
 
 // Told notes that what Untold returned was written.
-func (b *Book) Told(ends, absolved []End) {
+func (b *Book) Told(ends, cleared []End) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range ends {
-		if c := b.cases[e.Request]; c != nil && c.ends[e.Server] != nil {
-			c.ends[e.Server].stage, c.ends[e.Server].own = max(c.ends[e.Server].stage, written), true
+		if c := b.requests[e.Request]; c != nil && c.ends[e.Server] != nil {
+			c.ends[e.Server].state, c.ends[e.Server].publishedHere = max(c.ends[e.Server].state, published), true
 		}
 	}
-	b.absolved = b.absolved[len(absolved):]
+	b.cleared = b.cleared[len(cleared):]
 }
 
 // TellAgain lets the ends that this instance wrote be written once more, since others may not be able to read them any longer. Those that other
@@ -246,15 +246,15 @@
 func (b *Book) TellAgain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, c := range b.cases {
+	for _, c := range b.requests {
 		for _, known := range c.ends {
-			if known.own {
-				known.stage = confirmed
+			if known.publishedHere {
+				known.state = confirmed
 			}
 		}
 	}
 	select {
-	case b.again <- struct{}{}:
+	case b.republish <- struct{}{}:
 	default:
 	}
 }
@@ -263,54 +263,54 @@
 func (b *Book) Tidy(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for request, c := range b.cases {
+	for request, c := range b.requests {
 		for server, known := range c.ends {
 			if now.Sub(known.at) > b.terms.Keep {
-				b.lapseLocked(request, server, now)
+				b.expireLocked(request, server, now)
 			}
 		}
 	}
-	for request, since := range b.former {
-		if now.Sub(since) > remembered*b.terms.Keep {
-			delete(b.former, request)
+	for request, since := range b.released {
+		if now.Sub(since) > releasedFactor*b.terms.Keep {
+			delete(b.released, request)
 		}
 	}
 }
 
-// lapseLocked forgets an end that counts no more, and remembers the request if it was kept from servers until then; the caller holds the
+// expireLocked forgets an end that counts no more, and remembers the request if it was kept from servers until then; the caller holds the
 // lock.
-func (b *Book) lapseLocked(request Fingerprint, server string, now time.Time) {
-	c := b.cases[request]
+func (b *Book) expireLocked(request Fingerprint, server string, now time.Time) {
+	c := b.requests[request]
 	if c == nil || c.ends[server] == nil {
 		return
 	}
-	lasted := now.Sub(c.ends[server].at) >= time.Duration(surely*float64(b.terms.Keep))
-	if _, before := b.former[request]; lasted && (before || len(c.ends) >= b.terms.Ends) && len(b.former) < b.terms.Most {
-		b.former[request] = now
+	lasted := now.Sub(c.ends[server].at) >= time.Duration(minKeepShare*float64(b.terms.Keep))
+	if _, before := b.released[request]; lasted && (before || len(c.ends) >= b.terms.Ends) && len(b.released) < b.terms.Most {
+		b.released[request] = now
 	}
 	b.forgetLocked(request, server)
 }
 
-// caseLocked returns the case of a request; one of the others goes when there are too many.
-func (b *Book) caseLocked(request Fingerprint) *suspect {
-	if c := b.cases[request]; c != nil {
+// recordLocked returns the case of a request; one of the others goes when there are too many.
+func (b *Book) recordLocked(request Fingerprint) *requestRecord {
+	if c := b.requests[request]; c != nil {
 		return c
 	}
-	if len(b.cases) >= b.terms.Most {
-		b.dropLeastLocked()
+	if len(b.requests) >= b.terms.Most {
+		b.evictLocked()
 	}
-	c := &suspect{ends: map[string]*evidence{}}
-	b.cases[request] = c
-	b.size.Store(int64(len(b.cases)))
+	c := &requestRecord{ends: map[string]*endRecord{}}
+	b.requests[request] = c
+	b.size.Store(int64(len(b.requests)))
 	return c
 }
 
-// dropLeastLocked forgets a request under which the fewest servers ended: a flood of requests under which one server ended each costs none
+// evictLocked forgets a request under which the fewest servers ended: a flood of requests under which one server ended each costs none
 // of those that are kept from servers.
-func (b *Book) dropLeastLocked() {
+func (b *Book) evictLocked() {
 	var least Fingerprint
 	fewest := 0
-	for request, c := range b.cases {
+	for request, c := range b.requests {
 		if fewest == 0 || len(c.ends) < fewest {
 			least, fewest = request, len(c.ends)
 		}
@@ -322,7 +322,7 @@
 }
 
 func (b *Book) forgetLocked(request Fingerprint, server string) {
-	c := b.cases[request]
+	c := b.requests[request]
 	if c == nil {
 		return
 	}
@@ -333,12 +333,12 @@
 }
 
 func (b *Book) removeLocked(request Fingerprint) {
-	delete(b.cases, request)
-	b.size.Store(int64(len(b.cases)))
+	delete(b.requests, request)
+	b.size.Store(int64(len(b.requests)))
 }
 
-// byOther reports whether a server ended under another attempt.
-func (c *suspect) byOther(attempt string) bool {
+// hasOtherAttempt reports whether a server ended under another attempt.
+func (c *requestRecord) hasOtherAttempt(attempt string) bool {
 	for _, known := range c.ends {
 		for _, a := range known.attempts {
 			if a != attempt {
@@ -349,8 +349,8 @@
 	return false
 }
 
-// newest returns when the last end was learned of.
-func (c *suspect) newest() time.Time {
+// latestEnd returns when the last end was learned of.
+func (c *requestRecord) latestEnd() time.Time {
 	var last time.Time
 	for _, known := range c.ends {
 		if known.at.After(last) {
--- a/quarantine/end.go
+++ b/quarantine/end.go
@@ -5,9 +5,9 @@
 	"encoding/hex"
 )
 
-// shortBytes is the part of a digest that stands for a name of any length: names of one request's servers and attempts only have to
+// digestBytes is the part of a digest that stands for a name of any length: names of one request's servers and attempts only have to
 // differ among themselves.
-const shortBytes = 8
+const digestBytes = 8
 
 // End says that a server ended while it ran a request that it had just begun.
 type End struct {
@@ -25,5 +25,5 @@
 // Short returns a text of fixed length that stands for a name.
 func Short(name string) string {
 	digest := sha256.Sum256([]byte(name))
-	return hex.EncodeToString(digest[:shortBytes])
+	return hex.EncodeToString(digest[:digestBytes])
 }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"junctioncross/quarantine"
 )
 
-func TestAFingerprintStandsForPathCallerAndBody(t *testing.T) {
+func TestFingerprintsDependOnPathCallerAndBody(t *testing.T) {
 	of := func(host, target, account, body string) quarantine.Fingerprint {
 		return quarantine.FingerprintOf([]byte(host), []byte(target), account, []byte(body))
 	}
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestAFingerprintIsReadAsItWasWritten(t *testing.T) {
+func TestFingerprintsRoundTrip(t *testing.T) {
 	one := quarantine.FingerprintOf(nil, []byte("/a/"), "x", nil)
 	got, err := quarantine.ParseFingerprint(one.String())
 	require.NoError(t, err)
--- a/quarantine/teller.go
+++ b/quarantine/publisher.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// gatherTime is how long ends are gathered before they are written: a server that ends breaks all that it ran within less.
-	gatherTime = 60 * time.Millisecond
-	// mostTold is the number of ends that one call writes.
-	mostTold = 24
-	// firstPause and longestPause bound the pause after a call that failed. An instance that the store turns away tells others as well.
-	firstPause   = 200 * time.Millisecond
-	longestPause = 1500 * time.Millisecond
-	// callTime bounds one call.
-	callTime = 700 * time.Millisecond
+	// batchDelay is how long ends are gathered before they are written: a server that ends breaks all that it ran within less.
+	batchDelay = 60 * time.Millisecond
+	// batchSize is the number of ends that one call writes.
+	batchSize = 24
+	// minBackoff and longestPause bound the pause after a call that failed. An instance that the store turns away tells others as well.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 1500 * time.Millisecond
+	// callTimeout bounds one call.
+	callTimeout = 700 * time.Millisecond
 )
 
 // Register is where all instances read which servers ended under which requests.
@@ -48,10 +48,10 @@
 		for {
 			select {
 			case <-t.wake:
-				clock.Sleep(ctx, gatherTime)
-				t.tellAll(ctx)
-			case <-book.again:
-				t.tellAll(ctx)
+				clock.Sleep(ctx, batchDelay)
+				t.publishAll(ctx)
+			case <-book.republish:
+				t.publishAll(ctx)
 			case <-ctx.Done():
 				return
 			}
@@ -73,7 +73,7 @@
 	if t.book.Size() == 0 {
 		return nil
 	}
-	ends, _ := t.book.Untold(mostTold)
+	ends, _ := t.book.Untold(batchSize)
 	return ends
 }
 
@@ -86,30 +86,30 @@
 	}
 }
 
-// tellAll writes until nothing is left to tell.
-func (t *Teller) tellAll(ctx context.Context) {
+// publishAll writes until nothing is left to tell.
+func (t *Teller) publishAll(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; {
-		ends, absolved := t.book.Untold(mostTold)
-		if len(ends)+len(absolved) == 0 {
+		ends, cleared := t.book.Untold(batchSize)
+		if len(ends)+len(cleared) == 0 {
 			return
 		}
-		if err := t.tell(ctx, ends, absolved); err != nil {
+		if err := t.publishBatch(ctx, ends, cleared); err != nil {
 			if failures == 0 {
 				t.log.WithField("ends", len(ends)).WithError(err).Warn("ends of servers not told")
 			}
 			t.stats.Counter("quarantine_tells_failed_total").Inc(1)
-			t.clock.Sleep(ctx, retry.Doubled(firstPause, longestPause, failures))
+			t.clock.Sleep(ctx, retry.Doubled(minBackoff, maxBackoff, failures))
 			failures++
 			continue
 		}
 		failures = 0
-		t.book.Told(ends, absolved)
+		t.book.Told(ends, cleared)
 	}
 }
 
-func (t *Teller) tell(ctx context.Context, ends, absolved []End) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+func (t *Teller) publishBatch(ctx context.Context, ends, cleared []End) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	t.stats.Counter("quarantine_tells_total").Inc(1)
-	return t.register.Tell(ctx, ends, absolved)
+	return t.register.Tell(ctx, ends, cleared)
 }
--- /dev/null
+++ b/quarantine/publisher_test.go
@@ -0,0 +1,93 @@
+package quarantine_test
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/stretchr/testify/require"
+
+	"junctioncross/metrics"
+	"junctioncross/quarantine"
+	"junctioncross/testlog"
+	"junctioncross/timer"
+)
+
+const testTimeout = 30 * time.Second
+
+// fakeStore is a quarantine.Register that fails some times before it takes anything.
+type fakeStore struct {
+	mu       sync.Mutex
+	failures int
+	ends     []quarantine.End
+	cleared  []quarantine.End
+}
+
+// Tell implements quarantine.Register.
+func (r *fakeStore) Tell(_ context.Context, ends, cleared []quarantine.End) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.failures > 0 {
+		r.failures--
+		return errors.New("turned away")
+	}
+	r.ends, r.cleared = append(r.ends, ends...), append(r.cleared, cleared...)
+	return nil
+}
+
+func (r *fakeStore) counts() (ends, cleared int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.ends), len(r.cleared)
+}
+
+func TestEndsArePublishedOnceTheStoreAcceptsThem(t *testing.T) {
+	b, r := quarantine.NewBook(settings), &fakeStore{failures: 2}
+	publisher := quarantine.NewTeller(t.Context(), b, r, timer.NewReal(), metrics.New(), testlog.New(t))
+	one := request(1)
+	for n := range 30 {
+		b.Confirm(end(one, n, "a"), startTime)
+	}
+	publisher.Wake()
+	require.Eventually(t, func() bool { ends, _ := r.counts(); return ends == 30 }, testTimeout, 5*time.Millisecond)
+	b.Absolve(one)
+	publisher.Wake()
+	require.Eventually(t, func() bool { _, absolved := r.counts(); return absolved == 30 }, testTimeout, 5*time.Millisecond)
+}
+
+// TestEndsOfAnIsolatedInstanceArePublished takes over ends twice, as they come with each question of that instance.
+func TestEndsOfAnIsolatedInstanceArePublished(t *testing.T) {
+	isolatedBook, connectedBook := quarantine.NewBook(settings), quarantine.NewBook(settings)
+	store := &fakeStore{}
+	isolated := quarantine.NewTeller(t.Context(), isolatedBook, &fakeStore{failures: 1 << 30}, timer.NewReal(), metrics.New(), testlog.New(t))
+	connected := quarantine.NewTeller(t.Context(), connectedBook, store, timer.NewReal(), metrics.New(), testlog.New(t))
+	require.Empty(t, isolated.Untold())
+	isolatedBook.Confirm(end(request(1), 1, "a"), startTime)
+	isolated.Wake()
+	connected.Adopt(isolated.Untold())
+	connected.Adopt(isolated.Untold())
+	require.Eventually(t, func() bool { ends, _ := store.counts(); return ends == 1 }, testTimeout, 5*time.Millisecond)
+	require.Equal(t, 1, connectedBook.Ends(request(1)))
+}
+
+// TestEndsThatTheStoreLostAreRepublishedByTheirWriter lets a store lose what two instances know and one of them wrote.
+func TestEndsThatTheStoreLostAreRepublishedByTheirWriter(t *testing.T) {
+	writerBook, readerBook := quarantine.NewBook(settings), quarantine.NewBook(settings)
+	writerStore, readerStore := &fakeStore{}, &fakeStore{}
+	writer := quarantine.NewTeller(t.Context(), writerBook, writerStore, timer.NewReal(), metrics.New(), testlog.New(t))
+	quarantine.NewTeller(t.Context(), readerBook, readerStore, timer.NewReal(), metrics.New(), testlog.New(t))
+	one := end(request(1), 1, "a")
+	writerBook.Confirm(one, startTime)
+	writer.Wake()
+	require.Eventually(t, func() bool { ends, _ := writerStore.counts(); return ends == 1 }, testTimeout, 5*time.Millisecond)
+	writerBook.Hear(one, startTime)
+	readerBook.Hear(one, startTime)
+	writerBook.TellAgain()
+	readerBook.TellAgain()
+	require.Eventually(t, func() bool { ends, _ := writerStore.counts(); return ends == 2 }, testTimeout, 5*time.Millisecond)
+	ends, _ := readerStore.counts()
+	require.Zero(t, ends)
+	require.Equal(t, 1, readerBook.Ends(request(1)))
+}
