--- a/follow/doubt.go
+++ b/follow/doubt.go
@@ -1,7 +1,7 @@
 package follow
 
-// markPossiblyLeaving keeps new work from servers whose entries have vanished while it is not known whether they leave, as long as these are
-// few of their service.
+// markPossiblyLeaving keeps new work away from servers that are kept although their entries have vanished around an
+// outage of the store, as long as these are few of their service's servers: it is not known whether they are leaving.
 func (l *Loop) markPossiblyLeaving() {
 	all, missing := map[string]int{}, map[string]int{}
 	for _, k := range l.servers {
@@ -14,10 +14,10 @@
 		service := k.server.Service()
 		n := missing[service]
 		few := n < all[service] && float64(n) <= max(1, maxLeavingShare*float64(all[service]))
-		doubted := few && !k.missingSince.IsZero()
-		k.server.Doubt(doubted)
+		possiblyLeaving := few && !k.missingSince.IsZero()
+		k.server.Doubt(possiblyLeaving)
 		switch {
-		case doubted:
+		case possiblyLeaving:
 			k.server.NoteLeaving(k.missingSince)
 		case !k.server.Leaving():
 			k.server.ForgetLeaving()
--- a/follow/ends.go
+++ b/follow/ends.go
@@ -6,7 +6,7 @@
 	"junctioncross/quarantine"
 )
 
-// addEnd takes over that a server ended under a request.
+// addEnd adds an end of a server under a request that was read from the store.
 func (l *Loop) addEnd(e quarantine.End) {
 	if !l.ends.Hear(e, l.clock.Now()) {
 		return
@@ -14,7 +14,7 @@
 	l.log.WithFields(logrus.Fields{"fingerprint": e.Request.String(), "ends": l.ends.Ends(e.Request)}).Info("end under a request heard")
 }
 
-// dropUnlistedEnds forgets the ends that a whole reading does not list.
+// dropUnlistedEnds forgets the ends that a full read of the feed does not list.
 func (l *Loop) dropUnlistedEnds(changes []Change) {
 	var ends []quarantine.End
 	for _, c := range changes {
--- a/follow/era.go
+++ b/follow/era.go
@@ -2,8 +2,9 @@
 
 import "github.com/sirupsen/logrus"
 
-// notePosition keeps how far a feed is known, and reports whether the store has lost writes since. It lacks entries of live servers then until these
-// write them again, as after an outage in which the entries lapsed, and ends under requests until instances do.
+// notePosition records up to which position a feed is known, and reports whether the store has lost writes since the
+// last one. After a loss the store lacks entries of live servers and ends under requests until the servers and the
+// instances have written them again, as after an outage in which the entries expired.
 func (l *Loop) notePosition(feed Feed, at Position) bool {
 	was := l.positions[feed]
 	l.positions[feed] = max(was, at)
@@ -21,7 +22,7 @@
 	return true
 }
 
-// isEndGone reports whether a change takes an end under a request back.
+// isEndGone reports whether a change removes an end under a request.
 func isEndGone(c Change) bool {
 	_, gone := c.(EndGone)
 	return gone
--- a/follow/era_test.go
+++ b/follow/era_test.go
@@ -15,7 +15,7 @@
 	"junctioncross/timer"
 )
 
-// position returns the place of a revision in an era.
+// position returns the Position of a revision in an era.
 func position(t *testing.T, era, revision int64) follow.Position {
 	at, ok := follow.PositionOf(era, revision)
 	require.True(t, ok)
@@ -32,7 +32,8 @@
 	}
 }
 
-// TestAnEntryOfALaterEraIsAppliedDespiteASmallerRevision lets a server say that it leaves after the store has lost writes.
+// TestAnEntryOfALaterEraIsAppliedDespiteASmallerRevision guards against ignoring a leave notice as late: a store that
+// has lost writes assigns smaller revisions again.
 func TestAnEntryOfALaterEraIsAppliedDespiteASmallerRevision(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
@@ -43,7 +44,8 @@
 	eventually(t, func() bool { return onlyServer(b).LeavingFor(time.Now()) > 0 })
 }
 
-// TestALeaveNoticeHoldsWhenAnEarlierEntryIsRestored lets the entry go, and the store come back from a copy from before.
+// TestALeaveNoticeHoldsWhenAnEarlierEntryIsRestored removes the entry of a leaving server; then the store is restored
+// from a backup copy with the server's entry from before its leave notice.
 func TestALeaveNoticeHoldsWhenAnEarlierEntryIsRestored(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
@@ -58,13 +60,14 @@
 	require.True(t, onlyServer(b).Leaving())
 }
 
-// TestAServerGetsNoWorkWhileItsRestoredEntryMayBeStale tells the last entry of a server that had left without a word, and a new
-// one of a server that lives.
+// TestAServerGetsNoWorkWhileItsRestoredEntryMayBeStale restores the store from a copy after the entry of a server that
+// left without notice was removed. The copy's entry, under the same revision, must not bring work to the server; an
+// entry that a live server has written again must.
 func TestAServerGetsNoWorkWhileItsRestoredEntryMayBeStale(t *testing.T) {
 	for name, c := range map[string]struct {
 		revision int64
 		usable   bool
-	}{"left over": {10, false}, "written again": {11, true}} {
+	}{"restored from the copy": {10, false}, "written again": {11, true}} {
 		t.Run(name, func(t *testing.T) {
 			s := newSource()
 			b := start(t, s)
@@ -76,13 +79,13 @@
 			s.add(follow.FeedServers, serverEntry("a", 1000, int64(position(t, 2, c.revision)), false))
 			eventually(t, func() bool { return onlyServer(b) != nil })
 			require.Equal(t, c.usable, onlyServer(b).Usable(time.Now()))
-			require.True(t, onlyServer(b).Usable(time.Now().Add(time.Minute)), "it is not left alone for good")
+			require.True(t, onlyServer(b).Usable(time.Now().Add(time.Minute)), "it is not set aside forever")
 		})
 	}
 }
 
-// TestAnOlderConfigurationInTheStoreIsNotConfirmed lets the store come back with the configuration before the one in force, until it is written
-// again.
+// TestAnOlderConfigurationInTheStoreIsNotConfirmed restores the store with configurations older than the one in force:
+// until that one is written again, nothing confirms that the configuration in force is still the newest.
 func TestAnOlderConfigurationInTheStoreIsNotConfirmed(t *testing.T) {
 	s := newSource()
 	b, lines := startLogged(t, s)
@@ -102,7 +105,8 @@
 	eventually(t, func() bool { return b.Confirmed().After(confirmed) })
 }
 
-// TestEndsThatTheStoreLostStillCount lets the store lose the record of an end, and then take one back.
+// TestEndsThatTheStoreLostStillCount has the store lose the record of an end in a loss of writes, which is no removal,
+// and then removes the end.
 func TestEndsThatTheStoreLostStillCount(t *testing.T) {
 	s, b := newSource(), follow.NewBoard()
 	ends := quarantine.NewBook(quarantine.Terms{Ends: 2, EndsOfOne: 3, Keep: time.Hour, Most: 10})
@@ -110,7 +114,7 @@
 	request := quarantine.FingerprintOf([]byte("h"), []byte("/"), "a", nil)
 	end := quarantine.NewEnd(request, "server", "attempt")
 	eventually(t, func() bool {
-		// What is told before the first reading is no news.
+		// A change that is added before the first full read does not arrive, so it is added until it has.
 		s.add(follow.FeedQuarantine, follow.EndSeen{End: end})
 		return ends.Ends(request) == 1
 	})
@@ -119,7 +123,7 @@
 	s.mu.Unlock()
 	s.add(follow.FeedQuarantine, follow.EndGone{End: end})
 	time.Sleep(2 * pollTime)
-	require.Equal(t, 1, ends.Ends(request), "the store has lost it")
+	require.Equal(t, 1, ends.Ends(request), "a record that the store has lost still counts")
 	s.add(follow.FeedQuarantine, follow.EndGone{End: end})
 	eventually(t, func() bool { return ends.Ends(request) == 0 })
 }
--- a/follow/feed.go
+++ b/follow/feed.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// minBackoff and longestPause bound the pause after a failed call; short, since the store takes thousands of reads a
-	// second and an instance that is behind serves old configurations.
+	// minBackoff and maxBackoff bound the pause after a failed call. They are short, since the store handles thousands
+	// of reads a second and an instance that is behind serves old configurations.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
-	// batchDelay is how long after news of servers the next call is sent, so that news which come together cost one call. A
-	// leaving server must get no new work after two seconds; the news may pass another instance that waits as long.
+	// batchDelay is the delay of the next call after updates of servers, so that updates which come together cost one
+	// call. A leaving server must get no new work after two seconds, and the update may pass through another instance
+	// that waits as long.
 	batchDelay = 300 * time.Millisecond
 )
 
-// FeedEvent is what a feed tells the control goroutine.
+// FeedEvent is a message of a feed's poller to the control goroutine.
 type FeedEvent interface{ feedEvent() }
 
-// fullFeed carries the whole content of a feed.
+// fullFeed carries the complete content of a feed.
 type fullFeed struct {
 	feed Feed
 	News
 }
 
-// feedUpdates carries what changed since the last message of the feed.
+// feedUpdates carries what has changed since the last message of the feed.
 type feedUpdates struct {
 	feed Feed
 	News
 }
 
-// feedFailure says that a call failed.
+// feedFailure reports that a call to the source failed.
 type feedFailure struct {
 	feed Feed
 	err  error
@@ -46,13 +47,13 @@
 func (feedUpdates) feedEvent() {}
 func (feedFailure) feedEvent() {}
 
-// poller follows one feed and delivers what it hears until ctx ends.
+// poller polls one feed and delivers what it receives until ctx ends.
 type poller struct {
 	source Source
 	clock  *timer.Service
 	feed   Feed
 	events chan<- FeedEvent
-	// position is where to go on from; 0 means that the feed must be read whole.
+	// position is where the next poll goes on; 0 means that the full feed must be read.
 	position Position
 	failures int
 }
@@ -76,7 +77,7 @@
 	}
 }
 
-// waitForMore waits a little after news of servers, so that those that come together cost one call.
+// waitForMore waits for batchDelay after updates of servers, so that updates which come together cost one call.
 func (p *poller) waitForMore(ctx context.Context, event FeedEvent) {
 	if h, ok := event.(feedUpdates); !ok || len(h.Changes) == 0 {
 		return
@@ -111,7 +112,7 @@
 func (p *poller) backOff(ctx context.Context) {
 	full := retry.Doubled(minBackoff, maxBackoff, p.failures)
 	p.failures++
-	// Half of the pause is random, so that instances which failed together do not come back together.
+	// Half of the pause is random, so that instances that failed together do not retry together.
 	pause := full/2 + time.Duration(rand.Float64()*float64(full/2))
 	p.clock.Sleep(ctx, pause)
 }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -19,10 +19,10 @@
 	"junctioncross/timer"
 )
 
-// testTimeout bounds waits that end within some seconds on a sound machine.
+// testTimeout bounds waits that end within a few seconds on an idle machine.
 const testTimeout = 30 * time.Second
 
-// source is a Source that a test feeds.
+// source is a fake follow.Source whose changes a test adds.
 type source struct {
 	mu      sync.Mutex
 	at      follow.Position
@@ -30,7 +30,7 @@
 	servers map[string]follow.Change
 	pending map[follow.Feed][]follow.Change
 	down    bool
-	// historyGone is true when the next call finds that the history is gone.
+	// historyGone is true when the next call of Next for servers returns ErrHistoryGone.
 	historyGone bool
 	changed     chan struct{}
 }
@@ -39,7 +39,7 @@
 	return &source{at: 1, servers: map[string]follow.Change{}, pending: map[follow.Feed][]follow.Change{}, changed: make(chan struct{})}
 }
 
-// add adds a change; a whole reading holds it as well.
+// add adds a change to a feed; full reads return its effect as well.
 func (s *source) add(feed follow.Feed, c follow.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,12 +87,12 @@
 	return s.updates(all...), nil
 }
 
-// updates returns news as of now; the caller holds the lock.
+// updates returns News with the changes as of now; the caller holds the lock.
 func (s *source) updates(changes ...follow.Change) follow.News {
 	return follow.News{Changes: changes, At: s.at, Known: time.Now()}
 }
 
-// pollTime is how long Next waits for news.
+// pollTime is how long Next waits for changes.
 const pollTime = time.Second
 
 // Next implements follow.Source.
@@ -128,7 +128,7 @@
 	return board
 }
 
-// startLogged starts a loop and keeps what it logs.
+// startLogged starts a Loop and collects its log lines.
 func startLogged(t *testing.T, s *source) (*follow.Board, *logtest.Hook) {
 	log := testlog.New(t)
 	lines := logtest.NewLocal(log)
@@ -191,7 +191,8 @@
 	require.True(t, server.Gone())
 }
 
-// TestAServerIsKeptForAWhileWhenItsEntryExpiresInAnOutage lets two entries lapse in an outage; one comes back.
+// TestAServerIsKeptForAWhileWhenItsEntryExpiresInAnOutage lets the entries of two servers expire in an outage of the
+// store; only one of the servers writes its entry again.
 func TestAServerIsKeptForAWhileWhenItsEntryExpiresInAnOutage(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
@@ -201,12 +202,12 @@
 	eventually(t, func() bool { return servers(b) == 2 })
 	known := b.Current().Group("s").Servers()
 	s.setDown(true)
-	age := b.Confirmed()
+	confirmed := b.Confirmed()
 	time.Sleep(300 * time.Millisecond)
 	s.add(follow.FeedServers, follow.ServerGone{ID: "back"})
 	s.add(follow.FeedServers, follow.ServerGone{ID: "gone"})
 	s.setDown(false)
-	eventually(t, func() bool { return b.Confirmed().After(age) })
+	eventually(t, func() bool { return b.Confirmed().After(confirmed) })
 	s.add(follow.FeedServers, serverSeen("back", false))
 	eventually(t, func() bool { return servers(b) == 1 })
 	require.Equal(t, "back", b.Current().Group("s").Servers()[0].ID())
@@ -217,8 +218,9 @@
 	}
 }
 
-// TestAServerWhoseEntryVanishesAfterAnOutageGetsNoNewWork lets one of many entries vanish just after the store came back: whether its
-// server leaves or its entry lapsed shows later. When most vanish, they have lapsed.
+// TestAServerWhoseEntryVanishesAfterAnOutageGetsNoNewWork removes one of several entries just after an outage: only
+// later does it show whether the server has left or its entry expired in the outage. When most entries vanish, they have
+// expired, and the servers get work again.
 func TestAServerWhoseEntryVanishesAfterAnOutageGetsNoNewWork(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
@@ -228,13 +230,13 @@
 	}
 	eventually(t, func() bool { return usable(b) == 4 })
 	s.setDown(true)
-	age := b.Confirmed()
+	confirmed := b.Confirmed()
 	time.Sleep(300 * time.Millisecond)
 	s.setDown(false)
-	eventually(t, func() bool { return b.Confirmed().After(age) })
+	eventually(t, func() bool { return b.Confirmed().After(confirmed) })
 	s.add(follow.FeedServers, follow.ServerGone{ID: "a"})
 	eventually(t, func() bool { return usable(b) == 3 })
-	require.Equal(t, 4, servers(b), "it is kept until it would be back")
+	require.Equal(t, 4, servers(b), "it is kept while its entry may come back")
 	leaving := func() (n int) {
 		for _, one := range b.Current().Group("s").Servers() {
 			if one.LeavingFor(time.Now()) > 0 {
@@ -243,12 +245,12 @@
 		}
 		return n
 	}
-	require.Equal(t, 1, leaving(), "streams may leave it from now on")
+	require.Equal(t, 1, leaving(), "its streams may be evacuated from now on")
 	for _, id := range []string{"b", "c", "d"} {
 		s.add(follow.FeedServers, follow.ServerGone{ID: id})
 	}
 	eventually(t, func() bool { return usable(b) == 4 })
-	require.Zero(t, leaving(), "the entries have lapsed")
+	require.Zero(t, leaving(), "the entries have expired")
 	s.add(follow.FeedServers, serverSeen("a", false))
 	eventually(t, func() bool { return servers(b) == 1 })
 	require.Equal(t, 1, usable(b))
@@ -269,8 +271,8 @@
 	return n
 }
 
-// TestALeavingServerHasNotEndedWhenItsEntryExpires lets the entry of a server that has said that it leaves lapse with the store: it still
-// does what it has.
+// TestALeavingServerHasNotEndedWhenItsEntryExpires lets the entry of a server with a leave notice expire in an outage of
+// the store: the server may still run the requests that it has.
 func TestALeavingServerHasNotEndedWhenItsEntryExpires(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
@@ -286,7 +288,8 @@
 	require.False(t, server.Ended())
 }
 
-// TestAServerMissingFromAFullReadIsRemovedWhenTheHistoryIsGone lets a store that answers well forget its past.
+// TestAServerMissingFromAFullReadIsRemovedWhenTheHistoryIsGone guards against taking a lost history for an outage: the
+// store answers, so that a server that a full read does not list has left without notice.
 func TestAServerMissingFromAFullReadIsRemovedWhenTheHistoryIsGone(t *testing.T) {
 	s := newSource()
 	b, lines := startLogged(t, s)
@@ -302,13 +305,13 @@
 	s.mu.Unlock()
 	eventually(t, func() bool { return server.Gone() })
 	for _, line := range lines.AllEntries() {
-		require.NotContains(t, line.Message, "kept for now", "its streams have two seconds in all to go on elsewhere")
+		require.NotContains(t, line.Message, "kept for now", "its streams have two seconds in all to resume elsewhere")
 	}
 }
 
 func TestServersAgeIsKnownAfterTheFirstRead(t *testing.T) {
-	const ever = 24 * time.Hour
-	require.Greater(t, follow.NewBoard().ServersAge(time.Now()), ever)
+	const day = 24 * time.Hour
+	require.Greater(t, follow.NewBoard().ServersAge(time.Now()), day)
 	b := start(t, newSource())
-	eventually(t, func() bool { return b.ServersAge(time.Now()) < ever })
+	eventually(t, func() bool { return b.ServersAge(time.Now()) < day })
 }
--- a/follow/former.go
+++ b/follow/former.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// maxFormer bounds the servers without an entry of which something is remembered; a large deployment has some hundred servers.
+	// maxFormer bounds the number of remembered servers without an entry; a large deployment has some hundred servers.
 	maxFormer = 4096
-	// restoredEntryHold is how long a server gets no new work whose entry had gone and is there again since the store came back from a copy: the
-	// platform removes it again within a few seconds, unless the server lives.
+	// restoredEntryHold is how long a server gets no new work whose entry had been removed and was brought back when the
+	// store was restored from a backup copy: the platform removes the entry again within a few seconds, unless the
+	// server is alive.
 	restoredEntryHold = 4 * time.Second
 )
 
 // formerServer is a server without an entry.
 type formerServer struct {
 	server *backend.Server
-	// entry is the last that was known.
+	// entry is the last one that was known.
 	entry backend.Entry
-	// hasLeft is true when the entry went while the store was there, so that the server has left.
+	// hasLeft is true when the entry vanished while the store was available, so that the server has left.
 	hasLeft bool
 }
 
-// newServer returns the server that an entry describes, with what the same start of it said before its entry was gone for a while. The
-// entry of a server may lapse in an outage of the store, and what the server has said holds all the same.
+// newServer returns the server that an entry describes. If the same incarnation had an entry before, the new server
+// inherits what it announced then: an entry may expire in an outage of the store, which does not revoke a leave notice.
 func (l *Loop) newServer(e backend.Entry) *backend.Server {
 	s := backend.NewServer(e)
 	name := s.Incarnation()
@@ -43,14 +44,16 @@
 	return s
 }
 
-// isRestored reports whether an entry is the last of a server that has left, brought back by the copy that the store came back from.
+// isRestored reports whether e is the last entry of a server that has left, brought back when the store was restored
+// from a backup copy.
 func (f formerServer) isRestored(e backend.Entry) bool {
 	now, then := Position(e.Revision), Position(f.entry.Revision)
 	return f.hasLeft && now.Era() > then.Era() && now.Revision() == then.Revision() && e.Same(f.entry)
 }
 
-// rememberFormer keeps a server that goes if it has said something which still holds, or if its entry went for good. Starts that cannot be told
-// apart are forgotten: the next one has said nothing.
+// rememberFormer keeps a removed server if it has left, or if it has announced something that still holds, such as a
+// back-off. Servers without a start time are not kept: their incarnations cannot be distinguished, and the next one has
+// announced nothing yet.
 func (l *Loop) rememberFormer(k *trackedServer, hasLeft bool) {
 	s := k.server
 	if s.Incarnation().Born == 0 || !hasLeft && !s.Remembers(l.clock.Now()) || len(l.former) >= maxFormer {
@@ -59,11 +62,11 @@
 	l.former[s.Incarnation()] = formerServer{server: s, entry: k.entry, hasLeft: hasLeft}
 }
 
-// formerRetention is how long a server without an entry is remembered: leases in the platform's store last for ten minutes at most, so that an entry
-// which is away for longer does not come back.
+// formerRetention is how long a server without an entry is remembered. Leases in the platform's store last for ten
+// minutes at most, so that an entry does not come back after that.
 const formerRetention = 10 * time.Minute
 
-// forgetFormer drops the servers that have been without an entry for long.
+// forgetFormer forgets the servers that have been without an entry for longer than formerRetention.
 func (l *Loop) forgetFormer(now time.Time) {
 	for name, f := range l.former {
 		if f.server.LeavingFor(now) > formerRetention {
--- a/follow/former_test.go
+++ b/follow/former_test.go
@@ -10,16 +10,17 @@
 	"junctioncross/follow"
 )
 
-// TestLeaveNoticeAndBackOffSurviveAMissingEntry lets the entry of a server vanish and come back after the server has said that it leaves and
-// that it wants nothing for a while. Another start of it has said nothing, and neither has one that cannot be told from the former.
+// TestLeaveNoticeAndBackOffSurviveAMissingEntry removes the entry of a server after the server has sent a leave notice
+// and asked for no new work for a while, and brings the entry back. Neither holds for another incarnation, nor if
+// incarnations cannot be distinguished.
 func TestLeaveNoticeAndBackOffSurviveAMissingEntry(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after int64
 		holds         bool
 	}{
-		"the same start":              {1000, 1000, true},
-		"another start":               {1000, 2000, false},
-		"starts that tell no moments": {0, 0, false},
+		"the same incarnation":              {1000, 1000, true},
+		"another incarnation":               {1000, 2000, false},
+		"incarnations without a start time": {0, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSource()
--- a/follow/incarnation_test.go
+++ b/follow/incarnation_test.go
@@ -18,14 +18,14 @@
 	"junctioncross/timer"
 )
 
-// serverEntry returns what a server says of a start, as written at a revision.
+// serverEntry returns the entry of a server that was started at born, as written at a revision.
 func serverEntry(id string, born, revision int64, leaving bool) follow.ServerSeen {
 	return follow.ServerSeen{Entry: backend.Entry{
 		ID: id, Service: "s", Addr: "127.0.0.1:1", Domain: "d", Slots: 1, Born: born, Leaving: leaving, Revision: revision,
 	}}
 }
 
-// onlyServer returns the one server of service s, or nil.
+// onlyServer returns the only server of service s, or nil.
 func onlyServer(b *follow.Board) *backend.Server {
 	if group := b.Current().Group("s"); group != nil && len(group.Servers()) == 1 {
 		return group.Servers()[0]
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// TestARestartedServerReplacesItsFormerIncarnation lets a server that had said that it leaves crash and come back in place.
+// TestARestartedServerReplacesItsFormerIncarnation lets a server crash after its leave notice and restart under the same
+// id.
 func TestARestartedServerReplacesItsFormerIncarnation(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
@@ -55,7 +56,8 @@
 	require.NoError(t, present.Over().Err())
 }
 
-// TestLateEntriesAndReportsOfAnEarlierIncarnationAreIgnored tells an entry, a word and a report of the start before.
+// TestLateEntriesAndReportsOfAnEarlierIncarnationAreIgnored sends a leave notice and a report of the previous
+// incarnation after the present one has started.
 func TestLateEntriesAndReportsOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
@@ -74,7 +76,8 @@
 	require.False(t, present.Usable(time.Now()))
 }
 
-// TestAnUnusableEntryTakesItsServerOutOfUse lets the entry of one of two servers be overwritten, and written by its server again.
+// TestAnUnusableEntryTakesItsServerOutOfUse has another writer overwrite the entry of one of two servers, until the
+// server writes it again.
 func TestAnUnusableEntryTakesItsServerOutOfUse(t *testing.T) {
 	s := newSource()
 	b, lines := startLogged(t, s)
@@ -88,13 +91,13 @@
 	eventually(t, func() bool { return servers(b) == 1 })
 	require.Equal(t, "b", onlyServer(b).ID())
 	for _, one := range known {
-		require.NoError(t, one.Over().Err(), "what it runs goes on")
+		require.NoError(t, one.Over().Err(), "the requests that it runs go on")
 		require.False(t, one.Gone())
 	}
 	s.add(follow.FeedServers, follow.EntryUnusable{ID: "never known", Field: "record", Err: fmt.Errorf("bad")})
 	s.add(follow.FeedServers, serverEntry("a", 1000, 4, false))
 	eventually(t, func() bool { return servers(b) == 2 })
-	require.ElementsMatch(t, known, b.Current().Group("s").Servers(), "the same start")
+	require.ElementsMatch(t, known, b.Current().Group("s").Servers(), "the same incarnations")
 	logged := 0
 	for _, line := range lines.AllEntries() {
 		if line.Message == "entry names no server to use" {
@@ -104,7 +107,8 @@
 	require.Equal(t, 2, logged)
 }
 
-// TestAnEntryOfAnUnknownServiceTakesItsServerOutOfUse overwrites the entry of a server with one that reads well.
+// TestAnEntryOfAnUnknownServiceTakesItsServerOutOfUse has another writer overwrite the entry of a server with one that
+// is well-formed, but names a service that is not configured.
 func TestAnEntryOfAnUnknownServiceTakesItsServerOutOfUse(t *testing.T) {
 	s := newSource()
 	b := start(t, s)
@@ -116,19 +120,19 @@
 	other.Entry.Service = "nonsense"
 	s.add(follow.FeedServers, other)
 	eventually(t, func() bool { return servers(b) == 0 })
-	require.NoError(t, known.Over().Err(), "what it runs goes on")
+	require.NoError(t, known.Over().Err(), "the requests that it runs go on")
 	s.add(follow.FeedServers, serverEntry("a", 1000, 3, false))
 	eventually(t, func() bool { return onlyServer(b) == known })
 }
 
-// step is something that is told of a server.
+// step is an event of one incarnation of a server: an entry, an unusable entry, a removal or a report.
 type step struct {
 	kind string
 	born int64
 }
 
-// TestTheNewestIncarnationWins tells entries, bad entries, removals and words of three starts of a server in any order: no older start wins, and
-// none is believed of another.
+// TestTheNewestIncarnationWins sends entries, unusable entries, removals and reports of three incarnations of a server
+// in any order: no older incarnation replaces a newer one, and no report is applied to another incarnation.
 func TestTheNewestIncarnationWins(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) step {
@@ -143,7 +147,8 @@
 	})
 }
 
-// runSteps tells the steps, each long after the one before, and returns what is wrong then.
+// runSteps applies the steps, each long after the one before, and returns a description of what is wrong afterwards, or
+// an empty string.
 func runSteps(t *testing.T, steps []step) string {
 	ctx, stop := context.WithCancel(context.Background())
 	s, b := newSource(), follow.NewBoard()
@@ -166,7 +171,7 @@
 		case "word":
 			b.Hear([]backend.Word{{ID: "a", Born: one.born, Silent: true}}, time.Now())
 			if server := onlyServer(b); server != nil && server.Usable(time.Now()) != (server.Incarnation().Born != one.born) {
-				wrong = fmt.Sprintf("a word on start %d was believed of %d, or not of its own", one.born, server.Incarnation().Born)
+				wrong = fmt.Sprintf("a report on incarnation %d was applied to incarnation %d, or not to its own", one.born, server.Incarnation().Born)
 			}
 		}
 		time.Sleep(5 * time.Second)
@@ -175,9 +180,9 @@
 	server := onlyServer(b)
 	switch {
 	case want != (server != nil):
-		wrong = fmt.Sprintf("there: %v, want %v", server != nil, want)
+		wrong = fmt.Sprintf("present: %v, want %v", server != nil, want)
 	case want && server.Incarnation().Born != newestBorn:
-		wrong = fmt.Sprintf("start %d, want %d", server.Incarnation().Born, newestBorn)
+		wrong = fmt.Sprintf("incarnation %d, want %d", server.Incarnation().Born, newestBorn)
 	}
 	stop()
 	time.Sleep(time.Minute)
--- a/follow/loop.go
+++ b/follow/loop.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// housekeepingPeriod is the period of the work that follows no message.
+	// housekeepingPeriod is the period of the work that no event triggers.
 	housekeepingPeriod = 250 * time.Millisecond
-	// eventQueueSize holds messages while the control goroutine is busy.
+	// eventQueueSize is the number of events that wait while the control goroutine is busy.
 	eventQueueSize = 16
-	// maxLoggedEntries is the number of entries that come together up to which each has its line: each of hundreds of instances would write thousands
-	// at a start and while all servers load.
+	// maxLoggedEntries is the number of entries in one update up to which each gets a log line of its own. Otherwise
+	// each of hundreds of instances would log thousands of lines at its start and while all servers load.
 	maxLoggedEntries = 100
 )
 
-// errUnknownService means that an entry names a service that the configuration does not.
+// errUnknownService means that an entry names a service that is not in the configuration.
 var errUnknownService = errors.New("follow: no such service")
 
-// Loop owns the control state of an instance.
+// Loop owns the control state of an instance: it applies the events of the feeds and publishes snapshots.
 type Loop struct {
 	board  *Board
 	ends   *quarantine.Book
@@ -39,30 +39,30 @@
 	events chan FeedEvent
 
 	catalog *catalog.Catalog
-	// servers holds what is known of each server by its id.
+	// servers holds the servers by id: those with an entry, and those kept around an outage of the store.
 	servers map[string]*trackedServer
-	// former holds servers without an entry, should their entries come back.
+	// former holds servers without an entry, in case their entries come back.
 	former map[backend.Incarnation]formerServer
-	// failing says which feeds fail at present.
+	// failing says of which feeds the last call failed.
 	failing [feeds]bool
 	// storeOutdated is true while the store holds an older configuration than the one in force.
 	storeOutdated bool
-	// positions is how far each feed is known.
+	// positions says up to which position each feed is known.
 	positions [feeds]Position
-	// lastFailure is when a call last lastFailure.
+	// lastFailure is when a call last failed or the store was last found to have lost writes.
 	lastFailure time.Time
-	// terse is true while many entries are taken over, which have one line together.
+	// terse is true while more than maxLoggedEntries entries are applied, which share one log line.
 	terse bool
 }
 
-// trackedServer is what is trackedServer of one server.
+// trackedServer is what is known of one server.
 type trackedServer struct {
 	server *backend.Server
-	// entry is the newest one that can be used.
+	// entry is the newest usable one.
 	entry backend.Entry
-	// missingSince is when the server was first missed, if its entry has vanished around an outage.
+	// missingSince is when the server's entry vanished around an outage of the store; zero while there is an entry.
 	missingSince time.Time
-	// unusable is true while the server's entry names none to use.
+	// unusable is true while the server's entry describes no usable server.
 	unusable bool
 }
 
@@ -123,7 +123,7 @@
 
 func (l *Loop) handleFailure(h feedFailure) {
 	if !errors.Is(h.err, ErrHistoryGone) {
-		// A store that forgets its past is there.
+		// A store that no longer has the history is available all the same.
 		l.lastFailure = l.clock.Now()
 	}
 	l.stats.Counter("store_failures_total{feed=\"" + h.feed.String() + "\"}").Inc(1)
@@ -145,7 +145,7 @@
 	switch feed {
 	case FeedConfig:
 		if l.storeOutdated {
-			// What is in force may have been replaced by what the store has lost as well.
+			// The configuration in force may have been replaced by a newer one that the store has lost as well.
 			return
 		}
 		newest = &l.board.confirmed
@@ -159,7 +159,7 @@
 	}
 }
 
-// apply takes changes over in order and reports whether any made a difference.
+// apply applies changes in order and reports whether any made a difference.
 func (l *Loop) apply(changes []Change) bool {
 	changed := false
 	if l.terse = len(changes) > maxLoggedEntries; l.terse {
@@ -211,7 +211,7 @@
 	}
 	k.missingSince = time.Time{}
 	if e.Revision < k.entry.Revision || k.entry.Incarnation().After(e.Incarnation()) {
-		// A late word, or one of an earlier start.
+		// The entry comes late, or is one of an earlier incarnation.
 		late, known := Position(e.Revision), Position(k.entry.Revision)
 		l.log.WithFields(logrus.Fields{
 			"server": e.ID, "revision": late.Revision(), "known": known.Revision(), "era": late.Era(), "known_era": known.Era(),
@@ -228,7 +228,7 @@
 	return l.updateServer(k, e)
 }
 
-// addServer takes the first entry of a start over.
+// addServer adds the server of the first entry of an incarnation.
 func (l *Loop) addServer(e backend.Entry) bool {
 	k := &trackedServer{server: l.newServer(e), entry: e}
 	l.servers[e.ID] = k
@@ -240,7 +240,7 @@
 	return true
 }
 
-// updateServer takes a newer entry of a known start over.
+// updateServer applies a newer entry of a known incarnation.
 func (l *Loop) updateServer(k *trackedServer, e backend.Entry) bool {
 	old, wasUnusable := k.entry, k.unusable
 	k.entry, k.unusable = e, false
@@ -258,7 +258,7 @@
 	return true
 }
 
-// noteLeaving keeps when a server was first heard to leave.
+// noteLeaving records when the instance first learned that a server is leaving.
 func (l *Loop) noteLeaving(k *trackedServer) {
 	if k.entry.Leaving {
 		k.server.NoteLeaving(l.clock.Now())
@@ -272,18 +272,19 @@
 	}).Info(message)
 }
 
-// hasService reports whether the configuration in force hasService a service.
+// hasService reports whether the configuration in force has a service.
 func (l *Loop) hasService(service string) bool {
 	return l.catalog != nil && l.catalog.Service(service) != nil
 }
 
-// noteRestart notes that a server has started again, under its id: what was under way at its former start is lost.
+// noteRestart records that a server has restarted under its id: whatever ran on its former incarnation is lost.
 func (l *Loop) noteRestart(s *backend.Server) {
 	s.Finish()
 	l.log.WithFields(logrus.Fields{"server": s.ID(), "address": s.Addr(), "born": s.Incarnation().Born}).Info("server started again")
 }
 
-// markUnusable takes a server out of use whose entry names none to use, until there is a good one. What it runs goes on.
+// markUnusable takes a server out of use whose entry describes no usable server, until there is a usable entry. The
+// requests that it runs go on.
 func (l *Loop) markUnusable(c EntryUnusable) bool {
 	l.stats.Counter("entries_unusable_total{field=\"" + c.Field + "\"}").Inc(1)
 	l.log.WithFields(logrus.Fields{"server": c.ID, "field": c.Field, "value": c.Value}).WithError(c.Err).Warn("entry names no server to use")
@@ -295,7 +296,7 @@
 	return true
 }
 
-// publish replaces the snapshot after a change, as a whole and never with a part of what was heard.
+// publish replaces the snapshot if something has changed. All changes of an event become visible at once.
 func (l *Loop) publish(changed bool) {
 	if !changed || l.catalog == nil {
 		return
--- a/follow/missing.go
+++ b/follow/missing.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// expiryGrace is how long a server whose entry vanished around an outage of the store is kept: live servers write theirs
-	// again within two seconds of the store's return.
+	// expiryGrace is how long a server is kept whose entry vanished around an outage of the store: live servers write
+	// their entries again within two seconds of the store's return.
 	expiryGrace = 2200 * time.Millisecond
-	// outageWindow is how long after the last failed call a vanished entry is put down to the outage.
+	// outageWindow is how long after the last failed call a vanished entry is attributed to the outage.
 	outageWindow = 3 * time.Second
-	// maxLeavingShare is the part of a service's servers up to which vanished ones get no new work while they are kept: so few may
-	// as well be leaving, and the others can do without them. When more vanish, their entries have lapsed with the store.
+	// maxLeavingShare is the share of a service's servers up to which servers with vanished entries get no new work
+	// while they are kept: so few may well be leaving, and the other servers suffice without them. When more entries
+	// vanish, they have expired in the outage.
 	maxLeavingShare = 0.1
 )
 
-// handleVanished takes note of a vanished entry; around an outage of the store the server is kept for a while.
+// handleVanished handles a vanished entry: the server is removed, or kept for expiryGrace around an outage of the store.
+// It reports whether the server was removed.
 func (l *Loop) handleVanished(id string) bool {
 	k := l.servers[id]
 	if k == nil {
@@ -35,7 +37,7 @@
 	return true
 }
 
-// inOutageWindow reports whether an entry that vanishes now may have lapsed in an outage of the store.
+// inOutageWindow reports whether an entry that vanishes now may have expired in an outage of the store.
 func (l *Loop) inOutageWindow(now time.Time) bool {
 	return !l.lastFailure.IsZero() && now.Sub(l.lastFailure) < outageWindow
 }
@@ -57,7 +59,7 @@
 	delete(l.servers, id)
 }
 
-// dropUnlisted takes the servers as gone that a whole reading does not list, and reports whether there were any.
+// dropUnlisted handles the entries that a full read does not list as vanished, and reports whether a server was removed.
 func (l *Loop) dropUnlisted(changes []Change) bool {
 	listed := make(map[string]bool, len(changes))
 	for _, c := range changes {
@@ -77,7 +79,8 @@
 	return dropped
 }
 
-// housekeep drops servers that did not come back after an outage, and connections that have rested too long.
+// housekeep removes servers whose entries did not come back after an outage, and closes connections that have been idle
+// for too long. It also forgets former servers and ends that have expired.
 func (l *Loop) housekeep() {
 	now := l.clock.Now()
 	dropped := false
--- a/follow/reports.go
+++ b/follow/reports.go
@@ -6,13 +6,16 @@
 	"junctioncross/backend"
 )
 
-// sharingWindow is how long after the last word of another instance the words of all count as shared: they come every half second.
+// sharingWindow is how long after the last shared report the instances count as sharing reports; normally some come
+// every half second.
 const sharingWindow = 2 * time.Second
 
-// OwnWords returns what this instance was told by servers, or not told, after a moment.
+// OwnWords returns the reports on servers that this instance obtained itself after a moment; a server that did not
+// answer counts too.
 func (b *Board) OwnWords(after, now time.Time) []backend.Word { return b.reports(after, now, true) }
 
-// Words returns what this instance was told by servers and by other instances after a moment.
+// Words returns the reports on servers that this instance obtained itself or received from other instances after a
+// moment.
 func (b *Board) Words(after, now time.Time) []backend.Word { return b.reports(after, now, false) }
 
 func (b *Board) reports(after, now time.Time, ownOnly bool) []backend.Word {
@@ -27,7 +30,8 @@
 	return out
 }
 
-// Hear takes over what other instances pass on, and reports whether a server turned bad by it.
+// Hear applies reports that other instances share, and reports whether they show that a server has become silent or
+// slow.
 func (b *Board) Hear(reports []backend.Word, now time.Time) bool {
 	if len(reports) == 0 {
 		return false
@@ -35,7 +39,7 @@
 	b.lastShared.Store(&now)
 	worse := false
 	for _, w := range reports {
-		// A word on another start of the server says nothing of this one.
+		// A report on another incarnation of the server does not apply to this one.
 		if s := b.Current().server(w.ID); s != nil && s.Incarnation().Born == w.Born {
 			worse = s.Hear(w, now) || worse
 		}
@@ -43,5 +47,5 @@
 	return worse
 }
 
-// Shared reports whether instances pass on to each other what servers tell them.
+// Shared reports whether instances share their reports on servers at present.
 func (b *Board) Shared(now time.Time) bool { return now.Sub(*b.lastShared.Load()) < sharingWindow }
--- a/follow/snapshot.go
+++ b/follow/snapshot.go
@@ -15,26 +15,26 @@
 	byID    map[string]*backend.Server
 }
 
-// Catalog returns the configuration in force, or nil before the first.
+// Catalog returns the configuration in force, or nil before there is one.
 func (s *Snapshot) Catalog() *catalog.Catalog { return s.catalog }
 
-// Group returns the servers of a service, or nil when the service is not known.
+// Group returns the servers of a service, or nil if the service is not configured.
 func (s *Snapshot) Group(service string) *backend.Group { return s.groups[service] }
 
-// Groups returns the servers of all services.
+// Groups returns the servers of all services, by service.
 func (s *Snapshot) Groups() map[string]*backend.Group { return s.groups }
 
-// server returns a server by the name of its start, or nil.
+// server returns a server by its id, or nil.
 func (s *Snapshot) server(id string) *backend.Server { return s.byID[id] }
 
-// Board shows the newest Snapshot to the request path.
+// Board holds the newest Snapshot for the request path, and up to when the feeds are known.
 type Board struct {
 	current atomic.Pointer[Snapshot]
-	// confirmed is the moment for which the configuration is known to have been the newest.
+	// confirmed is the last moment at which the configuration in force is known to have been the newest.
 	confirmed atomic.Pointer[time.Time]
-	// listed is the same for the servers.
+	// listed is the last moment at which the list of servers is known to have been current.
 	listed atomic.Pointer[time.Time]
-	// lastShared is when other instances last passed on what they know of servers.
+	// lastShared is when this instance last received reports on servers from another instance.
 	lastShared atomic.Pointer[time.Time]
 }
 
@@ -51,14 +51,14 @@
 // Current returns the newest Snapshot; it is never nil.
 func (b *Board) Current() *Snapshot { return b.current.Load() }
 
-// Confirmed returns the moment for which the configuration is known to have been the newest.
+// Confirmed returns the last moment at which the configuration in force is known to have been the newest.
 func (b *Board) Confirmed() time.Time { return *b.confirmed.Load() }
 
-// KeysAge returns for how long it is not known whether keys were taken away.
+// KeysAge returns for how long keys may have been revoked without the instance knowing.
 func (b *Board) KeysAge(now time.Time) time.Duration { return now.Sub(b.Confirmed()) }
 
-// Listed reports whether the servers were heard of at all since the start.
+// Listed reports whether the list of servers has been read since the start.
 func (b *Board) Listed() bool { return !b.listed.Load().IsZero() }
 
-// ServersAge returns for how long it is not known whether entries of servers have changed.
+// ServersAge returns for how long entries of servers may have changed without the instance knowing.
 func (b *Board) ServersAge(now time.Time) time.Duration { return now.Sub(*b.listed.Load()) }
--- a/follow/source.go
+++ b/follow/source.go
@@ -13,9 +13,9 @@
 
 // Errors that a Source returns.
 var (
-	// ErrHistoryGone means that changes were missed; the whole state must be read again.
+	// ErrHistoryGone means that changes were missed; the full feed must be read again.
 	ErrHistoryGone = errors.New("follow: history is gone")
-	// ErrUnavailable means that the source did not answer or turned the call away.
+	// ErrUnavailable means that the source did not answer or rejected the request.
 	ErrUnavailable = errors.New("follow: source is not available")
 )
 
@@ -28,12 +28,12 @@
 	FeedConfig Feed = iota
 	// FeedServers carries entries of backend servers.
 	FeedServers
-	// FeedQuarantine carries which servers ended under which requests.
+	// FeedQuarantine carries ends: which servers terminated under which requests.
 	FeedQuarantine
 	feeds
 )
 
-// String returns the feed's name for logs.
+// String returns the feed's name for logs and metrics.
 func (f Feed) String() string {
 	switch f {
 	case FeedConfig:
@@ -45,34 +45,35 @@
 	}
 }
 
-// Change is something that a feed tells.
+// Change is one change of a feed.
 type Change interface{ change() }
 
-// Configured says that a configuration was accepted.
+// Configured carries an accepted configuration.
 type Configured struct{ Catalog *catalog.Catalog }
 
-// ServerSeen says what a backend server writes of itself.
+// ServerSeen carries the entry that a backend server has written of itself.
 type ServerSeen struct{ Entry backend.Entry }
 
 // ServerGone says that a backend server's entry was removed.
 type ServerGone struct{ ID string }
 
-// EntryUnusable says that the entry of a backend server is none that a server writes of itself: it names no server to use.
+// EntryUnusable reports that the entry under a backend server's key describes no usable server, such as one that another
+// writer has overwritten.
 type EntryUnusable struct {
 	ID string
-	// Field and Value tell what is wrong with it.
+	// Field and Value name what is wrong in the entry.
 	Field string
 	Value string
 	Err   error
 }
 
-// EndSeen says that a server ended under a request.
+// EndSeen reports that a server terminated under a request.
 type EndSeen struct{ End quarantine.End }
 
-// EndGone says that such an end is no longer kept.
+// EndGone reports that the record of such an end was removed.
 type EndGone struct{ End quarantine.End }
 
-// Unreadable says that a value could not be decoded; what was known before stays in force.
+// Unreadable reports that a value could not be decoded; the former value stays in force.
 type Unreadable struct {
 	Key string
 	Err error
@@ -86,21 +87,21 @@
 func (EndGone) change()       {}
 func (Unreadable) change()    {}
 
-// News is what one question to a Source brought.
+// News is what one request to a Source returned.
 type News struct {
 	// Changes are in the order in which they happened.
 	Changes []Change
-	// At is where to go on from.
+	// At is the position up to which the feed is known; the next request goes on from there.
 	At Position
-	// Known is the moment up to which nothing else has changed.
+	// Known is the moment up to which the feed is known not to have changed otherwise.
 	Known time.Time
 }
 
-// Source tells what the fleet looks like and how it changes.
+// Source provides the state of the fleet, and its changes, by feed.
 type Source interface {
-	// Read returns everything that the feed holds; it returns ErrUnavailable.
+	// Read returns the complete content of a feed; it returns ErrUnavailable.
 	Read(ctx context.Context, feed Feed) (News, error)
-	// Next waits for what changes after a position and returns it, or nothing after a while without a change; it returns
+	// Next waits for changes after a position and returns them, or no changes after a while without any; it returns
 	// ErrHistoryGone or ErrUnavailable.
 	Next(ctx context.Context, feed Feed, after Position) (News, error)
 }
