--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -7,66 +7,71 @@
 	"time"
 )
 
-// maxAttempts is the number of attempts that are kept for each end: one tells that another attempt is another one, two that there are
-// several.
+// maxAttempts is the number of attempts that are kept for each end. Two different ones suffice to tell whether an end
+// occurred in an attempt other than a given one.
 const maxAttempts = 2
 
-// Terms say when a request is kept from servers.
+// Terms say when a request is quarantined, that is, sent to no server any more.
 type Terms struct {
-	// Ends is the number of servers that must have ended under a request which comes in several attempts of its caller.
+	// Ends is the number of servers that must have terminated under a request of which the caller has made several
+	// attempts.
 	Ends int
-	// EndsOfOne is the same for one attempt. A server that ends takes all that it runs with it, and what it ran goes on at the next one
-	// together: of those that shared three ends in a row nearly all were single attempts that did no harm.
+	// EndsOfOne is the same for a request with a single attempt. It should be larger: a server that terminates takes all
+	// its requests with it, and these are resumed together on the next server. Nearly all requests that shared three
+	// ends in a row this way were harmless single attempts.
 	EndsOfOne int
 	// Keep is how long an end counts.
 	Keep time.Duration
-	// Most is the number of requests of which ends are kept.
+	// Most is the greatest number of requests whose ends are kept.
 	Most int
 }
 
-// minPublishedClear is the number of ends from which others are told that a request is harmless: one alone keeps it from nothing, and telling
-// would double the writes for all that merely ran beside one that ended a server.
+// minPublishedClear is the number of ends from which the other instances are told that a request is harmless. A single
+// end does not quarantine a request, and publishing that it is cleared would double the writes for all requests that
+// merely ran beside one that terminated a server.
 const minPublishedClear = 2
 
 const (
-	// releasedFactor is how many times longer than an end counts it is releasedFactor that a request was kept from servers: when it is tried again, the
-	// first server that ends under it is the last for that time, not the third.
+	// releasedFactor is how long a released request is remembered, as a multiple of Terms.Keep. A request is released
+	// when its ends expire, and is tried again then: the first server that terminates under it quarantines it again, not
+	// only the third.
 	releasedFactor = 6
-	// minKeepShare is the part of its time for which an end is kept for certain. One that is gone sooner was taken back.
+	// minKeepShare is the share of Terms.Keep for which the record of an end lasts at least. An end whose record is gone
+	// sooner was cleared by another instance.
 	minKeepShare = 0.5
 )
 
-// endState is how far the news of an end has come.
+// endState is how far the confirmation and publication of an end have come.
 type endState int
 
 const (
-	// suspected ends count here; whether the server has ended is being found out.
+	// suspected ends already count on this instance; it is being checked whether the server has terminated.
 	suspected endState = iota
-	// confirmed ends have to be written where all instances read them.
+	// confirmed ends have yet to be written to the store, where all instances read them.
 	confirmed
-	// published ends have been published there.
+	// published ends have been written to the store.
 	published
-	// listed ends were read there.
+	// listed ends have been read from the store.
 	listed
 )
 
-// Book holds what servers ended under.
+// Book records which servers terminated under which requests, and decides which requests are quarantined.
 type Book struct {
 	terms Terms
 
 	mu       sync.Mutex
 	requests map[Fingerprint]*requestRecord
-	// released holds when requests that were kept from servers could be tried again.
+	// released holds, for each request that was quarantined before, the moment at which it was last released.
 	released map[Fingerprint]time.Time
-	// cleared are ends that others still have to be told to forget.
+	// cleared holds ends that have yet to be removed from the store.
 	cleared []End
-	// size is the number of cases, for those who ask while there are none.
+	// size is the number of requests, readable without the lock: usually there are none.
 	size atomic.Int64
-	// republish delivers a value when ends have to be written that were before.
+	// republish delivers a value when ends that were published have to be written again.
 	republish chan struct{}
 }
 
-// requestRecord is a request under which servers have ended, each with what is known of that end.
+// requestRecord is a request under which servers have terminated. It holds the ends by server.
 type requestRecord struct {
 	ends map[string]*endRecord
 }
@@ -76,7 +81,7 @@
 	attempts []string
 	at       time.Time
 	state    endState
-	// publishedHere is true when this instance wrote the end.
+	// publishedHere is true when this instance wrote the end to the store.
 	publishedHere bool
 }
 
@@ -90,59 +95,60 @@
 // Size returns the number of requests of which ends are known.
 func (b *Book) Size() int { return int(b.size.Load()) }
 
-// Suspect keeps an end that this instance may have seen.
+// Suspect adds an end that this instance suspects; whether the server has terminated is still being checked.
 func (b *Book) Suspect(e End, now time.Time) { b.add(e, suspected, now) }
 
-// Confirm keeps an end that this instance, or one that cannot write, has seen. It reports whether others have to be told.
+// Confirm adds an end that was confirmed by this instance, or by one that cannot write to the store. It reports whether
+// the end must be published.
 func (b *Book) Confirm(e End, now time.Time) bool { return b.add(e, confirmed, now) }
 
-// Hear keeps an end that all instances can read, and reports whether it is news here.
+// Hear adds an end that was read from the store, and reports whether it was not known as such.
 func (b *Book) Hear(e End, now time.Time) bool { return b.add(e, listed, now) }
 
-// add brings an end to a stage, and reports whether it had not come that far.
+// add raises an end to a state, and reports whether it was below that state.
 func (b *Book) add(e End, to endState, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.recordLocked(e.Request)
-	known := c.ends[e.Server]
-	if known == nil {
-		known = &endRecord{at: now, state: to}
-		c.ends[e.Server] = known
-		known.addAttempt(e.Attempt)
+	r := b.recordLocked(e.Request)
+	record := r.ends[e.Server]
+	if record == nil {
+		record = &endRecord{at: now, state: to}
+		r.ends[e.Server] = record
+		record.addAttempt(e.Attempt)
 		return true
 	}
-	known.addAttempt(e.Attempt)
-	if known.state >= to {
+	record.addAttempt(e.Attempt)
+	if record.state >= to {
 		return false
 	}
-	known.state = to
+	record.state = to
 	return true
 }
 
-// addAttempt adds an attempt.
+// addAttempt records an attempt in which the end occurred, up to maxAttempts.
 func (e *endRecord) addAttempt(attempt string) {
 	if len(e.attempts) < maxAttempts && !slices.Contains(e.attempts, attempt) {
 		e.attempts = append(e.attempts, attempt)
 	}
 }
 
-// Withdraw takes back an end that was suspected, since the server is there.
+// Withdraw removes an end that is only suspected, since the server turned out to be running.
 func (b *Book) Withdraw(e End) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c := b.requests[e.Request]; c != nil && c.ends[e.Server] != nil && c.ends[e.Server].state == suspected {
+	if r := b.requests[e.Request]; r != nil && r.ends[e.Server] != nil && r.ends[e.Server].state == suspected {
 		b.forgetLocked(e.Request, e.Server)
 	}
 }
 
-// Forget takes an end back that can no longer be read.
+// Forget removes an end whose record was removed from the store.
 func (b *Book) Forget(e End, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireLocked(e.Request, e.Server, now)
 }
 
-// Replace takes over all ends that can be read; those that no longer can are forgotten.
+// Replace applies a full read of the ends in the store: listed ends that it does not contain are removed.
 func (b *Book) Replace(ends []End, now time.Time) {
 	current := make(map[End]bool, len(ends))
 	for _, e := range ends {
@@ -151,105 +157,106 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for request, c := range b.requests {
-		for server, known := range c.ends {
-			if known.state == listed && !current[End{Request: request, Server: server}] {
+	for request, r := range b.requests {
+		for server, record := range r.ends {
+			if record.state == listed && !current[End{Request: request, Server: server}] {
 				b.expireLocked(request, server, now)
 			}
 		}
 	}
 }
 
-// Absolve forgets all ends of a request that a server ran without ending, as one that ends each server that begins it never does. It
-// returns the number of ends that were forgotten.
+// Absolve clears a request, removing all its ends, since a server has run it without terminating: a request that
+// terminates every server that begins it never gets so far. It returns the number of removed ends.
 func (b *Book) Absolve(request Fingerprint) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.requests[request]
-	if c == nil {
+	r := b.requests[request]
+	if r == nil {
 		return 0
 	}
-	if len(c.ends) >= minPublishedClear && len(b.cleared) < b.terms.Most {
-		for server := range c.ends {
+	if len(r.ends) >= minPublishedClear && len(b.cleared) < b.terms.Most {
+		for server := range r.ends {
 			b.cleared = append(b.cleared, End{Request: request, Server: server})
 		}
 	}
 	b.removeLocked(request)
 	delete(b.released, request)
-	return len(c.ends)
+	return len(r.ends)
 }
 
-// Kept reports whether an attempt at a request is kept from servers, and for how long at most.
+// Kept reports whether an attempt at a request is quarantined, and for how long at most.
 func (b *Book) Kept(request Fingerprint, attempt string, now time.Time) (time.Duration, bool) {
 	if b.Size() == 0 {
 		return 0, false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.requests[request]
-	if c == nil || !b.quarantinedLocked(request, c, attempt) {
+	r := b.requests[request]
+	if r == nil || !b.quarantinedLocked(request, r, attempt) {
 		return 0, false
 	}
-	return max(b.terms.Keep-now.Sub(c.latestEnd()), 0), true
+	return max(b.terms.Keep-now.Sub(r.latestEnd()), 0), true
 }
 
-// quarantinedLocked reports whether the ends of a request keep an attempt from servers; the caller holds the lock.
-func (b *Book) quarantinedLocked(request Fingerprint, c *requestRecord, attempt string) bool {
+// quarantinedLocked reports whether the ends of a request quarantine an attempt at it; the caller holds the lock.
+func (b *Book) quarantinedLocked(request Fingerprint, r *requestRecord, attempt string) bool {
 	if _, wasReleased := b.released[request]; wasReleased {
 		return true
 	}
-	return len(c.ends) >= b.terms.EndsOfOne || len(c.ends) >= b.terms.Ends && c.hasOtherAttempt(attempt)
+	return len(r.ends) >= b.terms.EndsOfOne || len(r.ends) >= b.terms.Ends && r.hasOtherAttempt(attempt)
 }
 
-// Ends returns the number of servers that have ended under a request.
+// Ends returns the number of servers that have terminated under a request.
 func (b *Book) Ends(request Fingerprint) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c := b.requests[request]; c != nil {
-		return len(c.ends)
+	if r := b.requests[request]; r != nil {
+		return len(r.ends)
 	}
 	return 0
 }
 
-// Untold returns some ends that others cannot read yet, and some that they should forget.
+// Untold returns ends that have to be written to the store, and cleared ones that have to be removed from it, up to a
+// total number.
 func (b *Book) Untold(limit int) (ends, cleared []End) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	cleared = slices.Clone(b.cleared[:min(limit, len(b.cleared))])
-	for request, c := range b.requests {
-		for server, known := range c.ends {
+	for request, r := range b.requests {
+		for server, record := range r.ends {
 			if len(ends)+len(cleared) >= limit {
 				return ends, cleared
 			}
-			if known.state == confirmed {
-				ends = append(ends, End{Request: request, Server: server, Attempt: known.attempts[0]})
+			if record.state == confirmed {
+				ends = append(ends, End{Request: request, Server: server, Attempt: record.attempts[0]})
 			}
 		}
 	}
 	return ends, cleared
 }
 
-// Told notes that what Untold returned was written.
+// Told records that what Untold returned was written.
 func (b *Book) Told(ends, cleared []End) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range ends {
-		if c := b.requests[e.Request]; c != nil && c.ends[e.Server] != nil {
-			c.ends[e.Server].state, c.ends[e.Server].publishedHere = max(c.ends[e.Server].state, published), true
+		if r := b.requests[e.Request]; r != nil && r.ends[e.Server] != nil {
+			r.ends[e.Server].state, r.ends[e.Server].publishedHere = max(r.ends[e.Server].state, published), true
 		}
 	}
 	b.cleared = b.cleared[len(cleared):]
 }
 
-// TellAgain lets the ends that this instance wrote be written once more, since others may not be able to read them any longer. Those that other
-// instances wrote are theirs to write, and count here as before.
+// TellAgain has the ends that this instance wrote written once more, since the store may have lost them. Ends that other
+// instances wrote are left to them, and count here as before.
 func (b *Book) TellAgain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, c := range b.requests {
-		for _, known := range c.ends {
-			if known.publishedHere {
-				known.state = confirmed
+	for _, r := range b.requests {
+		for _, record := range r.ends {
+			if record.publishedHere {
+				record.state = confirmed
 			}
 		}
 	}
@@ -259,60 +266,60 @@
 	}
 }
 
-// Tidy forgets the ends that no longer count.
+// Tidy removes the ends that have expired, and forgets requests that were released long ago.
 func (b *Book) Tidy(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for request, c := range b.requests {
-		for server, known := range c.ends {
-			if now.Sub(known.at) > b.terms.Keep {
+	for request, r := range b.requests {
+		for server, record := range r.ends {
+			if now.Sub(record.at) > b.terms.Keep {
 				b.expireLocked(request, server, now)
 			}
 		}
 	}
-	for request, since := range b.released {
-		if now.Sub(since) > releasedFactor*b.terms.Keep {
+	for request, releasedAt := range b.released {
+		if now.Sub(releasedAt) > releasedFactor*b.terms.Keep {
 			delete(b.released, request)
 		}
 	}
 }
 
-// expireLocked forgets an end that counts no more, and remembers the request if it was kept from servers until then; the caller holds the
-// lock.
+// expireLocked removes an end that no longer counts. If the request was quarantined until then, it is remembered as
+// released. The caller holds the lock.
 func (b *Book) expireLocked(request Fingerprint, server string, now time.Time) {
-	c := b.requests[request]
-	if c == nil || c.ends[server] == nil {
+	r := b.requests[request]
+	if r == nil || r.ends[server] == nil {
 		return
 	}
-	lasted := now.Sub(c.ends[server].at) >= time.Duration(minKeepShare*float64(b.terms.Keep))
-	if _, before := b.released[request]; lasted && (before || len(c.ends) >= b.terms.Ends) && len(b.released) < b.terms.Most {
+	expired := now.Sub(r.ends[server].at) >= time.Duration(minKeepShare*float64(b.terms.Keep))
+	if _, wasReleased := b.released[request]; expired && (wasReleased || len(r.ends) >= b.terms.Ends) && len(b.released) < b.terms.Most {
 		b.released[request] = now
 	}
 	b.forgetLocked(request, server)
 }
 
-// recordLocked returns the case of a request; one of the others goes when there are too many.
+// recordLocked returns the record of a request, which it adds if needed; if there are too many, another one is evicted.
 func (b *Book) recordLocked(request Fingerprint) *requestRecord {
-	if c := b.requests[request]; c != nil {
-		return c
+	if r := b.requests[request]; r != nil {
+		return r
 	}
 	if len(b.requests) >= b.terms.Most {
 		b.evictLocked()
 	}
-	c := &requestRecord{ends: map[string]*endRecord{}}
-	b.requests[request] = c
+	r := &requestRecord{ends: map[string]*endRecord{}}
+	b.requests[request] = r
 	b.size.Store(int64(len(b.requests)))
-	return c
+	return r
 }
 
-// evictLocked forgets a request under which the fewest servers ended: a flood of requests under which one server ended each costs none
-// of those that are kept from servers.
+// evictLocked removes a request with the fewest ends, so that a flood of requests with one end each evicts none of the
+// quarantined ones.
 func (b *Book) evictLocked() {
 	var least Fingerprint
 	fewest := 0
-	for request, c := range b.requests {
-		if fewest == 0 || len(c.ends) < fewest {
-			least, fewest = request, len(c.ends)
+	for request, r := range b.requests {
+		if fewest == 0 || len(r.ends) < fewest {
+			least, fewest = request, len(r.ends)
 		}
 		if fewest == 1 {
 			break
@@ -322,12 +329,12 @@
 }
 
 func (b *Book) forgetLocked(request Fingerprint, server string) {
-	c := b.requests[request]
-	if c == nil {
+	r := b.requests[request]
+	if r == nil {
 		return
 	}
-	delete(c.ends, server)
-	if len(c.ends) == 0 {
+	delete(r.ends, server)
+	if len(r.ends) == 0 {
 		b.removeLocked(request)
 	}
 }
@@ -337,10 +344,10 @@
 	b.size.Store(int64(len(b.requests)))
 }
 
-// hasOtherAttempt reports whether a server ended under another attempt.
-func (c *requestRecord) hasOtherAttempt(attempt string) bool {
-	for _, known := range c.ends {
-		for _, a := range known.attempts {
+// hasOtherAttempt reports whether a server terminated under another attempt.
+func (r *requestRecord) hasOtherAttempt(attempt string) bool {
+	for _, record := range r.ends {
+		for _, a := range record.attempts {
 			if a != attempt {
 				return true
 			}
@@ -349,12 +356,12 @@
 	return false
 }
 
-// latestEnd returns when the last end was learned of.
-func (c *requestRecord) latestEnd() time.Time {
+// latestEnd returns when the instance learned of the latest end.
+func (r *requestRecord) latestEnd() time.Time {
 	var last time.Time
-	for _, known := range c.ends {
-		if known.at.After(last) {
-			last = known.at
+	for _, record := range r.ends {
+		if record.at.After(last) {
+			last = record.at
 		}
 	}
 	return last
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -11,7 +11,7 @@
 	"junctioncross/quarantine"
 )
 
-// startTime is when the tests startTime.
+// startTime is the time at which the tests start.
 var startTime = time.Unix(1000, 0)
 
 var settings = quarantine.Terms{Ends: 3, EndsOfOne: 4, Keep: time.Minute, Most: 100}
@@ -24,13 +24,14 @@
 	return quarantine.NewEnd(r, fmt.Sprint("server-", server), attempt)
 }
 
-// quarantined reports whether an attempt is kept from servers at the begin of the tests.
+// quarantined reports whether an attempt is quarantined at startTime.
 func quarantined(b *quarantine.Book, r quarantine.Fingerprint, attempt string) bool {
 	_, ok := b.Kept(r, quarantine.Short(attempt), startTime)
 	return ok
 }
 
-// TestTheThirdEndQuarantinesOtherAttempts guards the bound: at most three more sends once the news of the third end is everywhere.
+// TestTheThirdEndQuarantinesOtherAttempts guards the bound on servers that a harmful request can terminate: at most
+// three more sends after the third end is known to all instances.
 func TestTheThirdEndQuarantinesOtherAttempts(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
 	for n := range 3 {
@@ -38,7 +39,7 @@
 		b.Suspect(end(r, n, "first"), startTime)
 	}
 	require.True(t, quarantined(b, r, "later"))
-	require.False(t, quarantined(b, r, "first"), "one attempt may have been beside the one that did it")
+	require.False(t, quarantined(b, r, "first"), "a single attempt may only have run beside the harmful request")
 	b.Hear(end(r, 3, "first"), startTime)
 	require.True(t, quarantined(b, r, "first"))
 	require.False(t, quarantined(b, request(2), "later"))
@@ -52,7 +53,7 @@
 	require.True(t, quarantined(b, r, "a"))
 }
 
-// TestAnEndReportedBySeveralInstancesCountsOnce lets several instances tell of the same server.
+// TestAnEndReportedBySeveralInstancesCountsOnce adds the end of one server as seen by several instances.
 func TestAnEndReportedBySeveralInstancesCountsOnce(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
 	for n := range 10 {
@@ -74,19 +75,20 @@
 	require.Equal(t, 2, b.Ends(r), "what is confirmed stays")
 }
 
-// TestOneSuccessfulRunClearsARequest lets servers crash beside a request that many callers send in the same words.
+// TestOneSuccessfulRunClearsARequest guards against the quarantine of a harmless request: many callers send the same
+// request, and servers terminate for other reasons while they run it.
 func TestOneSuccessfulRunClearsARequest(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
 	b.Hear(end(r, 0, "a"), startTime)
 	b.Hear(end(r, 1, "b"), startTime)
 	require.Equal(t, 2, b.Absolve(r))
 	require.Zero(t, b.Size())
-	ends, absolved := b.Untold(10)
+	ends, cleared := b.Untold(10)
 	require.Empty(t, ends)
-	require.Len(t, absolved, 2, "the others are told")
-	b.Told(ends, absolved)
-	_, absolved = b.Untold(10)
-	require.Empty(t, absolved)
+	require.Len(t, cleared, 2, "their records have to be removed from the store")
+	b.Told(ends, cleared)
+	_, cleared = b.Untold(10)
+	require.Empty(t, cleared)
 	b.Hear(end(r, 2, "c"), startTime)
 	require.False(t, quarantined(b, r, "later"))
 }
@@ -95,8 +97,8 @@
 	b, r := quarantine.NewBook(settings), request(1)
 	b.Hear(end(r, 0, "a"), startTime)
 	require.Equal(t, 1, b.Absolve(r))
-	_, absolved := b.Untold(10)
-	require.Empty(t, absolved)
+	_, cleared := b.Untold(10)
+	require.Empty(t, cleared)
 }
 
 func TestEndsArePublishedOnce(t *testing.T) {
@@ -106,9 +108,9 @@
 	require.Empty(t, ends, "it is not known whether the server has ended")
 	require.True(t, b.Confirm(end(r, 0, "a"), startTime))
 	require.False(t, b.Confirm(end(r, 0, "b"), startTime))
-	ends, absolved := b.Untold(10)
+	ends, cleared := b.Untold(10)
 	require.Equal(t, []quarantine.End{end(r, 0, "a")}, ends)
-	b.Told(ends, absolved)
+	b.Told(ends, cleared)
 	ends, _ = b.Untold(10)
 	require.Empty(t, ends)
 }
@@ -119,7 +121,7 @@
 	b.Hear(end(r, 1, "a"), startTime)
 	b.Confirm(end(r, 2, "a"), startTime)
 	b.Replace([]quarantine.End{end(r, 1, "a"), end(request(2), 1, "b")}, startTime)
-	require.Equal(t, 2, b.Ends(r), "the one that is listed and the own one that nobody could read yet")
+	require.Equal(t, 2, b.Ends(r), "the listed one and the own one that is not published yet")
 	require.Equal(t, 1, b.Ends(request(2)))
 }
 
@@ -135,7 +137,8 @@
 	require.Zero(t, b.Size())
 }
 
-// TestAFloodOfRequestsEvictsNoQuarantinedRequest lets many requests have one end each, as all that a server ran when it ended.
+// TestAFloodOfRequestsEvictsNoQuarantinedRequest adds many requests with one end each, as when a server terminates that
+// ran them all.
 func TestAFloodOfRequestsEvictsNoQuarantinedRequest(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(-1)
 	for n := range 3 {
@@ -148,7 +151,7 @@
 	require.True(t, quarantined(b, r, "later"))
 }
 
-// TestQuarantineDoesNotDependOnTheOrderOfEnds tells several instances the same ends in different orders, some of them twice.
+// TestQuarantineDoesNotDependOnTheOrderOfEnds adds the same ends in different orders, each of them twice.
 func TestQuarantineDoesNotDependOnTheOrderOfEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := request(1)
@@ -167,13 +170,14 @@
 				b.Hear(e, startTime)
 			}
 			if got := quarantined(b, r, "a"); got != want {
-				t.Fatalf("kept: %v, want %v", got, want)
+				t.Fatalf("quarantined: %v, want %v", got, want)
 			}
 		}
 	})
 }
 
-// TestAReleasedRequestIsQuarantinedAfterOneEnd lets the ends of a request lapse, as others see it by their removal, and one more server end.
+// TestAReleasedRequestIsQuarantinedAfterOneEnd lets the ends of a request expire, by their removal from the store or by
+// time; then one more server terminates under the request.
 func TestAReleasedRequestIsQuarantinedAfterOneEnd(t *testing.T) {
 	for _, removed := range []bool{true, false} {
 		b, r := quarantine.NewBook(settings), request(1)
@@ -187,19 +191,19 @@
 			}
 		}
 		b.Tidy(later)
-		_, kept := b.Kept(r, quarantine.Short("again"), later)
-		require.False(t, kept, "it is tried again")
+		_, isQuarantined := b.Kept(r, quarantine.Short("again"), later)
+		require.False(t, isQuarantined, "it has been released")
 		b.Suspect(end(r, 7, "again"), later)
-		_, kept = b.Kept(r, quarantine.Short("again"), later)
-		require.True(t, kept)
+		_, isQuarantined = b.Kept(r, quarantine.Short("again"), later)
+		require.True(t, isQuarantined)
 		b.Absolve(r)
 		b.Suspect(end(r, 8, "again"), later)
-		_, kept = b.Kept(r, quarantine.Short("again"), later)
-		require.False(t, kept, "it has proved harmless")
+		_, isQuarantined = b.Kept(r, quarantine.Short("again"), later)
+		require.False(t, isQuarantined, "it has been cleared")
 	}
 }
 
-// TestARequestWhoseEndsWereRemovedEarlyIsNotReleased lets another instance see a good run.
+// TestARequestWhoseEndsWereRemovedEarlyIsNotReleased has another instance clear the request after a successful run.
 func TestARequestWhoseEndsWereRemovedEarlyIsNotReleased(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
 	for n := range 3 {
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,3 +1,4 @@
-// Package quarantine keeps requests away from servers that have ended under them. It holds what servers ended under, as all
-// instances tell it, and decides which requests are sent to no server any more; it knows no calls and no clock.
+// Package quarantine keeps requests away from servers after several servers have terminated while they ran them. It
+// records which servers terminated under which requests, as observed by all instances, decides which requests are sent
+// to no server any more, and publishes the records. The decision itself makes no calls and reads no clock.
 package quarantine
--- a/quarantine/end.go
+++ b/quarantine/end.go
@@ -5,24 +5,25 @@
 	"encoding/hex"
 )
 
-// digestBytes is the part of a digest that stands for a name of any length: names of one request's servers and attempts only have to
-// differ among themselves.
+// digestBytes is the length of the digest that stands for a name. It can be short, since it only has to differ among the
+// servers and attempts of one request.
 const digestBytes = 8
 
-// End says that a server ended while it ran a request that it had just begun.
+// End records that a server terminated while it ran a request that it had just begun.
 type End struct {
 	Request Fingerprint
-	// Server stands for the start of the server, and Attempt for the caller's attempt.
+	// Server is the digest of the server's incarnation, and Attempt that of the caller's attempt.
 	Server  string
 	Attempt string
 }
 
-// NewEnd returns the End of a server's start under an attempt of a caller, by their names.
+// NewEnd returns the End of a server under an attempt of a caller, given the names of the server's incarnation and of
+// the attempt.
 func NewEnd(request Fingerprint, server, attempt string) End {
 	return End{Request: request, Server: Short(server), Attempt: Short(attempt)}
 }
 
-// Short returns a text of fixed length that stands for a name.
+// Short returns a digest of a name, in hexadecimal digits and of fixed length.
 func Short(name string) string {
 	digest := sha256.Sum256([]byte(name))
 	return hex.EncodeToString(digest[:digestBytes])
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -8,21 +8,24 @@
 	"github.com/pkg/errors"
 )
 
-// fingerprintBytes is the part of the digest that is kept: two different requests share it by chance in one of 2^64 pairs of 2^64.
+// fingerprintBytes is the length of the kept part of the digest. Two different requests share it with a probability of
+// 2^-128, so that a collision is to be expected only among about 2^64 requests.
 const fingerprintBytes = 16
 
-// ErrFingerprint means that a text is no fingerprint.
+// ErrFingerprint means that a text is not a fingerprint.
 var ErrFingerprint = errors.New("quarantine: not a fingerprint")
 
-// Fingerprint stands for a request by its path, caller and body; each attempt of a caller at one request has the same.
+// Fingerprint identifies a request by its path, caller and body; all attempts of a caller at one request have the same
+// fingerprint.
 type Fingerprint [fingerprintBytes]byte
 
-// FingerprintOf returns the fingerprint of a request: host and target as they were sent, the caller's account and the body.
+// FingerprintOf returns the fingerprint of a request, given host and target as they were sent, the client account and
+// the body.
 func FingerprintOf(host, target []byte, account string, body []byte) Fingerprint {
 	digest := sha256.New()
 	var length [8]byte
 	for _, part := range [][]byte{host, target, []byte(account), body} {
-		// The lengths keep apart requests whose parts only join to the same bytes.
+		// The lengths distinguish requests whose parts are divided differently, but join to the same bytes.
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		_, _ = digest.Write(length[:])
 		_, _ = digest.Write(part)
@@ -35,7 +38,7 @@
 // String returns the fingerprint in hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String wrote; it returns ErrFingerprint.
+// ParseFingerprint parses what String returned; it returns ErrFingerprint.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	if len(text) != hex.EncodedLen(len(f)) {
--- a/quarantine/publisher.go
+++ b/quarantine/publisher.go
@@ -12,24 +12,26 @@
 )
 
 const (
-	// batchDelay is how long ends are gathered before they are written: a server that ends breaks all that it ran within less.
+	// batchDelay is how long ends are gathered before they are written: when a server terminates, all requests that it
+	// ran break within less.
 	batchDelay = 60 * time.Millisecond
 	// batchSize is the number of ends that one call writes.
 	batchSize = 24
-	// minBackoff and longestPause bound the pause after a call that failed. An instance that the store turns away tells others as well.
+	// minBackoff and maxBackoff bound the pause after a failed call. Meanwhile, an instance whose writes the store
+	// rejects passes its ends to other instances as well.
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 1500 * time.Millisecond
 	// callTimeout bounds one call.
 	callTimeout = 700 * time.Millisecond
 )
 
-// Register is where all instances read which servers ended under which requests.
+// Register writes to the store, where all instances read which servers terminated under which requests.
 type Register interface {
-	// Tell writes ends, which last for the time that ends are kept, and removes others.
-	Tell(ctx context.Context, ends, absolved []End) error
+	// Tell writes ends, which last for as long as ends count, and removes the records of cleared ones.
+	Tell(ctx context.Context, ends, cleared []End) error
 }
 
-// Teller writes the ends that a Book learns of where all instances read them.
+// Teller publishes the ends that a Book learns of: it writes them to the store, where all instances read them.
 type Teller struct {
 	book     *Book
 	register Register
@@ -60,7 +62,7 @@
 	return t
 }
 
-// Wake says that there is something to tell; it does not block.
+// Wake starts publishing soon, since there is something to publish; it does not block.
 func (t *Teller) Wake() {
 	select {
 	case t.wake <- struct{}{}:
@@ -68,7 +70,7 @@
 	}
 }
 
-// Untold returns ends that could not be written yet, for other instances.
+// Untold returns ends that could not be published yet, so that other instances can publish them.
 func (t *Teller) Untold() []End {
 	if t.book.Size() == 0 {
 		return nil
@@ -77,7 +79,7 @@
 	return ends
 }
 
-// Adopt takes over ends that another instance could not write.
+// Adopt adds ends that another instance could not publish, in order to publish them.
 func (t *Teller) Adopt(ends []End) {
 	for _, e := range ends {
 		if t.book.Confirm(e, t.clock.Now()) {
@@ -86,7 +88,7 @@
 	}
 }
 
-// publishAll writes until nothing is left to tell.
+// publishAll writes until nothing is left to publish.
 func (t *Teller) publishAll(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; {
 		ends, cleared := t.book.Untold(batchSize)
--- a/quarantine/publisher_test.go
+++ b/quarantine/publisher_test.go
@@ -17,7 +17,7 @@
 
 const testTimeout = 30 * time.Second
 
-// fakeStore is a quarantine.Register that fails some times before it takes anything.
+// fakeStore is a quarantine.Register that fails a given number of times before it accepts anything.
 type fakeStore struct {
 	mu       sync.Mutex
 	failures int
@@ -31,7 +31,7 @@
 	defer r.mu.Unlock()
 	if r.failures > 0 {
 		r.failures--
-		return errors.New("turned away")
+		return errors.New("rejected by the store")
 	}
 	r.ends, r.cleared = append(r.ends, ends...), append(r.cleared, cleared...)
 	return nil
@@ -54,10 +54,11 @@
 	require.Eventually(t, func() bool { ends, _ := r.counts(); return ends == 30 }, testTimeout, 5*time.Millisecond)
 	b.Absolve(one)
 	publisher.Wake()
-	require.Eventually(t, func() bool { _, absolved := r.counts(); return absolved == 30 }, testTimeout, 5*time.Millisecond)
+	require.Eventually(t, func() bool { _, cleared := r.counts(); return cleared == 30 }, testTimeout, 5*time.Millisecond)
 }
 
-// TestEndsOfAnIsolatedInstanceArePublished takes over ends twice, as they come with each question of that instance.
+// TestEndsOfAnIsolatedInstanceArePublished has a connected instance adopt the same ends twice, as the isolated instance
+// sends them with each poll.
 func TestEndsOfAnIsolatedInstanceArePublished(t *testing.T) {
 	isolatedBook, connectedBook := quarantine.NewBook(settings), quarantine.NewBook(settings)
 	store := &fakeStore{}
@@ -72,7 +73,8 @@
 	require.Equal(t, 1, connectedBook.Ends(request(1)))
 }
 
-// TestEndsThatTheStoreLostAreRepublishedByTheirWriter lets a store lose what two instances know and one of them wrote.
+// TestEndsThatTheStoreLostAreRepublishedByTheirWriter has a store lose an end that two instances know and one of them
+// wrote.
 func TestEndsThatTheStoreLostAreRepublishedByTheirWriter(t *testing.T) {
 	writerBook, readerBook := quarantine.NewBook(settings), quarantine.NewBook(settings)
 	writerStore, readerStore := &fakeStore{}, &fakeStore{}
