--- /dev/null
+++ b/relay/breaker_test.go
@@ -0,0 +1,111 @@
+package relay
+
+import (
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+	"github.com/stretchr/testify/require"
+
+	"junctioncross/follow"
+	"junctioncross/metrics"
+	"junctioncross/timer"
+)
+
+// TestRelayAndStandbyAskTheStoreDespiteRefusals lets all relays refuse a little while ago.
+func TestRelayAndStandbyAskTheStoreDespiteRefusals(t *testing.T) {
+	all := members(12)
+	fake := clockwork.NewFakeClock()
+	early := 0
+	for _, m := range all {
+		self := Self{Name: m.Name, Domain: m.Domain, From: 2, ApplyTime: promise}
+		s := New(self, nil, known(all), nil, nil, nil, timer.New(fake), metrics.New(), nil)
+		// What is known is new, so that an instance has time to ask.
+		s.logs[follow.FeedConfig].extend(heard{at: 1, known: fake.Now()}, false)
+		for _, w := range s.ways() {
+			if !w.direct() {
+				s.backoffs[w.addr] = backoff{until: fake.Now(), refused: true}
+			}
+		}
+		// What an instance draws as its first moment decides the rest; none draws 0 to the nanosecond.
+		if s.mayAskStore(follow.FeedConfig) {
+			early++
+		}
+	}
+	require.Equal(t, 6, early, "two of each domain")
+	one := New(Self{Name: all[5].Name, Domain: all[5].Domain, From: 2, ApplyTime: promise}, nil, known(all), nil, nil, nil, timer.New(fake), metrics.New(), nil)
+	for _, w := range one.ways() {
+		one.backoffs[w.addr] = backoff{until: fake.Now().Add(-refusalAge), refused: true}
+	}
+	require.True(t, one.mayAskStore(follow.FeedConfig), "refusals of long ago")
+}
+
+// TestAnOutageCostsTheStoreOneCallPerProbeInterval plays an outage of 8 s for 290 instances whose relays all say that they do not hear
+// the store; both feeds of each ask for news 0.8 s after the last failure.
+func TestAnOutageCostsTheStoreOneCallPerProbeInterval(t *testing.T) {
+	const (
+		instances = 290
+		outage    = 8 * time.Second
+		pause     = 800 * time.Millisecond
+		// most is what one of them may ask: once for each two rounds, since a round of 0.8 s is shorter than the pause of the store.
+		most = 5
+	)
+	begun := time.Unix(100, 0)
+	for i := range instances {
+		b := storeBreaker{apply: promise}
+		calls := 0
+		for at := time.Duration(0); at < outage; at += pause {
+			s := breakerInput{now: begun.Add(at), refusals: refusalsToOpen, known: begun, random: float64(i) / instances}
+			for _, feed := range []follow.Feed{follow.FeedServers, follow.FeedConfig} {
+				if b.allows(feed, s) {
+					calls++
+					b.storeFailed(s.now)
+				}
+			}
+		}
+		require.LessOrEqual(t, calls, most)
+		require.Positive(t, calls, "each finds out whether the store is there for it")
+	}
+}
+
+// TestAnAnsweredProbeClosesTheBreakerForAllFeeds lets the configuration's question be answered after a failure.
+func TestAnAnsweredProbeClosesTheBreakerForAllFeeds(t *testing.T) {
+	now := time.Unix(100, 0)
+	s := breakerInput{now: now, refusals: refusalsToOpen, known: now.Add(probeTime - promise)}
+	b := storeBreaker{apply: promise}
+	require.False(t, b.allows(follow.FeedServers, s))
+	require.True(t, b.allows(follow.FeedConfig, s), "what is known is old")
+	b.storeFailed(now)
+	require.False(t, b.allows(follow.FeedServers, s))
+	require.False(t, b.allows(follow.FeedConfig, s))
+	s.now = now.Add(b.probeInterval())
+	require.True(t, b.allows(follow.FeedConfig, s))
+	b.storeAnswered(s.now)
+	require.True(t, b.allows(follow.FeedServers, s))
+	s.now = s.now.Add(answerValidity)
+	require.False(t, b.allows(follow.FeedServers, s), "the answer is old")
+}
+
+// TestBreakerOpensOnlyAfterEnoughRefusals refuses less often than it takes to spare the store, and serves in between.
+func TestBreakerOpensOnlyAfterEnoughRefusals(t *testing.T) {
+	now := time.Unix(100, 0)
+	b := storeBreaker{apply: promise}
+	s := breakerInput{now: now, refusals: refusalsToOpen - 1, known: now, random: 0.5}
+	require.True(t, b.allows(follow.FeedConfig, s))
+	require.True(t, b.allows(follow.FeedServers, s))
+	s.refusals = refusalsToOpen
+	require.False(t, b.allows(follow.FeedConfig, s))
+	s.now = now.Add(b.probeInterval() / 2)
+	require.True(t, b.allows(follow.FeedConfig, s), "its own moment")
+	b.relayServed()
+	require.False(t, b.allows(follow.FeedConfig, s), "a new outage, with a moment of its own")
+}
+
+// TestRelaysAreNotUsedWithAShortApplyTime compares promises.
+func TestRelaysAreNotUsedWithAShortApplyTime(t *testing.T) {
+	require.True(t, Self{From: 2, ApplyTime: minApplyTime}.relays(2, 2))
+	require.True(t, Self{From: 2, ApplyTime: minApplyTime}.relays(1, 2), "one of two has a record")
+	require.False(t, Self{From: 2, ApplyTime: minApplyTime}.relays(0, 2), "nobody to ask is known")
+	require.False(t, Self{From: 2, ApplyTime: minApplyTime}.relays(1, 1))
+	require.False(t, Self{From: 2, ApplyTime: minApplyTime - time.Second}.relays(100, 100))
+}
--- a/relay/epoch.go
+++ b/relay/epoch.go
@@ -8,12 +8,12 @@
 // epoch is a time in which the store has answered. When a call fails, all others that wait for the store end as well:
 // they hang on connections that may be dead, and would not notice for the rest of their waits that the store is back.
 type epoch struct {
-	mu       sync.Mutex
-	ctx      context.Context
-	cancel   context.CancelFunc
-	doubtful bool
-	// again is closed when the store has answered after a failure.
-	again chan struct{}
+	mu      sync.Mutex
+	ctx     context.Context
+	cancel  context.CancelFunc
+	suspect bool
+	// healthy is closed when the store has answered after a failure.
+	healthy chan struct{}
 }
 
 func newEpoch() *epoch {
@@ -26,38 +26,38 @@
 func (e *epoch) current() (context.Context, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ctx, e.doubtful
+	return e.ctx, e.suspect
 }
 
-// sound says that the store has answered.
-func (e *epoch) sound() {
+// markHealthy says that the store has answered.
+func (e *epoch) markHealthy() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.doubtful {
-		e.doubtful = false
-		close(e.again)
+	if e.suspect {
+		e.suspect = false
+		close(e.healthy)
 	}
 }
 
-// whenSound returns what is closed once the store has answered after its last failure, nil while it is not in doubt.
-func (e *epoch) whenSound() <-chan struct{} {
+// whenHealthy returns what is closed once the store has answered after its last failure, nil while it is not in doubt.
+func (e *epoch) whenHealthy() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.doubtful {
+	if !e.suspect {
 		return nil
 	}
-	return e.again
+	return e.healthy
 }
 
-// doubt ends the epoch; while the store stays in doubt, calls that wait are short and are left alone.
-func (e *epoch) doubt() {
+// markSuspect ends the epoch; while the store stays in markSuspect, calls that wait are short and are left alone.
+func (e *epoch) markSuspect() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.doubtful {
+	if e.suspect {
 		return
 	}
-	e.doubtful = true
-	e.again = make(chan struct{})
+	e.suspect = true
+	e.healthy = make(chan struct{})
 	e.cancel()
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 }
--- a/relay/fleetstart_test.go
+++ b/relay/fleetstart_test.go
@@ -37,31 +37,31 @@
 	storeLag = 200 * time.Millisecond
 )
 
-// line carries bytes in turn; what was sent to one that has left takes its time all the same.
-type line struct {
+// netLink carries bytes in turn; what was sent to one that has left takes its time all the same.
+type netLink struct {
 	rate float64
 
-	mu    sync.Mutex
-	free  time.Time
-	total float64
+	mu     sync.Mutex
+	freeAt time.Time
+	total  float64
 }
 
-func (l *line) carry(ctx context.Context, bytes float64) error {
-	l.mu.Lock()
+func (n *netLink) transfer(ctx context.Context, bytes float64) error {
+	n.mu.Lock()
 	if bytes < smallBytes {
-		l.total += bytes
-		l.mu.Unlock()
+		n.total += bytes
+		n.mu.Unlock()
 		return ctx.Err()
 	}
 	now := time.Now()
 	begin := now
-	if l.free.After(now) {
-		begin = l.free
+	if n.freeAt.After(now) {
+		begin = n.freeAt
 	}
-	l.free = begin.Add(time.Duration(bytes / l.rate * float64(time.Second)))
-	l.total += bytes
-	wait := l.free.Sub(now)
-	l.mu.Unlock()
+	n.freeAt = begin.Add(time.Duration(bytes / n.rate * float64(time.Second)))
+	n.total += bytes
+	wait := n.freeAt.Sub(now)
+	n.mu.Unlock()
 	select {
 	case <-time.After(wait):
 		return nil
@@ -70,8 +70,8 @@
 	}
 }
 
-// written is a record in the store with the time of its writing.
-type written struct {
+// storedRecord is a record in the store with the time of its writing.
+type storedRecord struct {
 	census.Record
 	at time.Time
 }
@@ -84,13 +84,13 @@
 	config, entries []byte
 	log             *logrus.Logger
 	begun           time.Time
-	store           *line
-	lines           []*line
+	store           *netLink
+	links           []*netLink
 	// slowUntil is until when the store takes slowTime for each answer, and silentUntil until when it gives none.
 	slowUntil, silentUntil time.Duration
 
 	mu       sync.Mutex
-	records  map[string]written
+	records  map[string]storedRecord
 	key      []byte
 	revision int64
 	// calls counts the calls by their price.
@@ -100,11 +100,11 @@
 	rolls   []*Rolls
 }
 
-// slowTime is what a store takes for an answer that is sixty times slower than usual.
-const slowTime = 60 * storeAnswer
+// slowStoreAnswer is what a store takes for an answer that is sixty times slower than usual.
+const slowStoreAnswer = 60 * storeAnswer
 
-// textOf returns bytes that compress about as well as entries do.
-func textOf(size int) []byte {
+// compressibleBytes returns bytes that compress about as well as entries do.
+func compressibleBytes(size int) []byte {
 	random := rand.New(rand.NewPCG(1, uint64(size)))
 	out := make([]byte, size)
 	for i := range out {
@@ -114,7 +114,7 @@
 }
 
 func newBeginning(domains, each, strong, servers int) *beginning {
-	b := &beginning{index: map[string]int{}, config: textOf(configBytes), entries: textOf(servers * entryBytes), log: logrus.New(), begun: time.Now(), store: &line{rate: storeRate}, records: map[string]written{}}
+	b := &beginning{index: map[string]int{}, config: compressibleBytes(configBytes), entries: compressibleBytes(servers * entryBytes), log: logrus.New(), begun: time.Now(), store: &netLink{rate: storeRate}, records: map[string]storedRecord{}}
 	b.log.SetOutput(io.Discard)
 	b.log.SetLevel(logrus.PanicLevel)
 	for d := range domains {
@@ -125,7 +125,7 @@
 				m.Power, rate = 0.8, strongRate
 			}
 			b.index[name] = len(b.members)
-			b.members, b.lines = append(b.members, m), append(b.lines, &line{rate: rate})
+			b.members, b.links = append(b.members, m), append(b.links, &netLink{rate: rate})
 		}
 	}
 	n := len(b.members)
@@ -140,10 +140,10 @@
 	for i, m := range b.members {
 		self := Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: whole, ApplyTime: promise}
 		b.boards[i] = census.NewBoard(whole)
-		b.sources[i] = New(self, feedsOf{b}, b.boards[i], follow.NewBoard(), noEnds{}, nil, clock, stats, b.log)
-		b.sources[i].peers = linesOf{b, i}
-		b.rolls[i] = NewRolls(self, registerOf{b}, b.boards[i], nil, clock)
-		b.rolls[i].peers = linesOf{b, i}
+		b.sources[i] = New(self, simStore{b}, b.boards[i], follow.NewBoard(), noEnds{}, nil, clock, stats, b.log)
+		b.sources[i].peers = simPeers{b, i}
+		b.rolls[i] = NewRolls(self, simRegister{b}, b.boards[i], nil, clock)
+		b.rolls[i].peers = simPeers{b, i}
 	}
 	for i, m := range b.members {
 		newKey := func() ([]byte, error) { return []byte(m.Name), nil }
@@ -152,8 +152,8 @@
 	}
 }
 
-// lacking returns the number of instances that do not know configuration and servers.
-func (b *beginning) lacking() int {
+// unready returns the number of instances that do not know configuration and servers.
+func (b *beginning) unready() int {
 	n := 0
 	for _, s := range b.sources {
 		for _, feed := range []follow.Feed{follow.FeedConfig, follow.FeedServers} {
@@ -166,18 +166,18 @@
 	return n
 }
 
-// until returns when all know everything, or the limit.
-func (b *beginning) until(limit time.Duration) time.Duration {
-	for time.Since(b.begun) < limit && b.lacking() > 0 {
+// awaitReady returns when all know everything, or the limit.
+func (b *beginning) awaitReady(limit time.Duration) time.Duration {
+	for time.Since(b.begun) < limit && b.unready() > 0 {
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(b.begun)
 }
 
 // call is one call to the store, whose answer has so many bytes.
-func (b *beginning) call(ctx context.Context, price, bytes float64) error {
+func (b *beginning) call(ctx context.Context, cost, bytes float64) error {
 	b.mu.Lock()
-	b.calls += price
+	b.calls += cost
 	b.mu.Unlock()
 	if time.Since(b.begun) < b.silentUntil {
 		<-ctx.Done()
@@ -185,20 +185,20 @@
 	}
 	latency := storeAnswer
 	if time.Since(b.begun) < b.slowUntil {
-		latency = slowTime
+		latency = slowStoreAnswer
 	}
 	select {
 	case <-time.After(latency):
 	case <-ctx.Done():
 	}
-	if err := b.store.carry(ctx, bytes); err != nil {
+	if err := b.store.transfer(ctx, bytes); err != nil {
 		return errors.Wrap(follow.ErrUnavailable, err.Error())
 	}
 	return nil
 }
 
-// lowPrice is that of a cheap reading or a renewal.
-const lowPrice = 0.1
+// lowCost is that of a cheap reading or a renewal.
+const lowCost = 0.1
 
 // fleetStart is a start of a fleet before a store that is slow or silent at first.
 type fleetStart struct {
@@ -207,30 +207,30 @@
 	slow, silent, within           time.Duration
 }
 
-// aim and recovery are how long a fleet may take to start, and one of twice its size; callsEach bounds the calls of an instance.
+// startLimit and doubleStartLimit are how long a fleet may take to start, and one of twice its size; maxCallsEach bounds the calls of an instance.
 const (
-	aim       = 6 * time.Second
-	recovery  = 18 * time.Second
-	callsEach = 3
+	startLimit       = 6 * time.Second
+	doubleStartLimit = 18 * time.Second
+	maxCallsEach     = 3
 )
 
-// TestAFleetStartsBeforeTheLineOfTheStore starts a whole fleet, and one of twice the size, before an empty store whose line carries what it
+// TestAFleetStartsWithinTheStoreBandwidth starts a whole fleet, and one of twice the size, before an empty store whose line carries what it
 // does, also while the store is slow at first: everyone knows configuration and servers in time, with a few calls each.
-func TestAFleetStartsBeforeTheLineOfTheStore(t *testing.T) {
+func TestAFleetStartsWithinTheStoreBandwidth(t *testing.T) {
 	startFleets(t, []fleetStart{
-		{name: "985 instances", domains: 5, each: 197, strong: 10, servers: 3005, within: aim},
-		{name: "985 instances of one kind", domains: 5, each: 197, strong: 197, servers: 3005, within: aim},
-		{name: "985 instances, slow store", domains: 5, each: 197, strong: 10, servers: 3005, slow: 5 * time.Second, within: aim},
-		{name: "2000 instances", domains: 5, each: 400, strong: 10, servers: 6000, within: recovery},
-		{name: "2000 instances, slow store", domains: 5, each: 400, strong: 10, servers: 6000, slow: 5 * time.Second, within: recovery},
+		{name: "985 instances", domains: 5, each: 197, strong: 10, servers: 3005, within: startLimit},
+		{name: "985 instances of one kind", domains: 5, each: 197, strong: 197, servers: 3005, within: startLimit},
+		{name: "985 instances, slow store", domains: 5, each: 197, strong: 10, servers: 3005, slow: 5 * time.Second, within: startLimit},
+		{name: "2000 instances", domains: 5, each: 400, strong: 10, servers: 6000, within: doubleStartLimit},
+		{name: "2000 instances, slow store", domains: 5, each: 400, strong: 10, servers: 6000, slow: 5 * time.Second, within: doubleStartLimit},
 	})
 }
 
 // TestAFleetStartsAfterASilentStore is the same before a store that does not answer for the first 9 s.
 func TestAFleetStartsAfterASilentStore(t *testing.T) {
 	startFleets(t, []fleetStart{
-		{name: "985 instances", domains: 5, each: 197, strong: 10, servers: 3005, silent: 9 * time.Second, within: aim},
-		{name: "2000 instances", domains: 5, each: 400, strong: 10, servers: 6000, silent: 9 * time.Second, within: recovery},
+		{name: "985 instances", domains: 5, each: 197, strong: 10, servers: 3005, silent: 9 * time.Second, within: startLimit},
+		{name: "2000 instances", domains: 5, each: 400, strong: 10, servers: 6000, silent: 9 * time.Second, within: doubleStartLimit},
 	})
 }
 
@@ -245,14 +245,14 @@
 				b = newBeginning(c.domains, c.each, c.strong, c.servers)
 				b.slowUntil, b.silentUntil = c.slow, c.silent
 				b.start(ctx)
-				took = b.until(c.slow + c.silent + 2*c.within)
+				took = b.awaitReady(c.slow + c.silent + 2*c.within)
 				cancel()
 				time.Sleep(settled + readTime)
 			})
-			t.Logf("%s, %d without news, %.0f calls, %.2f MB from the store", took, b.lacking(), b.calls, b.store.total/1e6)
-			require.Zero(t, b.lacking())
+			t.Logf("%s, %d without news, %.0f calls, %.2f MB from the store", took, b.unready(), b.calls, b.store.total/1e6)
+			require.Zero(t, b.unready())
 			require.LessOrEqual(t, took, c.slow+c.silent+c.within)
-			require.LessOrEqual(t, b.calls, float64(callsEach*len(b.members)))
+			require.LessOrEqual(t, b.calls, float64(maxCallsEach*len(b.members)))
 		})
 	}
 }
--- a/relay/fleetstore_test.go
+++ b/relay/fleetstore_test.go
@@ -13,11 +13,11 @@
 	"junctioncross/link"
 )
 
-// registerOf is the store's records as an instance reaches them; it implements census.Register.
-type registerOf struct{ b *beginning }
+// simRegister is the store's records as an instance reaches them; it implements census.Register.
+type simRegister struct{ b *beginning }
 
 // Join implements census.Register.
-func (r registerOf) Join(ctx context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
+func (r simRegister) Join(ctx context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
 	for range 2 {
 		if err := r.b.call(ctx, 1, recordBytes); err != nil {
 			return 0, err
@@ -31,17 +31,17 @@
 	}
 	r.b.revision++
 	slot.Revision = r.b.revision
-	r.b.records[key] = written{Record: census.Record{Instance: self, Slot: slot, Lease: slot.Revision}, at: time.Now()}
+	r.b.records[key] = storedRecord{Record: census.Record{Instance: self, Slot: slot, Lease: slot.Revision}, at: time.Now()}
 	return slot.Revision, nil
 }
 
 // Renew implements census.Register.
-func (r registerOf) Renew(ctx context.Context, _ int64) error {
-	return r.b.call(ctx, lowPrice, recordBytes)
+func (r simRegister) Renew(ctx context.Context, _ int64) error {
+	return r.b.call(ctx, lowCost, recordBytes)
 }
 
 // List implements census.Register.
-func (r registerOf) List(ctx context.Context) (census.Roll, error) {
+func (r simRegister) List(ctx context.Context) (census.Roll, error) {
 	r.b.mu.Lock()
 	roll := census.Roll{Key: r.b.key}
 	for _, w := range r.b.records {
@@ -50,11 +50,11 @@
 		}
 	}
 	r.b.mu.Unlock()
-	return roll, r.b.call(ctx, lowPrice, float64(1+len(roll.Records))*recordBytes)
+	return roll, r.b.call(ctx, lowCost, float64(1+len(roll.Records))*recordBytes)
 }
 
 // Found implements census.Register.
-func (r registerOf) Found(ctx context.Context, key []byte) ([]byte, error) {
+func (r simRegister) Found(ctx context.Context, key []byte) ([]byte, error) {
 	if err := r.b.call(ctx, 1, recordBytes); err != nil {
 		return nil, err
 	}
@@ -66,17 +66,17 @@
 	return r.b.key, nil
 }
 
-// feedsOf is the store's feeds; it implements Store.
-type feedsOf struct{ b *beginning }
+// simStore is the store's feeds; it implements Store.
+type simStore struct{ b *beginning }
 
 // Reach implements Store.
-func (f feedsOf) Reach(ctx context.Context) error { return f.b.call(ctx, lowPrice, recordBytes) }
+func (f simStore) Reach(ctx context.Context) error { return f.b.call(ctx, lowCost, recordBytes) }
 
 // pageBytes is what the store puts on a page.
 const pageBytes = 500 * entryBytes
 
 // ReadFeed implements Store.
-func (f feedsOf) ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error) {
+func (f simStore) ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error) {
 	value := []byte(nil)
 	switch feed {
 	case follow.FeedConfig:
@@ -94,7 +94,7 @@
 }
 
 // WatchFeed implements Store.
-func (f feedsOf) WatchFeed(ctx context.Context, _ follow.Feed, after follow.Position, wait time.Duration) ([]Record, follow.Position, error) {
+func (f simStore) WatchFeed(ctx context.Context, _ follow.Feed, after follow.Position, wait time.Duration) ([]Record, follow.Position, error) {
 	if err := f.b.call(ctx, 1, recordBytes); err != nil {
 		return nil, 0, err
 	}
@@ -107,7 +107,7 @@
 }
 
 // Decode implements Store.
-func (f feedsOf) Decode(records []Record) []follow.Change {
+func (f simStore) Decode(records []Record) []follow.Change {
 	for _, r := range records {
 		if len(r.Value) == configBytes {
 			c, err := catalog.New(&catalog.Content{Version: 1, Services: []catalog.Service{{Name: "s"}}})
@@ -120,13 +120,13 @@
 	return nil
 }
 
-// linesOf are the other instances as one reaches them, each over its own line; it implements peers.
-type linesOf struct {
+// simPeers are the other instances as one reaches them, each over its own line; it implements peers.
+type simPeers struct {
 	b *beginning
 	i int
 }
 
-func (o linesOf) poll(ctx context.Context, addr string, q poll) (told, error) {
+func (o simPeers) poll(ctx context.Context, addr string, q poll) (told, error) {
 	if err := o.reach(ctx, addr); err != nil {
 		return told{}, err
 	}
@@ -139,10 +139,10 @@
 	for _, r := range t.Records {
 		bytes += float64(len(r.Value))
 	}
-	return t, o.carry(ctx, j, bytes)
+	return t, o.transfer(ctx, j, bytes)
 }
 
-func (o linesOf) roll(ctx context.Context, addr string, q rollAsked) (rollTold, error) {
+func (o simPeers) roll(ctx context.Context, addr string, q rollAsked) (rollTold, error) {
 	if err := o.reach(ctx, addr); err != nil {
 		return rollTold{}, err
 	}
@@ -151,13 +151,13 @@
 	if err != nil {
 		return rollTold{}, errors.Wrap(link.ErrRefused, err.Error())
 	}
-	return t, o.carry(ctx, j, float64(1+len(t.Records)))
+	return t, o.transfer(ctx, j, float64(1+len(t.Records)))
 }
 
-func (o linesOf) carry(ctx context.Context, j int, bytes float64) error {
-	err := o.b.lines[j].carry(ctx, bytes)
+func (o simPeers) transfer(ctx context.Context, j int, bytes float64) error {
+	err := o.b.links[j].transfer(ctx, bytes)
 	if err == nil {
-		err = o.b.lines[o.i].carry(ctx, bytes)
+		err = o.b.links[o.i].transfer(ctx, bytes)
 	}
 	if err != nil {
 		return errors.Wrap(link.ErrLost, err.Error())
@@ -166,7 +166,7 @@
 }
 
 // reach is refused while one of the two does not know the fleet's key.
-func (o linesOf) reach(_ context.Context, addr string) error {
+func (o simPeers) reach(_ context.Context, addr string) error {
 	time.Sleep(linkAnswer)
 	if len(o.b.boards[o.i].Key()) == 0 || len(o.b.boards[o.b.index[addr]].Key()) == 0 {
 		return link.ErrRefused
--- a/relay/calm_test.go
+++ b/relay/nofault_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestNewsDoNotMakeRelaysRefuse accepts a configuration at each part of a relay's wait for news on a day without faults: nobody but the
+// TestUpdatesDoNotMakeRelaysRefuse accepts a configuration at each part of a relay's wait for news on a day without faults: nobody but the
 // relays asks the store once all have started.
-func TestNewsDoNotMakeRelaysRefuse(t *testing.T) {
+func TestUpdatesDoNotMakeRelaysRefuse(t *testing.T) {
 	members := instances(3, 24)
 	d := day{length: 30 * time.Second, promise: promise}
 	for at := settled; at < d.length; at += 1370 * time.Millisecond {
--- a/relay/away_test.go
+++ b/relay/otherdomain_test.go
@@ -9,9 +9,9 @@
 	"junctioncross/relay"
 )
 
-// TestAnInstanceWhoseRelaysHearNothingAsksAnotherDomain cuts both relays of a domain from the store: the others hear of news through the
+// TestInstancesAskAnotherDomainWhenTheirRelaysAreCutOff cuts both relays of a domain from the store: the others hear of news through the
 // relay of another domain and leave the store alone.
-func TestAnInstanceWhoseRelaysHearNothingAsksAnotherDomain(t *testing.T) {
+func TestInstancesAskAnotherDomainWhenTheirRelaysAreCutOff(t *testing.T) {
 	s := newStore()
 	all := runIn(t, 5, func(i int) string { return [...]string{"east", "east", "east", "west", "west"}[i] },
 		func(caller string) relay.Store { return view{store: s, caller: caller} })
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -89,8 +89,8 @@
 // 8 processors, with the race detector.
 const ciSeeds = 50
 
-// found are seeds beyond those that failed once, each with its cause.
-var found = []uint64{
+// regressionSeeds are seeds beyond those that failed once, each with its cause.
+var regressionSeeds = []uint64{
 	// Eight instances of a domain waited 0.6 s for their relay to say that it heard the store no more, and 1.2 s for one that was cut off.
 	165,
 }
@@ -99,7 +99,7 @@
 // its history, instances are killed and domains are cut. Each instance that the store serves, or whose relay it serves, has each accepted
 // configuration in force in time and has heard of each end under a request in time, and none asks the store without a pause.
 func TestConfigurationsAreInForceInTimeInOutages(t *testing.T) {
-	days := append([]uint64(nil), found...)
+	days := append([]uint64(nil), regressionSeeds...)
 	for seed := range seeds(t, ciSeeds) {
 		days = append(days, seed)
 	}
@@ -124,15 +124,15 @@
 		broken = p.run()
 	})
 	if len(broken) > 0 {
-		t.Errorf("%d times, first %s; %s", len(broken), broken[0], p.tell())
+		t.Errorf("%d times, first %s; %s", len(broken), broken[0], p.describe())
 	}
 	if most := slices.Max(p.calls); most > mostCalls {
-		t.Errorf("%d calls of one instance; %s", most, p.tell())
+		t.Errorf("%d calls of one instance; %s", most, p.describe())
 	}
 }
 
-// tell returns the faults of a day in a line.
-func (d day) tell() string {
+// describe returns the faults of a day in a line.
+func (d day) describe() string {
 	var out string
 	for _, f := range d.faults {
 		hit := 0
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// peerWait is the longest that a relay holds a question: a relay that has died is noticed that much later at most.
-	peerWait = 800 * time.Millisecond
-	// peerAnswer is how much longer the answer may take: many times what a call within the building takes on a slow machine.
-	peerAnswer = 400 * time.Millisecond
-	// startWait is the longest that an instance which starts holds a question that it can answer once it has read the feed: short, so that
+	// pollHold is the longest that a relay holds a question: a relay that has died is noticed that much later at most.
+	pollHold = 800 * time.Millisecond
+	// peerTimeout is how much longer the answer may take: many times what a call within the building takes on a slow machine.
+	peerTimeout = 400 * time.Millisecond
+	// fullFeedHold is the longest that an instance which starts holds a question that it can answer once it has read the feed: short, so that
 	// others ask the stand-in soon when the relay does not hear the store.
-	startWait = 400 * time.Millisecond
+	fullFeedHold = 400 * time.Millisecond
 	// freshTime is how long ago a relay's configuration may have been confirmed: a whole wait at the store and its answer.
 	freshTime = configWait + 600*time.Millisecond
 )
@@ -41,10 +41,10 @@
 	Words []backend.Word `cbor:"4,keyasint,omitempty"`
 	// Mark is the Mark of the last answer.
 	Mark time.Duration `cbor:"5,keyasint,omitempty"`
-	// Hurry asks for what there is, without a wait for news.
-	Hurry bool `cbor:"6,keyasint,omitempty"`
-	// Direct is the asker's address if it follows the store itself.
-	Direct string `cbor:"7,keyasint,omitempty"`
+	// NoWait asks for what there is, without a wait for news.
+	NoWait bool `cbor:"6,keyasint,omitempty"`
+	// DirectAddr is the asker's address if it follows the store itself.
+	DirectAddr string `cbor:"7,keyasint,omitempty"`
 	// Ends is what the asker has not yet told the store.
 	Ends []quarantine.End `cbor:"8,keyasint,omitempty"`
 	// Name and Domain are those of the asker, which is counted by them.
@@ -64,8 +64,8 @@
 	Words []backend.Word `cbor:"5,keyasint,omitempty"`
 	// Mark is how far the words reach, as time since the relay's start.
 	Mark time.Duration `cbor:"6,keyasint,omitempty"`
-	// Ask is the address of an instance that follows the store, told by one that does not.
-	Ask string `cbor:"7,keyasint,omitempty"`
+	// ReferTo is the address of an instance that follows the store, told by one that does not.
+	ReferTo string `cbor:"7,keyasint,omitempty"`
 	// Counts holds the numbers of instances of the domains.
 	Counts map[string]int `cbor:"8,keyasint,omitempty"`
 	// Packed holds the records compressed, in place of Records.
@@ -86,12 +86,12 @@
 	}
 	arrived := s.clock.Now()
 	if p.Whole {
-		return s.serveWhole(ctx, p.Feed, arrived)
+		return s.serveFull(ctx, p.Feed, arrived)
 	}
 	s.overhear(p.Words)
 	s.ends.Adopt(p.Ends)
 	s.noteAsker(p)
-	s.noteHelper(p.Direct, arrived)
+	s.noteDirectPeer(p.DirectAddr, arrived)
 	wait := s.clock.After(s.holdTime(p.Feed))
 	for {
 		v := s.logs[p.Feed].since(p.After)
@@ -100,8 +100,8 @@
 			return s.refer()
 		case !v.whole:
 			return told{Behind: true}, nil
-		case p.Hurry || len(v.records) > 0 || p.Feed == follow.FeedServers && s.turnedWorse(p.Mark):
-			return s.answer(p, v, arrived)
+		case p.NoWait || len(v.records) > 0 || p.Feed == follow.FeedServers && s.turnedWorse(p.Mark):
+			return s.replyWithUpdates(p, v, arrived)
 		}
 		select {
 		case <-v.changed:
@@ -109,7 +109,7 @@
 			// A relay that hears the store no more says so at once: a question that it held for the rest of its time would use up the time
 			// in which a configuration must be in force.
 		case <-wait:
-			return s.answer(p, s.logs[p.Feed].since(p.After), arrived)
+			return s.replyWithUpdates(p, s.logs[p.Feed].since(p.After), arrived)
 		case <-ctx.Done():
 			return told{}, ctx.Err()
 		}
@@ -119,14 +119,14 @@
 // holdTime returns the longest that a question is held.
 func (s *Source) holdTime(feed follow.Feed) time.Duration {
 	if feed == follow.FeedServers {
-		return min(max(wordsWait, time.Duration(s.tally.size())*wordsShare), peerWait)
+		return min(max(wordsWait, time.Duration(s.tally.size())*wordsShare), pollHold)
 	}
-	return peerWait
+	return pollHold
 }
 
-// answer returns the answer to a question for news.
-func (s *Source) answer(p poll, v view, arrived time.Time) (told, error) {
-	t, err := s.answerOf(p.Feed, v, arrived, span{after: p.After, at: v.at})
+// replyWithUpdates returns the replyWithUpdates to a question for news.
+func (s *Source) replyWithUpdates(p poll, v view, arrived time.Time) (told, error) {
+	t, err := s.replyWithRecords(p.Feed, v, arrived, span{after: p.After, at: v.at})
 	if err != nil {
 		return told{}, err
 	}
@@ -140,16 +140,16 @@
 	return t, nil
 }
 
-// serveWhole answers with all that the feed holds, which an instance that starts may have to read first.
-func (s *Source) serveWhole(ctx context.Context, feed follow.Feed, arrived time.Time) (told, error) {
-	wait := s.clock.After(startWait)
+// serveFull answers with all that the feed holds, which an instance that starts may have to read first.
+func (s *Source) serveFull(ctx context.Context, feed follow.Feed, arrived time.Time) (told, error) {
+	wait := s.clock.After(fullFeedHold)
 	for {
 		config := s.logs[follow.FeedConfig].news()
 		v := s.logs[feed].all()
 		switch {
 		case !s.stopped.Load() && v.at > 0 && s.fresh():
 			// One that has it from a relay tells it as well: the asker knows nothing, so that it cannot hear its own news again.
-			return s.answerOf(feed, v, arrived, span{at: v.at, whole: true})
+			return s.replyWithRecords(feed, v, arrived, span{at: v.at, whole: true})
 		case s.stopped.Load() || !s.starting():
 			return told{}, errNotDirect
 		}
@@ -174,8 +174,8 @@
 	return false
 }
 
-// answerOf returns the answer with the records of a view, which are a span of a feed.
-func (s *Source) answerOf(feed follow.Feed, v view, arrived time.Time, part span) (told, error) {
+// replyWithRecords returns the answer with the records of a view, which are a span of a feed.
+func (s *Source) replyWithRecords(feed follow.Feed, v view, arrived time.Time, part span) (told, error) {
 	t := told{At: v.at, Known: v.known.Sub(arrived)}
 	packed, err := s.logs[feed].packed(part, v.records)
 	if err != nil {
@@ -204,12 +204,12 @@
 // ask polls the relay at addr.
 func (s *Source) ask(ctx context.Context, addr string, p poll) (heard, error) {
 	s.stats.Counter("relay_polls_total").Inc(1)
-	limit := peerWait + peerAnswer
+	limit := pollHold + peerTimeout
 	switch {
 	case p.Whole:
-		limit = startWait + wholeAnswer
-	case p.Hurry:
-		limit = peerAnswer
+		limit = fullFeedHold + fullFeedTimeout
+	case p.NoWait:
+		limit = peerTimeout
 	}
 	ctx, cancel := s.clock.WithTimeout(ctx, limit)
 	defer cancel()
@@ -218,7 +218,7 @@
 	if p.Feed == follow.FeedQuarantine {
 		p.Ends = s.ends.Untold()
 	}
-	p.Direct = s.standing()
+	p.DirectAddr = s.directAddr()
 	if p.Feed == follow.FeedConfig && !p.Whole {
 		p.Name, p.Domain = s.self.Name, s.self.Domain
 	}
@@ -229,8 +229,8 @@
 	case err != nil:
 		return heard{}, errors.Wrap(follow.ErrUnavailable, err.Error())
 	}
-	if t.Ask != "" {
-		return heard{}, refusal{cause: errNotDirect, ask: t.Ask}
+	if t.ReferTo != "" {
+		return heard{}, refusal{cause: errNotDirect, referTo: t.ReferTo}
 	}
 	if t.Behind {
 		return heard{}, errBehind
--- a/relay/rank.go
+++ b/relay/rank.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// relaysAsked is the number of instances of the own domain that are asked before the store: the relay and the one that
+	// ownRelaysAsked is the number of instances of the own domain that are asked before the store: the relay and the one that
 	// takes over when it is gone.
-	relaysAsked = 2
-	// othersAsked is the number of relays of other domains that are asked before the store. A store that turns away a third of the instances
+	ownRelaysAsked = 2
+	// remoteRelaysAsked is the number of relays of other domains that are asked before the store. A store that turns away a third of the instances
 	// turns away both relays of a domain and these two in one case of a hundred; each one more costs its relay a handshake for each
 	// instance of the fleet.
-	othersAsked = 2
+	remoteRelaysAsked = 2
 )
 
 // ranked returns the instances of each domain, the one that should be the relay first: the most powerful, since it does the
@@ -47,51 +47,51 @@
 	return h.Sum32()
 }
 
-// way is one place where news can be had: a relay's address, or the store when it is empty.
-type way struct{ addr string }
+// upstream is one place where news can be had: a relay's address, or the store when it is empty.
+type upstream struct{ addr string }
 
-func (w way) direct() bool { return w.addr == "" }
+func (u upstream) direct() bool { return u.addr == "" }
 
 // String returns the way's name for logs.
-func (w way) String() string {
-	if w.direct() {
+func (u upstream) String() string {
+	if u.direct() {
 		return "store"
 	}
-	return w.addr
+	return u.addr
 }
 
 // waysOf returns where an instance asks for news, in order: the relay of its domain and its stand-in, relays of other domains, which help
 // when those two do not hear the store, and the store, which counts each call of each instance. The relay itself begins with the store,
 // the stand-in asks it after the relay, and both ask the relays of all other domains at last.
-func waysOf(self string, domain string, members []census.Instance) []way {
+func waysOf(self string, domain string, members []census.Instance) []upstream {
 	byDomain := ranked(members)
-	var ways []way
+	var upstreams []upstream
 	for i, m := range byDomain[domain] {
 		if m.Name == self {
-			return append(append(ways, way{}), relaysOf(byDomain, self, domain)...)
+			return append(append(upstreams, upstream{}), relayUpstreams(byDomain, self, domain)...)
 		}
-		ways = append(ways, way{addr: m.Addr})
-		if i+1 == relaysAsked {
+		upstreams = append(upstreams, upstream{addr: m.Addr})
+		if i+1 == ownRelaysAsked {
 			break
 		}
 	}
-	others := relaysOf(byDomain, self, domain)
-	return append(append(ways, others[:min(othersAsked, len(others))]...), way{})
+	others := relayUpstreams(byDomain, self, domain)
+	return append(append(upstreams, others[:min(remoteRelaysAsked, len(others))]...), upstream{})
 }
 
-// relaysOf returns the relays of the domains but one, which each instance begins with another of, so that they share the questions.
-func relaysOf(byDomain map[string][]census.Instance, self, but string) []way {
+// relayUpstreams returns the relays of the domains but one, which each instance begins with another of, so that they share the questions.
+func relayUpstreams(byDomain map[string][]census.Instance, self, except string) []upstream {
 	domains := make([]string, 0, len(byDomain))
 	for d := range byDomain {
-		if d != but {
+		if d != except {
 			domains = append(domains, d)
 		}
 	}
 	sort.Strings(domains)
 	first := int(hashOf(self))
-	ways := make([]way, len(domains))
+	upstreams := make([]upstream, len(domains))
 	for i := range domains {
-		ways[i] = way{addr: byDomain[domains[(first+i)%len(domains)]][0].Addr}
+		upstreams[i] = upstream{addr: byDomain[domains[(first+i)%len(domains)]][0].Addr}
 	}
-	return ways
+	return upstreams
 }
--- a/relay/rank_test.go
+++ b/relay/rank_test.go
@@ -31,29 +31,29 @@
 			relays[m.Domain]++
 			continue
 		}
-		require.True(t, ways[0].direct() || ways[0] == way{addr: ranked(all)[m.Domain][0].Addr}, "all ask the same relay")
+		require.True(t, ways[0].direct() || ways[0] == upstream{addr: ranked(all)[m.Domain][0].Addr}, "all ask the same relay")
 	}
 	require.Equal(t, map[string]int{"east": 1, "west": 1, "south": 1}, relays)
 }
 
-// TestThoseThatHaveRelaysAskTheStoreLast also checks that the relay and its stand-in ask it before other domains, and that the questions
+// TestInstancesWithRelaysAskTheStoreLast also checks that the relay and its stand-in ask it before other domains, and that the questions
 // of one domain are spread over the others.
-func TestThoseThatHaveRelaysAskTheStoreLast(t *testing.T) {
+func TestInstancesWithRelaysAskTheStoreLast(t *testing.T) {
 	all := members(12)
 	asked := map[string]int{}
 	for _, m := range all {
 		ways := waysOf(m.Name, m.Domain, all)
 		relays := ranked(all)[m.Domain]
-		own := []way{{addr: relays[0].Addr}, {addr: relays[1].Addr}}
+		own := []upstream{{addr: relays[0].Addr}, {addr: relays[1].Addr}}
 		switch m.Name {
 		case relays[0].Name:
-			require.Equal(t, way{}, ways[0])
+			require.Equal(t, upstream{}, ways[0])
 		case relays[1].Name:
-			require.Equal(t, []way{own[0], {}}, ways[:2])
+			require.Equal(t, []upstream{own[0], {}}, ways[:2])
 		default:
 			require.Equal(t, own, ways[:2])
 			require.Len(t, ways, 5)
-			require.Equal(t, way{}, ways[4])
+			require.Equal(t, upstream{}, ways[4])
 			asked[ways[2].addr]++
 		}
 		for _, w := range ways {
--- a/relay/helpers_test.go
+++ b/relay/referral_test.go
@@ -12,18 +12,18 @@
 	"junctioncross/follow"
 )
 
-// TestWhoeverTheStoreTurnsAwayHearsOfItFromOthers lets the store turn a third of the instances away for 8 s, the relays and their stand-ins
+// TestRejectedInstancesGetUpdatesFromDirectPeers lets the store turn a third of the instances away for 8 s, the relays and their stand-ins
 // among them. What each knows of the configuration must be young enough for the keys in it to be accepted, which is 3.6 s where one that was
 // taken away may be accepted for 5 s, from 4 s on, when those that the store serves are found, and less than 5 s before. Without help those that are turned away had known nothing new since the outage began.
-func TestWhoeverTheStoreTurnsAwayHearsOfItFromOthers(t *testing.T) {
+func TestRejectedInstancesGetUpdatesFromDirectPeers(t *testing.T) {
 	for name, members := range map[string][]census.Instance{"with relays": instances(3, 24), "without": instances(2, 4)} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { turnAway(t, members) })
+			synctest.Test(t, func(t *testing.T) { checkRejectedInstances(t, members) })
 		})
 	}
 }
 
-func turnAway(t *testing.T, members []census.Instance) {
+func checkRejectedInstances(t *testing.T, members []census.Instance) {
 	const (
 		outage   = 8 * time.Second
 		keysAge  = 3600 * time.Millisecond
@@ -64,15 +64,15 @@
 	require.Less(t, worst, revoked)
 }
 
-// TestHelpersAreForgottenWhenTheySayNothingMore picks among those that said lately that they follow the store.
-func TestHelpersAreForgottenWhenTheySayNothingMore(t *testing.T) {
+// TestDirectPeersExpire picks among those that said lately that they follow the store.
+func TestDirectPeersExpire(t *testing.T) {
 	now := time.Unix(100, 0)
-	var h helpers
+	var h directPeers
 	require.Empty(t, h.pick(now, 0.5))
 	h.note("a", now)
 	h.note("b", now.Add(time.Second))
 	require.Equal(t, "a", h.pick(now.Add(time.Second), 0))
 	require.Equal(t, "b", h.pick(now.Add(time.Second), 0.9))
-	require.Equal(t, "b", h.pick(now.Add(helperAge+time.Millisecond), 0))
-	require.Empty(t, h.pick(now.Add(helperAge+2*time.Second), 0))
+	require.Equal(t, "b", h.pick(now.Add(directPeerAge+time.Millisecond), 0))
+	require.Empty(t, h.pick(now.Add(directPeerAge+2*time.Second), 0))
 }
--- a/relay/again_test.go
+++ b/relay/rejecting_test.go
@@ -19,27 +19,27 @@
 	"junctioncross/timer"
 )
 
-// turning is a relay.Store that turns every call for news away.
-type turning struct{ view }
+// rejectingStore is a relay.Store that turns every call for news away.
+type rejectingStore struct{ view }
 
 // Reach implements relay.Store.
-func (t turning) Reach(context.Context) error {
-	t.enter()
+func (t rejectingStore) Reach(context.Context) error {
+	t.recordCall()
 	return follow.ErrUnavailable
 }
 
 // WatchFeed implements relay.Store.
-func (t turning) WatchFeed(
+func (t rejectingStore) WatchFeed(
 	context.Context, follow.Feed, follow.Position, time.Duration,
 ) ([]relay.Record, follow.Position, error) {
-	t.enter()
+	t.recordCall()
 	return nil, 0, follow.ErrUnavailable
 }
 
-// TestARelayAsksTheStoreEachTimeAfterAnOutage lets the store turn the relay of a domain away. Its control goroutine pauses after each
+// TestARelayAsksTheStoreOnEachPollAfterAFailure lets the store turn the relay of a domain away. Its control goroutine pauses after each
 // failure; a second pause for the store would let its domain hear of the store's return up to 0.8 s later. The relay of the other domain
 // has no address that can be dialed.
-func TestARelayAsksTheStoreEachTimeAfterAnOutage(t *testing.T) {
+func TestARelayAsksTheStoreOnEachPollAfterAFailure(t *testing.T) {
 	key, err := keys.NewFleetKey(time.Now())
 	require.NoError(t, err)
 	trust := keys.NewFleetKeyFrom(func() []byte { return key })
@@ -53,7 +53,7 @@
 	s := newStore()
 	self := relay.Self{Name: "self", Domain: "east", From: 2, ApplyTime: 3 * time.Second}
 	clock := timer.New(clockwork.NewFakeClock())
-	one := relay.New(self, turning{view{store: s, caller: "self"}}, f, follow.NewBoard(), noEnds{}, links, clock, metrics.New(), log)
+	one := relay.New(self, rejectingStore{view{store: s, caller: "self"}}, f, follow.NewBoard(), noEnds{}, links, clock, metrics.New(), log)
 	for n := range 4 {
 		_, err := one.Next(t.Context(), follow.FeedServers, 1)
 		require.ErrorIs(t, err, follow.ErrUnavailable)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -21,8 +21,8 @@
 	"junctioncross/timer"
 )
 
-// patience bounds waits that end within some seconds on a sound machine.
-const patience = 30 * time.Second
+// waitLimit bounds waits that end within some seconds on a sound machine.
+const waitLimit = 30 * time.Second
 
 // fleet is the same list of instances for all.
 type fleet struct {
@@ -91,7 +91,7 @@
 	news, err := i.Read(ctx, feed)
 	for ctx.Err() == nil {
 		if err == nil {
-			i.take(feed, news)
+			i.record(feed, news)
 		} else {
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (i *instance) take(feed follow.Feed, news follow.News) {
+func (i *instance) record(feed follow.Feed, news follow.News) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	switch feed {
@@ -174,10 +174,12 @@
 	return out
 }
 
-func soon(t *testing.T, what func() bool) { require.Eventually(t, what, patience, 10*time.Millisecond) }
+func soon(t *testing.T, what func() bool) {
+	require.Eventually(t, what, waitLimit, 10*time.Millisecond)
+}
 
-// TestOneInstanceAsksTheStoreForAll also checks that what the others know is as new as the relay's own knowledge allows.
-func TestOneInstanceAsksTheStoreForAll(t *testing.T) {
+// TestOnlyTheRelayAsksTheStore also checks that what the others know is as new as the relay's own knowledge allows.
+func TestOnlyTheRelayAsksTheStore(t *testing.T) {
 	s := newStore()
 	all := run(t, s, 4)
 	soon(t, func() bool { return all[0].Direct() && !all[3].Direct() })
@@ -192,7 +194,7 @@
 	require.Equal(t, before, s.count("i-3"), "an instance with a relay leaves the store alone")
 }
 
-func TestWhenTheRelayEndsTheOthersAskElsewhere(t *testing.T) {
+func TestInstancesAskElsewhereWhenTheirRelayStops(t *testing.T) {
 	s := newStore()
 	all := run(t, s, 3)
 	soon(t, func() bool { return all[0].Direct() })
@@ -205,9 +207,9 @@
 	}
 }
 
-// TestARelayThatHearsNothingDoesNotServe cuts the relay from the store: it must not pass on what it has as if it were new, and
+// TestARelayCutFromTheStoreDoesNotServe cuts the relay from the store: it must not pass on what it has as if it were new, and
 // it hears by others itself.
-func TestARelayThatHearsNothingDoesNotServe(t *testing.T) {
+func TestARelayCutFromTheStoreDoesNotServe(t *testing.T) {
 	s := newStore()
 	all := run(t, s, 3)
 	soon(t, func() bool { return all[0].Direct() && all[2].age() < time.Second })
@@ -220,9 +222,9 @@
 	soon(t, func() bool { return all[0].has(1) })
 }
 
-// TestNobodyClaimsToKnowMoreThanTheStoreTold freezes the store's word: once all calls hang, the moment up to which instances
+// TestKnownDoesNotAdvanceWhileTheStoreIsSilent freezes the store's word: once all calls hang, the moment up to which instances
 // know must not move on, however they ask each other.
-func TestNobodyClaimsToKnowMoreThanTheStoreTold(t *testing.T) {
+func TestKnownDoesNotAdvanceWhileTheStoreIsSilent(t *testing.T) {
 	s := newStore()
 	all := run(t, s, 4)
 	soon(t, func() bool { return all[3].age() < time.Second })
--- a/relay/source.go
+++ b/relay/source.go
@@ -26,7 +26,7 @@
 )
 
 // lateTime is how long after its last answer a feed counts as late: longer than a relay holds a question.
-const lateTime = peerWait + 100*time.Millisecond
+const lateTime = pollHold + 100*time.Millisecond
 
 // feeds is the number of feeds that are followed: configuration, servers and quarantine.
 const feeds = 3
@@ -62,12 +62,12 @@
 	ApplyTime time.Duration
 }
 
-// leastApply is the shortest ApplyTime that is kept through relays: one that falls silent says so after 2.6 s.
-const leastApply = 3 * time.Second
+// minApplyTime is the shortest ApplyTime that is kept through relays: one that falls silent says so after 2.6 s.
+const minApplyTime = 3 * time.Second
 
 // relays reports whether so many instances use relays, of whom so many have records.
 func (s Self) relays(members, instances int) bool {
-	return members > 0 && max(members, instances) >= s.From && s.ApplyTime >= leastApply
+	return members > 0 && max(members, instances) >= s.From && s.ApplyTime >= minApplyTime
 }
 
 // Source follows the store, by itself or through a relay; it implements follow.Source.
@@ -90,24 +90,24 @@
 	// worse is when a server last turned bad by the word of another instance, in nanoseconds since begun.
 	worse atomic.Int64
 
-	ranking ranking
+	upstreamCache upstreamCache
 
 	mu sync.Mutex
 	// sent is up to when the own words were passed on, and marks how far others have passed on theirs, by address.
 	sent  time.Time
 	marks map[string]time.Duration
-	// sparing decides about the store while relays refuse.
-	sparing sparing
-	// left says until when ways that failed are left alone, by address.
-	left map[string]rest
+	// breaker decides about the store while relays refuse.
+	breaker storeBreaker
+	// backoffs says until when ways that failed are backoffs alone, by address.
+	backoffs map[string]backoff
 	// using holds the way that each feed uses, and since when.
-	using [feeds]way
-	since [feeds]time.Time
+	using      [feeds]upstream
+	usingSince [feeds]time.Time
 	// answered is when each feed was last answered.
 	answered [feeds]time.Time
-	// helpers are those to which others are referred, and helper is the one that this instance was referred to, by feed.
-	helpers helpers
-	helper  [feeds]way
+	// directPeers are those to which others are referred, and helper is the one that this instance was referred to, by feed.
+	directPeers directPeers
+	referral    [feeds]upstream
 	// random returns numbers that are uniform in [0, 1).
 	random func() float64
 }
@@ -118,7 +118,7 @@
 ) *Source {
 	return &Source{
 		self: self, store: store, fleet: fleet, words: words, ends: ends, begun: clock.Now(), marks: map[string]time.Duration{}, peers: linked{client: links}, clock: clock, stats: stats, log: log,
-		logs: [feeds]*feedLog{newFeedLog(), newFeedLog(), newFeedLog()}, epoch: newEpoch(), tally: newTally(clock), left: map[string]rest{}, sparing: sparing{apply: self.ApplyTime},
+		logs: [feeds]*feedLog{newFeedLog(), newFeedLog(), newFeedLog()}, epoch: newEpoch(), tally: newTally(clock), backoffs: map[string]backoff{}, breaker: storeBreaker{apply: self.ApplyTime},
 		random: rand.Float64,
 	}
 }
@@ -126,11 +126,11 @@
 // Stop makes the instance refuse the questions of others, so that they ask elsewhere at once.
 func (s *Source) Stop() {
 	s.stopped.Store(true)
-	s.refuse()
+	s.stopServing()
 }
 
-// refuse ends the service to other instances until the feeds are heard from the store again.
-func (s *Source) refuse() {
+// stopServing ends the service to other instances until the feeds are heard from the store again.
+func (s *Source) stopServing() {
 	for _, l := range s.logs {
 		l.lose()
 	}
@@ -147,7 +147,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	since := s.since[follow.FeedConfig]
+	since := s.usingSince[follow.FeedConfig]
 	// Before the first news it is not known whom the instance follows; in a start of many they would all ask for the right to give orders.
 	return !since.IsZero() && s.using[follow.FeedConfig].direct() && s.clock.Since(since) >= settledTime
 }
@@ -156,7 +156,7 @@
 // since what another instance has may be older than what is known here.
 func (s *Source) Read(ctx context.Context, feed follow.Feed) (follow.News, error) {
 	if at, _ := s.logs[feed].reached(); at == 0 {
-		if h, ok := s.readRelay(ctx, feed); ok {
+		if h, ok := s.readFromRelay(ctx, feed); ok {
 			s.logs[feed].restart(h, false)
 			return s.news(h), nil
 		}
@@ -166,7 +166,7 @@
 	defer cancel()
 	records, at, err := s.store.ReadFeed(ctx, feed)
 	if err != nil {
-		s.lost()
+		s.storeLost()
 		return follow.News{}, err
 	}
 	h := heard{records: records, at: at, known: asked}
@@ -175,7 +175,7 @@
 			"feed": feed.String(), "at": at.Revision(), "held": held.Revision(), "era": at.Era(), "held_era": held.Era(),
 		}).Warn("feed read at an earlier position")
 	}
-	s.epoch.sound()
+	s.epoch.markHealthy()
 	s.logs[feed].restart(h, true)
 	return s.news(h), nil
 }
@@ -183,27 +183,27 @@
 // Next implements follow.Source.
 func (s *Source) Next(ctx context.Context, feed follow.Feed, after follow.Position) (follow.News, error) {
 	var last error
-	ways := s.usable(feed)
-	for i := 0; i < len(ways); i++ {
-		w := ways[i]
-		if w.direct() && !s.asksStore(feed) {
+	upstreams := s.usableUpstreams(feed)
+	for i := 0; i < len(upstreams); i++ {
+		u := upstreams[i]
+		if u.direct() && !s.mayAskStore(feed) {
 			continue
 		}
 		asked := s.clock.Now()
-		h, err := s.from(ctx, w, feed, after, i > 0 && s.late(feed))
+		h, err := s.pollUpstream(ctx, u, feed, after, i > 0 && s.late(feed))
 		switch {
 		case err == nil:
-			s.note(feed, w, asked, nil)
-			s.logs[feed].extend(h, w.direct())
+			s.noteResult(feed, u, asked, nil)
+			s.logs[feed].extend(h, u.direct())
 			return s.news(h), nil
 		case errors.Is(err, follow.ErrHistoryGone) || ctx.Err() != nil:
 			return follow.News{}, err
-		case errors.Is(err, errInDoubt):
+		case errors.Is(err, errStoreSuspect):
 			last = err
 			continue
 		}
-		s.note(feed, w, asked, err)
-		ways = s.referred(ways, i+1, feed, err)
+		s.noteResult(feed, u, asked, err)
+		upstreams = s.insertReferral(upstreams, i+1, feed, err)
 		last = err
 	}
 	if last == nil {
@@ -221,25 +221,25 @@
 	return s.clock.Since(s.answered[feed]) > lateTime
 }
 
-func (s *Source) from(ctx context.Context, w way, feed follow.Feed, after follow.Position, hurry bool) (heard, error) {
-	if !w.direct() {
-		h, err := s.ask(ctx, w.addr, poll{Feed: feed, After: after, Hurry: hurry})
+func (s *Source) pollUpstream(ctx context.Context, u upstream, feed follow.Feed, after follow.Position, noWait bool) (heard, error) {
+	if !u.direct() {
+		h, err := s.ask(ctx, u.addr, poll{Feed: feed, After: after, NoWait: noWait})
 		if errors.Is(err, errBehind) {
-			return s.catchUp(ctx, w, feed, after)
+			return s.catchUp(ctx, u, feed, after)
 		}
 		return h, err
 	}
-	h, err := s.watch(ctx, feed, after, hurry)
-	if err != nil && ctx.Err() == nil && !errors.Is(err, follow.ErrHistoryGone) && !errors.Is(err, errInDoubt) {
-		s.lost()
+	h, err := s.watchStore(ctx, feed, after, noWait)
+	if err != nil && ctx.Err() == nil && !errors.Is(err, follow.ErrHistoryGone) && !errors.Is(err, errStoreSuspect) {
+		s.storeLost()
 	}
 	return h, err
 }
 
 // catchUp has the whole feed from a relay whose history does not reach back to a position, and returns what is new of it: instances that start
 // together read the feeds at different moments, and all whose relay had read a feed last asked the store otherwise.
-func (s *Source) catchUp(ctx context.Context, w way, feed follow.Feed, after follow.Position) (heard, error) {
-	h, err := s.ask(ctx, w.addr, poll{Feed: feed, Whole: true})
+func (s *Source) catchUp(ctx context.Context, u upstream, feed follow.Feed, after follow.Position) (heard, error) {
+	h, err := s.ask(ctx, u.addr, poll{Feed: feed, Whole: true})
 	if err != nil {
 		return heard{}, err
 	}
--- a/relay/start_test.go
+++ b/relay/start_test.go
@@ -21,15 +21,15 @@
 	"junctioncross/timer"
 )
 
-// relays are those of a domain that have records and do not run.
-type relays struct {
+// absentRelays are those of a domain that have records and do not run.
+type absentRelays struct {
 	addrs []string
 	trust link.Trust
 	log   *logrus.Logger
 }
 
-// withRelays returns an instance of a domain, the clock that it goes by, and its relay and stand-in.
-func withRelays(t *testing.T, s relay.Store) (*relay.Source, *clockwork.FakeClock, relays) {
+// newSourceWithRelays returns an instance of a domain, the clock that it goes by, and its relay and stand-in.
+func newSourceWithRelays(t *testing.T, store relay.Store) (*relay.Source, *clockwork.FakeClock, absentRelays) {
 	key, err := keys.NewFleetKey(time.Now())
 	require.NoError(t, err)
 	trust := keys.NewFleetKeyFrom(func() []byte { return key })
@@ -46,17 +46,17 @@
 	links := link.NewClient(trust, stats)
 	t.Cleanup(links.Close)
 	self := relay.Self{Name: "self", Domain: "east", From: 2, ApplyTime: 3 * time.Second}
-	return relay.New(self, s, f, follow.NewBoard(), noEnds{}, links, timer.New(fake), stats, log), fake, relays{addrs: addrs[1:], trust: trust, log: log}
+	return relay.New(self, store, f, follow.NewBoard(), noEnds{}, links, timer.New(fake), stats, log), fake, absentRelays{addrs: addrs[1:], trust: trust, log: log}
 }
 
-// timeOf returns how long an instance takes to read the servers; the clock moves only while it waits.
-func timeOf(t *testing.T, one *relay.Source, fake *clockwork.FakeClock) time.Duration {
+// readDuration returns how long an instance takes to read the servers; the clock moves only while it waits.
+func readDuration(t *testing.T, source *relay.Source, fake *clockwork.FakeClock) time.Duration {
 	const step = 50 * time.Millisecond
 	begun := fake.Now()
 	ctx, done := context.WithCancel(t.Context())
 	go func() {
 		defer done()
-		_, err := one.Read(t.Context(), follow.FeedServers)
+		_, err := source.Read(t.Context(), follow.FeedServers)
 		assert.NoError(t, err)
 	}()
 	for fake.BlockUntilContext(ctx, 1) == nil {
@@ -65,30 +65,30 @@
 	return fake.Since(begun)
 }
 
-// TestOneThatStartsDoesNotWaitLongForLostRelays starts an instance whose relay and stand-in are gone: it serves nobody until it has
+// TestStartDoesNotWaitLongForLostRelays starts an instance whose relay and stand-in are gone: it serves nobody until it has
 // asked them in vain.
-func TestOneThatStartsDoesNotWaitLongForLostRelays(t *testing.T) {
+func TestStartDoesNotWaitLongForLostRelays(t *testing.T) {
 	const longest = 800 * time.Millisecond
 	s := newStore()
-	one, fake, _ := withRelays(t, view{store: s, caller: "self"})
-	require.LessOrEqual(t, timeOf(t, one, fake), longest)
+	one, fake, _ := newSourceWithRelays(t, view{store: s, caller: "self"})
+	require.LessOrEqual(t, readDuration(t, one, fake), longest)
 	require.Equal(t, 1, s.count("self"))
 }
 
-// TestOneThatHasHeardNothingDoesNotCountAsFollowingTheStore asks an instance that has relays and has not heard of them yet.
-func TestOneThatHasHeardNothingDoesNotCountAsFollowingTheStore(t *testing.T) {
-	one, _, _ := withRelays(t, view{store: newStore(), caller: "self"})
+// TestASourceWithoutUpdatesIsNotDirect asks an instance that has relays and has not heard of them yet.
+func TestASourceWithoutUpdatesIsNotDirect(t *testing.T) {
+	one, _, _ := newSourceWithRelays(t, view{store: newStore(), caller: "self"})
 	require.False(t, one.Direct())
 }
 
-// late is a relay.Store whose feeds can be read from a moment on.
-type late struct {
+// delayedStore is a relay.Store whose feeds can be read from a moment on.
+type delayedStore struct {
 	view
 	ready chan struct{}
 }
 
 // ReadFeed implements relay.Store.
-func (l late) ReadFeed(ctx context.Context, feed follow.Feed) ([]relay.Record, follow.Position, error) {
+func (l delayedStore) ReadFeed(ctx context.Context, feed follow.Feed) ([]relay.Record, follow.Position, error) {
 	select {
 	case <-l.ready:
 		return l.view.ReadFeed(ctx, feed)
@@ -97,13 +97,15 @@
 	}
 }
 
-// TestThoseThatStartWithTheirRelayLeaveTheStoreAlone starts a domain at once whose relay takes its time to read the feeds, as after the
+// TestInstancesThatStartWithTheirRelayDoNotReadTheStore starts a domain at once whose relay takes its time to read the feeds, as after the
 // end of all: everyone else hears of them through it.
-func TestThoseThatStartWithTheirRelayLeaveTheStoreAlone(t *testing.T) {
+func TestInstancesThatStartWithTheirRelayDoNotReadTheStore(t *testing.T) {
 	s := newStore()
 	s.put("known", false)
 	ready := make(chan struct{})
-	all := runOver(t, 5, func(caller string) relay.Store { return late{view: view{store: s, caller: caller}, ready: ready} })
+	all := runOver(t, 5, func(caller string) relay.Store {
+		return delayedStore{view: view{store: s, caller: caller}, ready: ready}
+	})
 	time.AfterFunc(time.Second, func() { close(ready) })
 	for _, i := range all {
 		soon(t, func() bool { return i.has(1) })
@@ -113,17 +115,17 @@
 	}
 }
 
-// TestOneWhoseRelayNeverKnowsReadsTheStoreInTime starts an instance whose relay is there and answers no question, as one that does not
+// TestStartReadsTheStoreWhenItsRelaysCannotServe starts an instance whose relay is there and answers no question, as one that does not
 // hear the store itself.
-func TestOneWhoseRelayNeverKnowsReadsTheStoreInTime(t *testing.T) {
+func TestStartReadsTheStoreWhenItsRelaysCannotServe(t *testing.T) {
 	const longest = 4500 * time.Millisecond
 	s := newStore()
-	one, fake, relays := withRelays(t, view{store: s, caller: "self"})
+	one, fake, relays := newSourceWithRelays(t, view{store: s, caller: "self"})
 	for _, addr := range relays.addrs {
 		server, err := link.Listen(addr, relays.trust, link.NewMux(), metrics.New(), relays.log)
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = server.Close() })
 	}
-	require.LessOrEqual(t, timeOf(t, one, fake), longest)
+	require.LessOrEqual(t, readDuration(t, one, fake), longest)
 	require.Equal(t, 1, s.count("self"))
 }
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -78,7 +78,7 @@
 	caller string
 }
 
-func (v view) enter() (silent bool) {
+func (v view) recordCall() (silent bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.calls[v.caller]++
@@ -87,7 +87,7 @@
 
 // Reach implements relay.Store.
 func (v view) Reach(ctx context.Context) error {
-	if v.enter() {
+	if v.recordCall() {
 		<-ctx.Done()
 		return follow.ErrUnavailable
 	}
@@ -96,7 +96,7 @@
 
 // ReadFeed implements relay.Store.
 func (v view) ReadFeed(ctx context.Context, feed follow.Feed) ([]relay.Record, follow.Position, error) {
-	if v.enter() {
+	if v.recordCall() {
 		<-ctx.Done()
 		return nil, 0, follow.ErrUnavailable
 	}
@@ -109,7 +109,7 @@
 func (v view) WatchFeed(
 	ctx context.Context, feed follow.Feed, after follow.Position, wait time.Duration,
 ) ([]relay.Record, follow.Position, error) {
-	v.enter()
+	v.recordCall()
 	end := time.After(wait)
 	for {
 		v.mu.Lock()
