--- a/relay/breaker.go
+++ b/relay/breaker.go
@@ -7,22 +7,24 @@
 )
 
 const (
-	// refusalsToOpen is the number of relays that must say that they do not hear the store for an instance to spare it. Those of two
-	// domains and a stand-in are turned away together by a store that turns a third of the instances away in one case of 27.
+	// refusalsToOpen is the number of relays that must say that they cannot reach the store before the breaker opens. A store
+	// that rejects a third of the instances rejects the relays of two domains and a standby relay together in one case of 27.
 	refusalsToOpen = 3
-	// deliveryTime is what a configuration takes to come after the pause between two questions to a store that is spared: 0.8 s between two
-	// rounds of questions, two relays of 0.4 s that have fallen silent, a slow store of 0.2 s, and 0.2 s to spare.
+	// deliveryTime is how long a configuration takes to arrive after the interval between two probes: 0.8 s between two rounds
+	// of polls, 0.4 s for each of two relays that have fallen silent, 0.2 s for a slow store, and 0.2 s of reserve.
 	deliveryTime = 2 * time.Second
-	// probeTime is what it takes once the store is asked: a question of 0.7 s to a store that is silent, and the next one.
+	// probeTime is how long a configuration takes to arrive once the store is probed: a call of 0.7 s to a silent store, and
+	// the next call.
 	probeTime = time.Second
-	// answerValidity is how long the store's last answer shows that it serves this instance: a wait for a configuration, its answer, and a
-	// round of questions to relays.
+	// answerValidity is how long the store's last answer shows that it serves this instance: a wait for a configuration, its
+	// answer, and a round of polls to relays.
 	answerValidity = freshTime + maxBackoff
-	// refusalAge is how long a refusal counts after the pause that follows it; a relay that still refuses is asked again before.
+	// refusalAge is how long a refusal counts after the back-off that follows it; a relay that still refuses is polled again
+	// before that.
 	refusalAge = 3 * time.Second
 )
 
-// refusal is the error of a question that a relay which is there did not serve; it is also follow.ErrUnavailable.
+// refusal is the error of a poll that a reachable relay did not serve; it also matches follow.ErrUnavailable.
 type refusal struct {
 	cause error
 	// referTo is the address of an instance that follows the store, if the relay named one.
@@ -32,38 +34,40 @@
 // Error implements error.
 func (r refusal) Error() string { return r.cause.Error() }
 
-// Is implements the test of package errors.
+// Is implements the interface that errors.Is uses.
 func (refusal) Is(target error) bool { return target == follow.ErrUnavailable }
 
-// storeBreaker decides when an instance that is not the relay of its domain asks a store that does not answer, or that relays do not hear. It
-// answers an outage of a fleet of hundreds, in which every question of everybody is a call that nobody answers, and an outage for the
-// relays alone, in which the others must find out by themselves. One feed asks for both, since each question of hundreds of instances has
-// its price.
+// storeBreaker is the circuit breaker for calls to the store of an instance that is not the relay of its domain. While the
+// breaker is closed, the instance asks the store whenever no relay has served it. The breaker opens when the store does not
+// answer or when enough relays say that they cannot reach it. While it is open, the instance only probes the store at
+// intervals. It covers two cases: an outage for a fleet of hundreds, in which each call of each instance would go unanswered,
+// and an outage for the relays alone, in which the others must find out by themselves that the store serves them. Only the
+// configuration feed makes probes, on behalf of the other feeds too, since each call of hundreds of instances has its cost.
 type storeBreaker struct {
-	// apply is how long after its acceptance a configuration may not be in force yet.
+	// apply is Self.ApplyTime: how long after its acceptance a configuration may take to be in force.
 	apply time.Duration
-	// nextProbe is when the store is asked next; zero while it or a relay serves.
+	// nextProbe is when the store is probed next; it is zero while the store or a relay serves this instance.
 	nextProbe time.Time
-	// lastAnswer is when the store last answered; zero after a failure.
+	// lastAnswer is when the store last answered; it is zero after a failure.
 	lastAnswer time.Time
-	// failed is true when the store's last answer was a failure and no relay has served since.
+	// failed is true when the store's last answer was a failure and no relay has served this instance since.
 	failed bool
-	// probing is true from a question to a store that is spared until something is heard.
+	// probing is true from the start of a probe until the store answers or a relay serves this instance.
 	probing bool
 }
 
 // breakerInput is what an instance knows when it decides whether to ask the store.
 type breakerInput struct {
 	now time.Time
-	// refusals is the number of relays that do not hear the store.
+	// refusals is the number of relays that say that they cannot reach the store.
 	refusals int
-	// known is the moment up to which the own configuration is known.
+	// known is the moment up to which the own configuration is confirmed.
 	known time.Time
 	// random is uniform in [0, 1).
 	random float64
 }
 
-// allows reports whether the store is asked for news of a feed.
+// allows reports whether the store may be asked for updates of a feed.
 func (b *storeBreaker) allows(feed follow.Feed, s breakerInput) bool {
 	switch {
 	case !b.lastAnswer.IsZero() && s.now.Sub(b.lastAnswer) < answerValidity:
@@ -71,7 +75,7 @@
 	case !b.failed && s.refusals < refusalsToOpen:
 		return true
 	case feed != follow.FeedConfig:
-		// The configuration's question is the shorter one; its answer shows that the store is there for the servers too.
+		// The watch on the configuration is the shorter one; its answer shows that the store also serves the other feeds.
 		return false
 	}
 	if b.nextProbe.IsZero() {
@@ -84,11 +88,12 @@
 	return true
 }
 
-// probeInterval returns the longest time between two questions to a store that is spared. It may turn the relays away and serve others, which must
-// have a configuration in force in time.
+// probeInterval returns the longest time between two probes. The store may reject the relays and serve other instances, which
+// must still have a configuration in force in time.
 func (b *storeBreaker) probeInterval() time.Duration { return b.apply - deliveryTime }
 
-// firstProbe returns when the store is asked firstProbe: spread over instances that learn of an outage together, but before what is known is too old.
+// firstProbe returns when the store is probed first. The probes are spread over instances that notice an outage together, but
+// come before the confirmed configuration is too old.
 func (b *storeBreaker) firstProbe(s breakerInput) time.Time {
 	spread := s.now.Add(time.Duration(s.random * float64(b.probeInterval())))
 	if latest := s.known.Add(b.apply - probeTime); latest.Before(spread) {
@@ -97,12 +102,12 @@
 	return spread
 }
 
-// storeAnswered notes that the store has answered this instance.
+// storeAnswered records that the store has answered this instance.
 func (b *storeBreaker) storeAnswered(now time.Time) {
 	*b = storeBreaker{apply: b.apply, lastAnswer: now}
 }
 
-// storeFailed notes that it has not, when it was asked at a moment.
+// storeFailed records that a call to the store that began at asked has failed.
 func (b *storeBreaker) storeFailed(asked time.Time) {
 	b.failed, b.lastAnswer = true, time.Time{}
 	if b.nextProbe.IsZero() {
@@ -110,11 +115,11 @@
 	}
 }
 
-// relayServed notes that news were had from a relay.
+// relayServed records that a relay has served this instance.
 func (b *storeBreaker) relayServed() { *b = storeBreaker{apply: b.apply} }
 
-// mayAskStore decides for one question whether the store is asked. The relay of a domain asks it always, its stand-in whatever relays say: the
-// others hear of its return through them.
+// mayAskStore decides for one poll whether the store may be asked. The relay of a domain always asks it. The breaker of the
+// standby relay ignores what relays say, since the rest of the domain learns through these two that the store is back.
 func (s *Source) mayAskStore(feed follow.Feed) bool {
 	if upstreams := s.ways(); len(upstreams) == 0 || upstreams[0].direct() {
 		return true
@@ -131,7 +136,7 @@
 	return s.breaker.allows(feed, in)
 }
 
-// refusals returns how many relays have refused lately and not served since; the caller holds the lock.
+// refusals returns how many relays have refused lately and have not served since. The caller holds the lock.
 func (s *Source) refusals(now time.Time) int {
 	n := 0
 	for _, b := range s.backoffs {
@@ -142,7 +147,7 @@
 	return n
 }
 
-// asksStoreEarly reports whether the instance asks the store before all other domains.
+// asksStoreEarly reports whether the instance asks the store before it asks the relays of other domains.
 func (s *Source) asksStoreEarly() bool {
 	for i, u := range s.ways() {
 		if u.direct() {
--- a/relay/breaker_test.go
+++ b/relay/breaker_test.go
@@ -12,7 +12,9 @@
 	"junctioncross/timer"
 )
 
-// TestRelayAndStandbyAskTheStoreDespiteRefusals lets all relays refuse a little while ago.
+// TestRelayAndStandbyAskTheStoreDespiteRefusals makes all relays refuse a moment ago. Only the relay and the standby relay of
+// each domain may ask the store at once; for the others the breaker is open until their first probe. Refusals of long ago do
+// not count.
 func TestRelayAndStandbyAskTheStoreDespiteRefusals(t *testing.T) {
 	all := members(12)
 	fake := clockwork.NewFakeClock()
@@ -20,14 +22,14 @@
 	for _, m := range all {
 		self := Self{Name: m.Name, Domain: m.Domain, From: 2, ApplyTime: promise}
 		s := New(self, nil, known(all), nil, nil, nil, timer.New(fake), metrics.New(), nil)
-		// What is known is new, so that an instance has time to ask.
+		// The configuration was confirmed just now, so that an instance has time before its first probe.
 		s.logs[follow.FeedConfig].extend(heard{at: 1, known: fake.Now()}, false)
 		for _, w := range s.ways() {
 			if !w.direct() {
 				s.backoffs[w.addr] = backoff{until: fake.Now(), refused: true}
 			}
 		}
-		// What an instance draws as its first moment decides the rest; none draws 0 to the nanosecond.
+		// The first probe is at a random time; no instance draws 0 to the nanosecond.
 		if s.mayAskStore(follow.FeedConfig) {
 			early++
 		}
@@ -40,14 +42,15 @@
 	require.True(t, one.mayAskStore(follow.FeedConfig), "refusals of long ago")
 }
 
-// TestAnOutageCostsTheStoreOneCallPerProbeInterval plays an outage of 8 s for 290 instances whose relays all say that they do not hear
-// the store; both feeds of each ask for news 0.8 s after the last failure.
+// TestAnOutageCostsTheStoreOneCallPerProbeInterval simulates an outage of 8 s for 290 instances whose relays all say that
+// they cannot reach the store. Two feeds of each instance ask for updates 0.8 s after the last failure.
 func TestAnOutageCostsTheStoreOneCallPerProbeInterval(t *testing.T) {
 	const (
 		instances = 290
 		outage    = 8 * time.Second
 		pause     = 800 * time.Millisecond
-		// most is what one of them may ask: once for each two rounds, since a round of 0.8 s is shorter than the pause of the store.
+		// most is the number of calls that one instance may make: one for each two rounds of polls, since a round of 0.8 s is
+		// shorter than the probe interval.
 		most = 5
 	)
 	begun := time.Unix(100, 0)
@@ -64,17 +67,17 @@
 			}
 		}
 		require.LessOrEqual(t, calls, most)
-		require.Positive(t, calls, "each finds out whether the store is there for it")
+		require.Positive(t, calls, "each instance probes the store")
 	}
 }
 
-// TestAnAnsweredProbeClosesTheBreakerForAllFeeds lets the configuration's question be answered after a failure.
+// TestAnAnsweredProbeClosesTheBreakerForAllFeeds lets the store answer the second probe of the configuration feed.
 func TestAnAnsweredProbeClosesTheBreakerForAllFeeds(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := breakerInput{now: now, refusals: refusalsToOpen, known: now.Add(probeTime - promise)}
 	b := storeBreaker{apply: promise}
 	require.False(t, b.allows(follow.FeedServers, s))
-	require.True(t, b.allows(follow.FeedConfig, s), "what is known is old")
+	require.True(t, b.allows(follow.FeedConfig, s), "the configuration is old")
 	b.storeFailed(now)
 	require.False(t, b.allows(follow.FeedServers, s))
 	require.False(t, b.allows(follow.FeedConfig, s))
@@ -86,7 +89,8 @@
 	require.False(t, b.allows(follow.FeedServers, s), "the answer is old")
 }
 
-// TestBreakerOpensOnlyAfterEnoughRefusals refuses less often than it takes to spare the store, and serves in between.
+// TestBreakerOpensOnlyAfterEnoughRefusals also checks that the breaker closes once a relay serves again, so that the next
+// outage draws a new first probe.
 func TestBreakerOpensOnlyAfterEnoughRefusals(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := storeBreaker{apply: promise}
@@ -96,16 +100,17 @@
 	s.refusals = refusalsToOpen
 	require.False(t, b.allows(follow.FeedConfig, s))
 	s.now = now.Add(b.probeInterval() / 2)
-	require.True(t, b.allows(follow.FeedConfig, s), "its own moment")
+	require.True(t, b.allows(follow.FeedConfig, s), "its first probe")
 	b.relayServed()
-	require.False(t, b.allows(follow.FeedConfig, s), "a new outage, with a moment of its own")
+	require.False(t, b.allows(follow.FeedConfig, s), "a new outage draws a new first probe")
 }
 
-// TestRelaysAreNotUsedWithAShortApplyTime compares promises.
+// TestRelaysAreNotUsedWithAShortApplyTime compares values of ApplyTime: relays take almost minApplyTime to report that they
+// have lost the store.
 func TestRelaysAreNotUsedWithAShortApplyTime(t *testing.T) {
 	require.True(t, Self{From: 2, ApplyTime: minApplyTime}.relays(2, 2))
 	require.True(t, Self{From: 2, ApplyTime: minApplyTime}.relays(1, 2), "one of two has a record")
-	require.False(t, Self{From: 2, ApplyTime: minApplyTime}.relays(0, 2), "nobody to ask is known")
+	require.False(t, Self{From: 2, ApplyTime: minApplyTime}.relays(0, 2), "no member is known")
 	require.False(t, Self{From: 2, ApplyTime: minApplyTime}.relays(1, 1))
 	require.False(t, Self{From: 2, ApplyTime: minApplyTime - time.Second}.relays(100, 100))
 }
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,4 +1,4 @@
-// Package relay lets a few instances watch the platform's store for all: one in each failure domain follows the store itself
-// and passes on what it hears over QUIC. Every instance can take over at once, since positions are the store's own revisions,
-// and an instance whose relays fail asks the store itself.
+// Package relay lets one instance in each failure domain, the relay, watch the platform's store for all others of the domain:
+// it follows the store itself and passes the updates on over QUIC. Every instance can take over as relay at once, since
+// positions in a feed are the store's own revisions. An instance whose relays fail asks the store itself.
 package relay
--- a/relay/epoch.go
+++ b/relay/epoch.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// epoch is a time in which the store has answered. When a call fails, all others that wait for the store end as well:
-// they hang on connections that may be dead, and would not notice for the rest of their waits that the store is back.
+// epoch is a period in which the store answers. When a call fails, all other calls that wait for the store are cancelled as
+// well: their connections may be dead, and until the end of their waits they would not notice that the store is back.
 type epoch struct {
 	mu      sync.Mutex
 	ctx     context.Context
@@ -22,14 +22,15 @@
 	return e
 }
 
-// current returns a context that ends with the epoch, and whether the store's last answer was a failure.
+// current returns a context that ends with the epoch, and whether the store is suspect, that is, whether its last answer was
+// a failure.
 func (e *epoch) current() (context.Context, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ctx, e.suspect
 }
 
-// markHealthy says that the store has answered.
+// markHealthy notes that the store has answered.
 func (e *epoch) markHealthy() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -39,7 +40,8 @@
 	}
 }
 
-// whenHealthy returns what is closed once the store has answered after its last failure, nil while it is not in doubt.
+// whenHealthy returns a channel that is closed once the store has answered after its last failure; it is nil while the store
+// is not suspect.
 func (e *epoch) whenHealthy() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -49,7 +51,8 @@
 	return e.healthy
 }
 
-// markSuspect ends the epoch; while the store stays in markSuspect, calls that wait are short and are left alone.
+// markSuspect notes that the store failed to answer, and ends the epoch. While the store stays suspect, further failures
+// cancel no calls, since calls are short then.
 func (e *epoch) markSuspect() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/relay/fleetstart_test.go
+++ b/relay/fleetstart_test.go
@@ -22,22 +22,25 @@
 )
 
 const (
-	// storeRate and strongRate are the bytes a second of the store's line and of a strong instance's, weakRate those of the others. All sizes
-	// and rates are a hundredth of the real ones, to compress less.
+	// storeRate is the bandwidth of the store's network link in bytes a second, strongRate that of a strong instance and
+	// weakRate that of the others. All sizes and rates are a hundredth of the real ones, so that less data has to be
+	// compressed.
 	storeRate  = 1.25e6
 	strongRate = 1.25e6
 	weakRate   = 25e3
-	// recordBytes and entryBytes are what a record and the entry of a server take on the wire, configBytes what a configuration does.
+	// recordBytes, entryBytes and configBytes are the sizes on the wire of a registration record, the entry of a server and a
+	// configuration.
 	recordBytes = 3
 	entryBytes  = 5
 	configBytes = 2_000
-	// smallBytes is what passes between the packets of larger answers.
+	// smallBytes is the size below which a message takes no time: it is sent between the packets of larger messages.
 	smallBytes = 100
-	// storeLag is how old a cheap reading of the store may be.
+	// storeLag is how old a cheap read of the store may be.
 	storeLag = 200 * time.Millisecond
 )
 
-// netLink carries bytes in turn; what was sent to one that has left takes its time all the same.
+// netLink is a network link that transfers messages one after the other. A message to a receiver that has given up still
+// takes its time.
 type netLink struct {
 	rate float64
 
@@ -70,40 +73,40 @@
 	}
 }
 
-// storedRecord is a record in the store with the time of its writing.
+// storedRecord is a registration record in the store with the time at which it was written.
 type storedRecord struct {
 	census.Record
 	at time.Time
 }
 
-// beginning is a fleet that starts at once before an empty store.
+// beginning simulates a fleet whose instances all start at once while the store holds no registration records.
 type beginning struct {
 	members []census.Instance
 	index   map[string]int
-	// config and entries are what the feeds hold.
+	// config and entries are the contents of the configuration and servers feeds.
 	config, entries []byte
 	log             *logrus.Logger
 	begun           time.Time
 	store           *netLink
 	links           []*netLink
-	// slowUntil is until when the store takes slowTime for each answer, and silentUntil until when it gives none.
+	// The store takes slowStoreAnswer for each answer before slowUntil, and gives none before silentUntil.
 	slowUntil, silentUntil time.Duration
 
 	mu       sync.Mutex
 	records  map[string]storedRecord
 	key      []byte
 	revision int64
-	// calls counts the calls by their price.
+	// calls is the sum of the costs of the calls to the store.
 	calls   float64
 	boards  []*census.Board
 	sources []*Source
 	rolls   []*Rolls
 }
 
-// slowStoreAnswer is what a store takes for an answer that is sixty times slower than usual.
+// slowStoreAnswer is how long a store takes for an answer that is sixty times slower than usual.
 const slowStoreAnswer = 60 * storeAnswer
 
-// compressibleBytes returns bytes that compress about as well as entries do.
+// compressibleBytes returns bytes that compress about as well as the entries of servers.
 func compressibleBytes(size int) []byte {
 	random := rand.New(rand.NewPCG(1, uint64(size)))
 	out := make([]byte, size)
@@ -133,7 +136,7 @@
 	return b
 }
 
-// start runs all instances with what is real of them but their connections.
+// start runs all instances with real code except for their connections.
 func (b *beginning) start(ctx context.Context) {
 	const whole = 24
 	clock, stats := timer.NewReal(), metrics.New()
@@ -152,7 +155,7 @@
 	}
 }
 
-// unready returns the number of instances that do not know configuration and servers.
+// unready returns the number of instances that do not know both the configuration and the servers.
 func (b *beginning) unready() int {
 	n := 0
 	for _, s := range b.sources {
@@ -166,7 +169,7 @@
 	return n
 }
 
-// awaitReady returns when all know everything, or the limit.
+// awaitReady waits until all instances know both feeds or the limit has passed, and returns the time since the start.
 func (b *beginning) awaitReady(limit time.Duration) time.Duration {
 	for time.Since(b.begun) < limit && b.unready() > 0 {
 		time.Sleep(50 * time.Millisecond)
@@ -174,7 +177,7 @@
 	return time.Since(b.begun)
 }
 
-// call is one call to the store, whose answer has so many bytes.
+// call simulates a call to the store with an answer of so many bytes.
 func (b *beginning) call(ctx context.Context, cost, bytes float64) error {
 	b.mu.Lock()
 	b.calls += cost
@@ -197,25 +200,27 @@
 	return nil
 }
 
-// lowCost is that of a cheap reading or a renewal.
+// lowCost is the cost of a cheap read or a renewal.
 const lowCost = 0.1
 
-// fleetStart is a start of a fleet before a store that is slow or silent at first.
+// fleetStart describes the start of a fleet while the store is slow or silent at first.
 type fleetStart struct {
 	name                           string
 	domains, each, strong, servers int
 	slow, silent, within           time.Duration
 }
 
-// startLimit and doubleStartLimit are how long a fleet may take to start, and one of twice its size; maxCallsEach bounds the calls of an instance.
 const (
+	// startLimit is how long a fleet may take to start, and doubleStartLimit a fleet of twice its size. maxCallsEach bounds
+	// the cost of the calls to the store for each instance.
 	startLimit       = 6 * time.Second
 	doubleStartLimit = 18 * time.Second
 	maxCallsEach     = 3
 )
 
-// TestAFleetStartsWithinTheStoreBandwidth starts a whole fleet, and one of twice the size, before an empty store whose line carries what it
-// does, also while the store is slow at first: everyone knows configuration and servers in time, with a few calls each.
+// TestAFleetStartsWithinTheStoreBandwidth starts a whole fleet, and one of twice the size, while the store has no
+// registration records and its network link has a limited bandwidth; in some cases the store is also slow at first. All
+// instances must know configuration and servers in time, with a few calls each.
 func TestAFleetStartsWithinTheStoreBandwidth(t *testing.T) {
 	startFleets(t, []fleetStart{
 		{name: "985 instances", domains: 5, each: 197, strong: 10, servers: 3005, within: startLimit},
@@ -226,7 +231,7 @@
 	})
 }
 
-// TestAFleetStartsAfterASilentStore is the same before a store that does not answer for the first 9 s.
+// TestAFleetStartsAfterASilentStore makes the same starts while the store does not answer for the first 9 s.
 func TestAFleetStartsAfterASilentStore(t *testing.T) {
 	startFleets(t, []fleetStart{
 		{name: "985 instances", domains: 5, each: 197, strong: 10, servers: 3005, silent: 9 * time.Second, within: startLimit},
@@ -249,7 +254,7 @@
 				cancel()
 				time.Sleep(settled + readTime)
 			})
-			t.Logf("%s, %d without news, %.0f calls, %.2f MB from the store", took, b.unready(), b.calls, b.store.total/1e6)
+			t.Logf("%s, %d without both feeds, %.0f calls, %.2f MB from the store", took, b.unready(), b.calls, b.store.total/1e6)
 			require.Zero(t, b.unready())
 			require.LessOrEqual(t, took, c.slow+c.silent+c.within)
 			require.LessOrEqual(t, b.calls, float64(maxCallsEach*len(b.members)))
--- a/relay/fleetstore_test.go
+++ b/relay/fleetstore_test.go
@@ -13,7 +13,7 @@
 	"junctioncross/link"
 )
 
-// simRegister is the store's records as an instance reaches them; it implements census.Register.
+// simRegister is the simulated store's registration records as seen by an instance; it implements census.Register.
 type simRegister struct{ b *beginning }
 
 // Join implements census.Register.
@@ -66,13 +66,13 @@
 	return r.b.key, nil
 }
 
-// simStore is the store's feeds; it implements Store.
+// simStore is the feeds of the simulated store; it implements Store.
 type simStore struct{ b *beginning }
 
 // Reach implements Store.
 func (f simStore) Reach(ctx context.Context) error { return f.b.call(ctx, lowCost, recordBytes) }
 
-// pageBytes is what the store puts on a page.
+// pageBytes is the size of a page of a feed.
 const pageBytes = 500 * entryBytes
 
 // ReadFeed implements Store.
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// simPeers are the other instances as one reaches them, each over its own line; it implements peers.
+// simPeers connects instance i to the other instances, each over its own network link; it implements peers.
 type simPeers struct {
 	b *beginning
 	i int
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// reach is refused while one of the two does not know the fleet's key.
+// reach is refused while one of the two instances does not know the fleet key.
 func (o simPeers) reach(_ context.Context, addr string) error {
 	time.Sleep(linkAnswer)
 	if len(o.b.boards[o.i].Key()) == 0 || len(o.b.boards[o.b.index[addr]].Key()) == 0 {
--- a/relay/nofault_test.go
+++ b/relay/nofault_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUpdatesDoNotMakeRelaysRefuse accepts a configuration at each part of a relay's wait for news on a day without faults: nobody but the
-// relays asks the store once all have started.
+// TestUpdatesDoNotMakeRelaysRefuse accepts a configuration at each part of a relay's wait for updates, without any fault.
+// Once all instances have started, only the relays may ask the store.
 func TestUpdatesDoNotMakeRelaysRefuse(t *testing.T) {
 	members := instances(3, 24)
 	d := day{length: 30 * time.Second, promise: promise}
--- a/relay/otherdomain_test.go
+++ b/relay/otherdomain_test.go
@@ -9,8 +9,8 @@
 	"junctioncross/relay"
 )
 
-// TestInstancesAskAnotherDomainWhenTheirRelaysAreCutOff cuts both relays of a domain from the store: the others hear of news through the
-// relay of another domain and leave the store alone.
+// TestInstancesAskAnotherDomainWhenTheirRelaysAreCutOff cuts the relay and the standby relay of a domain off from the store.
+// The others must get updates through the relay of another domain and not ask the store.
 func TestInstancesAskAnotherDomainWhenTheirRelaysAreCutOff(t *testing.T) {
 	s := newStore()
 	all := runIn(t, 5, func(i int) string { return [...]string{"east", "east", "east", "west", "west"}[i] },
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -15,7 +15,7 @@
 	"junctioncross/census"
 )
 
-// drawDay draws the outages of a day; instances of one domain stand together in the list.
+// drawDay draws the faults of a scenario at random; members must be grouped by domain.
 func drawDay(random *rand.Rand, members []census.Instance, promise time.Duration) day {
 	d := day{length: 30 * time.Second, promise: promise}
 	for range 1 + random.IntN(3) {
@@ -54,7 +54,7 @@
 	return f
 }
 
-// inDomain lets a fault hit all instances of one domain.
+// inDomain makes a fault hit all instances of one domain.
 func inDomain(hits []bool, members []census.Instance, random *rand.Rand) {
 	domain := members[random.IntN(len(members))].Domain
 	for i, m := range members {
@@ -62,7 +62,7 @@
 	}
 }
 
-// instances returns the instances of some domains.
+// instances returns the members of a fleet with some domains.
 func instances(domains, each int) []census.Instance {
 	var out []census.Instance
 	for d := range domains {
@@ -74,7 +74,7 @@
 	return out
 }
 
-// seeds returns the seeds of the days that are played: some, or as many as JX_OUTAGE_SEEDS says.
+// seeds returns the number of random scenarios to simulate: the value of JX_OUTAGE_SEEDS, or some if it is not set.
 func seeds(t *testing.T, some uint64) uint64 {
 	asked := os.Getenv("JX_OUTAGE_SEEDS")
 	if asked == "" {
@@ -85,19 +85,21 @@
 	return n
 }
 
-// ciSeeds is the number of days that are played where no other is asked for; two of them are large. All take 28 s beside six busy processes on
-// 8 processors, with the race detector.
+// ciSeeds is the number of random scenarios unless JX_OUTAGE_SEEDS asks for another; two of them are large. All take 28 s
+// beside six busy processes on 8 processors, with the race detector.
 const ciSeeds = 50
 
-// regressionSeeds are seeds beyond those that failed once, each with its cause.
+// regressionSeeds are seeds beyond ciSeeds that failed once, each with its cause.
 var regressionSeeds = []uint64{
-	// Eight instances of a domain waited 0.6 s for their relay to say that it heard the store no more, and 1.2 s for one that was cut off.
+	// Eight instances of a domain waited 0.6 s for their relay to say that it no longer reached the store, and 1.2 s for one
+	// that was cut off.
 	165,
 }
 
-// TestConfigurationsAreInForceInTimeInOutages plays days on which the store turns all or some instances away, is slow, silent or without
-// its history, instances are killed and domains are cut. Each instance that the store serves, or whose relay it serves, has each accepted
-// configuration in force in time and has heard of each end under a request in time, and none asks the store without a pause.
+// TestConfigurationsAreInForceInTimeInOutages simulates scenarios in which the store rejects all or some instances, or is
+// slow, silent or without its history; instances are killed and domains are cut off. Each instance that the store serves, or
+// whose relay it serves, must have each accepted configuration in force in time and must learn of each end under a request in
+// time. None may ask the store without a pause.
 func TestConfigurationsAreInForceInTimeInOutages(t *testing.T) {
 	days := append([]uint64(nil), regressionSeeds...)
 	for seed := range seeds(t, ciSeeds) {
@@ -111,7 +113,7 @@
 	}
 }
 
-// playOutages plays the day of a seed; each twentieth has 295 instances in 5 domains, the others 72 in 3.
+// playOutages simulates the scenario of a seed. Each twentieth scenario has 295 instances in 5 domains, the others 72 in 3.
 func playOutages(t *testing.T, seed uint64) {
 	members, within := instances(3, 24), promise
 	if seed%20 == 19 {
@@ -131,7 +133,7 @@
 	}
 }
 
-// describe returns the faults of a day in a line.
+// describe returns the faults of a scenario in a line.
 func (d day) describe() string {
 	var out string
 	for _, f := range d.faults {
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -14,14 +14,18 @@
 )
 
 const (
-	// pollHold is the longest that a relay holds a question: a relay that has died is noticed that much later at most.
+	// pollHold is the longest that a relay holds a poll while it has no updates. A relay that has died is noticed that much
+	// later at most.
 	pollHold = 800 * time.Millisecond
-	// peerTimeout is how much longer the answer may take: many times what a call within the building takes on a slow machine.
+	// peerTimeout bounds a request to another instance that is not held, and the time that the answer to a held poll may take
+	// beyond pollHold: many times what a call within the building takes on a slow machine.
 	peerTimeout = 400 * time.Millisecond
-	// fullFeedHold is the longest that an instance which starts holds a question that it can answer once it has read the feed: short, so that
-	// others ask the stand-in soon when the relay does not hear the store.
+	// fullFeedHold is the longest that an instance which is starting holds a request for a full feed that it can answer once
+	// it has read the feed itself. It is short so that others soon ask the standby relay when the relay cannot reach the
+	// store.
 	fullFeedHold = 400 * time.Millisecond
-	// freshTime is how long ago a relay's configuration may have been confirmed: a whole wait at the store and its answer.
+	// freshTime is how old the last confirmation of a relay's configuration may be for the relay to serve others: a full wait
+	// at the store and its answer.
 	freshTime = configWait + 600*time.Millisecond
 )
 
@@ -31,55 +35,56 @@
 	errBehind    = errors.New("relay: history does not reach back that far")
 )
 
-// poll asks a relay for news.
+// poll asks another instance for updates of a feed.
 type poll struct {
 	Feed  follow.Feed     `cbor:"1,keyasint"`
 	After follow.Position `cbor:"2,keyasint"`
-	// Whole asks for everything that the feed holds.
+	// Whole asks for the full content of the feed.
 	Whole bool `cbor:"3,keyasint,omitempty"`
-	// Words is what servers told the asker.
+	// Words holds the polling instance's own reports on servers.
 	Words []backend.Word `cbor:"4,keyasint,omitempty"`
 	// Mark is the Mark of the last answer.
 	Mark time.Duration `cbor:"5,keyasint,omitempty"`
-	// NoWait asks for what there is, without a wait for news.
+	// NoWait asks for an answer at once, even if there are no updates.
 	NoWait bool `cbor:"6,keyasint,omitempty"`
-	// DirectAddr is the asker's address if it follows the store itself.
+	// DirectAddr is the address of the polling instance if it follows the store itself.
 	DirectAddr string `cbor:"7,keyasint,omitempty"`
-	// Ends is what the asker has not yet told the store.
+	// Ends holds the terminations of servers that the polling instance has not yet written to the store.
 	Ends []quarantine.End `cbor:"8,keyasint,omitempty"`
-	// Name and Domain are those of the asker, which is counted by them.
+	// Name and Domain identify the polling instance; the relay of its domain counts the instances that poll it by them.
 	Name   string `cbor:"9,keyasint,omitempty"`
 	Domain string `cbor:"10,keyasint,omitempty"`
 }
 
-// told answers a poll.
+// told is the answer to a poll.
 type told struct {
 	Records []Record        `cbor:"1,keyasint,omitempty"`
 	At      follow.Position `cbor:"2,keyasint"`
-	// Known is the moment up to which nothing else has changed, as time since the poll arrived; it may be negative.
+	// Known is the moment up to which the feed holds no other changes, as time since the poll arrived; it may be negative.
 	Known time.Duration `cbor:"3,keyasint"`
 	// Behind is true when the relay's history does not reach back to the position.
 	Behind bool `cbor:"4,keyasint,omitempty"`
-	// Words is what the relay knows of servers and learned after the asker's Mark.
+	// Words holds the reports on servers that the relay has learned of since the polling instance's Mark.
 	Words []backend.Word `cbor:"5,keyasint,omitempty"`
-	// Mark is how far the words reach, as time since the relay's start.
+	// Mark says up to when Words goes, as time since the relay's start.
 	Mark time.Duration `cbor:"6,keyasint,omitempty"`
-	// ReferTo is the address of an instance that follows the store, told by one that does not.
+	// ReferTo is the address of an instance that follows the store; an instance that does not follow it sets it in place of
+	// updates.
 	ReferTo string `cbor:"7,keyasint,omitempty"`
-	// Counts holds the numbers of instances of the domains.
+	// Counts holds the number of instances of each domain.
 	Counts map[string]int `cbor:"8,keyasint,omitempty"`
-	// Packed holds the records compressed, in place of Records.
+	// Packed holds the records in compressed form, in place of Records.
 	Packed []byte `cbor:"9,keyasint,omitempty"`
 }
 
-// Register adds the relay's call to those that the instance answers.
+// Register adds the handler of polls to the calls that the instance answers.
 func (s *Source) Register(mux *link.Mux) {
 	link.Handle(mux, link.KindFollow, func(ctx context.Context, _ keys.Identity, p poll) (told, error) {
 		return s.serve(ctx, p)
 	})
 }
 
-// serve holds a poll until there is news or peerWait has passed.
+// serve holds a poll until there are updates or its hold time has passed.
 func (s *Source) serve(ctx context.Context, p poll) (told, error) {
 	if p.Feed < 0 || int(p.Feed) >= len(s.logs) {
 		return told{}, errors.New("relay: unknown feed")
@@ -106,8 +111,8 @@
 		select {
 		case <-v.changed:
 		case <-s.clock.After(s.freshFor()):
-			// A relay that hears the store no more says so at once: a question that it held for the rest of its time would use up the time
-			// in which a configuration must be in force.
+		// A relay that has lost the store says so at once. If it held the poll for the rest of its hold time, that would use up
+		// the time within which a configuration must be in force.
 		case <-wait:
 			return s.replyWithUpdates(p, s.logs[p.Feed].since(p.After), arrived)
 		case <-ctx.Done():
@@ -116,7 +121,7 @@
 	}
 }
 
-// holdTime returns the longest that a question is held.
+// holdTime returns the longest that a poll is held.
 func (s *Source) holdTime(feed follow.Feed) time.Duration {
 	if feed == follow.FeedServers {
 		return min(max(wordsWait, time.Duration(s.tally.size())*wordsShare), pollHold)
@@ -124,7 +129,7 @@
 	return pollHold
 }
 
-// replyWithUpdates returns the replyWithUpdates to a question for news.
+// replyWithUpdates returns the answer to a poll for updates.
 func (s *Source) replyWithUpdates(p poll, v view, arrived time.Time) (told, error) {
 	t, err := s.replyWithRecords(p.Feed, v, arrived, span{after: p.After, at: v.at})
 	if err != nil {
@@ -140,7 +145,7 @@
 	return t, nil
 }
 
-// serveFull answers with all that the feed holds, which an instance that starts may have to read first.
+// serveFull answers with the full content of a feed. An instance that is starting may have to read the feed first.
 func (s *Source) serveFull(ctx context.Context, feed follow.Feed, arrived time.Time) (told, error) {
 	wait := s.clock.After(fullFeedHold)
 	for {
@@ -148,7 +153,8 @@
 		v := s.logs[feed].all()
 		switch {
 		case !s.stopped.Load() && v.at > 0 && s.fresh():
-			// One that has it from a relay tells it as well: the asker knows nothing, so that it cannot hear its own news again.
+			// An instance that has the feed from a relay may serve it as well: the polling instance knows nothing yet, so it
+			// cannot get its own updates back.
 			return s.replyWithRecords(feed, v, arrived, span{at: v.at, whole: true})
 		case s.stopped.Load() || !s.starting():
 			return told{}, errNotDirect
@@ -164,7 +170,7 @@
 	}
 }
 
-// starting reports whether a feed was never read.
+// starting reports whether some feed has not been read yet.
 func (s *Source) starting() bool {
 	for _, l := range s.logs {
 		if at, _ := l.reached(); at == 0 {
@@ -174,7 +180,7 @@
 	return false
 }
 
-// replyWithRecords returns the answer with the records of a view, which are a span of a feed.
+// replyWithRecords returns an answer with the records of a view, which cover the given span of a feed.
 func (s *Source) replyWithRecords(feed follow.Feed, v view, arrived time.Time, part span) (told, error) {
 	t := told{At: v.at, Known: v.known.Sub(arrived)}
 	packed, err := s.logs[feed].packed(part, v.records)
@@ -189,19 +195,19 @@
 	return t, nil
 }
 
-// fresh reports whether the configuration was confirmed lately, which tells that the store still answers.
+// fresh reports whether the configuration was confirmed lately, which shows that the store still answers.
 func (s *Source) fresh() bool {
 	_, known := s.logs[follow.FeedConfig].reached()
 	return s.clock.Since(known) <= freshTime
 }
 
-// freshFor returns how long the configuration counts as confirmed if nothing more is heard.
+// freshFor returns how long the configuration stays fresh if it is not confirmed again.
 func (s *Source) freshFor() time.Duration {
 	_, known := s.logs[follow.FeedConfig].reached()
 	return max(freshTime-s.clock.Since(known), 0) + time.Millisecond
 }
 
-// ask polls the relay at addr.
+// ask polls the instance at addr.
 func (s *Source) ask(ctx context.Context, addr string, p poll) (heard, error) {
 	s.stats.Counter("relay_polls_total").Inc(1)
 	limit := pollHold + peerTimeout
@@ -242,6 +248,6 @@
 	}
 	s.learn(p, t, addr, asked)
 	s.fleet.NoteCounts(t.Counts)
-	// The poll arrived after it was sent, so that the relay's word is counted a little too old rather than too new.
+	// The poll arrived after it was sent, so counting from when it was sent makes Known a little too old rather than too new.
 	return heard{records: t.Records, at: t.At, known: asked.Add(t.Known)}, nil
 }
--- a/relay/rank.go
+++ b/relay/rank.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// ownRelaysAsked is the number of instances of the own domain that are asked before the store: the relay and the one that
-	// takes over when it is gone.
+	// ownRelaysAsked is the number of instances of the own domain that are asked before the store: the relay and the standby
+	// relay, which takes over when the relay is gone.
 	ownRelaysAsked = 2
-	// remoteRelaysAsked is the number of relays of other domains that are asked before the store. A store that turns away a third of the instances
-	// turns away both relays of a domain and these two in one case of a hundred; each one more costs its relay a handshake for each
-	// instance of the fleet.
+	// remoteRelaysAsked is the number of relays of other domains that are asked before the store. If the store rejects a third
+	// of the instances, it rejects both relays of a domain and these two in one case of a hundred. Each further relay that is
+	// asked would have to make a handshake with each instance of the fleet.
 	remoteRelaysAsked = 2
 )
 
-// ranked returns the instances of each domain, the one that should be the relay first: the most powerful, since it does the
-// work of all, and among equals the one whose name hashes lowest, so that all instances agree.
+// ranked returns the instances of each domain in the order in which they should be its relay. The most powerful comes first,
+// since the relay does the work of all; among equals the one whose name has the lowest hash, so that all instances agree.
 func ranked(members []census.Instance) map[string][]census.Instance {
 	byDomain := map[string][]census.Instance{}
 	for _, m := range members {
@@ -47,12 +47,12 @@
 	return h.Sum32()
 }
 
-// upstream is one place where news can be had: a relay's address, or the store when it is empty.
+// upstream is where an instance can get feed updates: another instance at an address, or the store if the address is empty.
 type upstream struct{ addr string }
 
 func (u upstream) direct() bool { return u.addr == "" }
 
-// String returns the way's name for logs.
+// String returns the upstream's name for logs.
 func (u upstream) String() string {
 	if u.direct() {
 		return "store"
@@ -60,9 +60,10 @@
 	return u.addr
 }
 
-// waysOf returns where an instance asks for news, in order: the relay of its domain and its stand-in, relays of other domains, which help
-// when those two do not hear the store, and the store, which counts each call of each instance. The relay itself begins with the store,
-// the stand-in asks it after the relay, and both ask the relays of all other domains at last.
+// waysOf returns the upstreams of an instance in the order in which they are asked: the relay of its domain, the standby
+// relay, some relays of other domains, which help when the first two cannot reach the store, and last the store, which counts
+// each call of each instance. The relay itself asks the store first, the standby relay asks it right after the relay, and
+// both then ask the relays of all other domains.
 func waysOf(self string, domain string, members []census.Instance) []upstream {
 	byDomain := ranked(members)
 	var upstreams []upstream
@@ -79,7 +80,8 @@
 	return append(append(upstreams, others[:min(remoteRelaysAsked, len(others))]...), upstream{})
 }
 
-// relayUpstreams returns the relays of the domains but one, which each instance begins with another of, so that they share the questions.
+// relayUpstreams returns the relays of all domains except one. Each instance starts at another position of the list, so that
+// the relays share the load.
 func relayUpstreams(byDomain map[string][]census.Instance, self, except string) []upstream {
 	domains := make([]string, 0, len(byDomain))
 	for d := range byDomain {
--- a/relay/rank_test.go
+++ b/relay/rank_test.go
@@ -21,7 +21,8 @@
 	return out
 }
 
-// TestOneInstanceOfEachDomainAsksTheStoreFirst counts over all instances what each decides for itself.
+// TestOneInstanceOfEachDomainAsksTheStoreFirst ranks the members as each instance does on its own: all of a domain must agree
+// on the relay.
 func TestOneInstanceOfEachDomainAsksTheStoreFirst(t *testing.T) {
 	all := members(12)
 	relays := map[string]int{}
@@ -36,8 +37,8 @@
 	require.Equal(t, map[string]int{"east": 1, "west": 1, "south": 1}, relays)
 }
 
-// TestInstancesWithRelaysAskTheStoreLast also checks that the relay and its stand-in ask it before other domains, and that the questions
-// of one domain are spread over the others.
+// TestInstancesWithRelaysAskTheStoreLast also checks that the relay and the standby relay ask the store before other domains,
+// and that the polls of one domain are spread over the others.
 func TestInstancesWithRelaysAskTheStoreLast(t *testing.T) {
 	all := members(12)
 	asked := map[string]int{}
--- a/relay/referral.go
+++ b/relay/referral.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// directPeerAge is how long an instance's word that it follows the store itself counts: it asks its relay again after a wait for a
-	// configuration and a pause.
+	// directPeerAge is how long an instance's statement that it follows the store itself is valid. Such an instance repeats it
+	// at its next poll, after a wait for the configuration and a back-off.
 	directPeerAge = configWait + maxBackoff + 500*time.Millisecond
-	// peersWithoutRelays is the number of others that an instance of a fleet without relays asks when the store does not answer it. A store that
-	// turns a third of the instances away turns these away as well in one case of 27.
+	// peersWithoutRelays is the number of other instances that an instance of a fleet without relays asks when the store does
+	// not answer it. If the store rejects a third of the instances, it rejects all three of them as well in one case of 27.
 	peersWithoutRelays = 3
 )
 
-// directPeers remembers which instances follow the store themselves. It answers a store that turns the relays away and serves others: those
-// that it turns away too would refuse the requests of all whose keys they cannot confirm, though an instance beside them could tell.
+// directPeers remembers which instances follow the store themselves. They are needed when the store rejects the relays but
+// serves other instances: an instance that the store rejects too would refuse all requests whose keys it cannot confirm,
+// although another instance of its domain could confirm them.
 type directPeers struct {
-	// lastNoted is when each lastNoted so last, by address.
+	// lastNoted is when each instance last said that it follows the store, by address.
 	lastNoted map[string]time.Time
 }
 
-// note keeps that the instance at an address follows the store.
+// note records that the instance at an address follows the store.
 func (p *directPeers) note(addr string, now time.Time) {
 	if p.lastNoted == nil {
 		p.lastNoted = map[string]time.Time{}
@@ -33,7 +34,8 @@
 	p.lastNoted[addr] = now
 }
 
-// pick returns the address of one of them, or nothing; random is uniform in [0, 1), so that they share the questions.
+// pick returns the address of a direct peer, or "" if none is known. The argument random is uniform in [0, 1), which spreads
+// the load over the peers.
 func (p *directPeers) pick(now time.Time, random float64) string {
 	var candidates []string
 	for addr, at := range p.lastNoted {
@@ -50,7 +52,8 @@
 	return candidates[int(random*float64(len(candidates)))]
 }
 
-// followsStore reports whether this instance followsStore the store itself.
+// followsStore reports whether this instance follows all feeds in the store itself and the configuration was confirmed
+// lately.
 func (s *Source) followsStore() bool {
 	for _, l := range s.logs {
 		if !l.followed() {
@@ -60,7 +63,7 @@
 	return s.fresh()
 }
 
-// directAddr returns the own address if the instance follows the store itself, and nothing otherwise.
+// directAddr returns the own address if the instance follows the store itself, and "" otherwise.
 func (s *Source) directAddr() string {
 	if !s.followsStore() || s.stopped.Load() {
 		return ""
@@ -68,7 +71,7 @@
 	return s.self.Addr
 }
 
-// noteDirectPeer keeps that the asker of a question follows the store itself, if it gave its address.
+// noteDirectPeer records that the polling instance follows the store itself, if it gave its address.
 func (s *Source) noteDirectPeer(addr string, now time.Time) {
 	if addr == "" {
 		return
@@ -78,7 +81,7 @@
 	s.directPeers.note(addr, now)
 }
 
-// refer answers a question that this instance cannot answer itself: with the address of one that can, if it knows one.
+// refer answers a poll that this instance cannot serve itself: it names a direct peer if it knows one, and fails otherwise.
 func (s *Source) refer() (told, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +91,9 @@
 	return told{}, errNotDirect
 }
 
-// insertReferral adds the instance that a refusal names to the ways that are still to be asked, unless there is one already. An instance that
-// follows the store itself goes on with that, or those that help each other would both lose it.
+// insertReferral adds the instance that a refusal names to the upstreams that are still to be asked, unless one was added
+// before. An instance that follows the store itself does not follow referrals: two instances that refer to each other would
+// both stop following the store.
 func (s *Source) insertReferral(upstreams []upstream, next int, feed follow.Feed, err error) []upstream {
 	var r refusal
 	if !errors.As(err, &r) || r.referTo == "" || s.logs[feed].followed() || !s.acceptReferral(feed, r.referTo) {
@@ -98,7 +102,7 @@
 	return slices.Insert(upstreams, next, upstream{addr: r.referTo})
 }
 
-// acceptReferral reports whether a referral is followed, and keeps it: one at a time for each feed.
+// acceptReferral reports whether a referral is followed, and records it. Each feed has at most one referral at a time.
 func (s *Source) acceptReferral(feed follow.Feed, addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +113,8 @@
 	return true
 }
 
-// withReferral returns the ways with the instance that helps with a feed, after the first of them; a relay takes one of those that it
-// refers others to. The caller holds the lock.
+// withReferral inserts the referral of a feed after the first upstream. Without a referral it uses one of the direct peers
+// that the instance knows, as a relay does that refers others to them. The caller holds the lock.
 func (s *Source) withReferral(upstreams []upstream, feed follow.Feed) []upstream {
 	if s.logs[feed].followed() {
 		return upstreams
--- a/relay/referral_test.go
+++ b/relay/referral_test.go
@@ -12,9 +12,11 @@
 	"junctioncross/follow"
 )
 
-// TestRejectedInstancesGetUpdatesFromDirectPeers lets the store turn a third of the instances away for 8 s, the relays and their stand-ins
-// among them. What each knows of the configuration must be young enough for the keys in it to be accepted, which is 3.6 s where one that was
-// taken away may be accepted for 5 s, from 4 s on, when those that the store serves are found, and less than 5 s before. Without help those that are turned away had known nothing new since the outage began.
+// TestRejectedInstancesGetUpdatesFromDirectPeers uses a store that rejects a third of the instances for 8 s, the relays and
+// the standby relays among them. An instance accepts keys while the last confirmation of its configuration is at most 3.6 s
+// old, where a revoked key may be accepted for 5 s. From 4 s on, when the rejected instances have found those that the store
+// serves, each instance must meet the 3.6 s; before that its confirmation must be less than 5 s old. Without referrals,
+// rejected instances had no confirmation since the outage began.
 func TestRejectedInstancesGetUpdatesFromDirectPeers(t *testing.T) {
 	for name, members := range map[string][]census.Instance{"with relays": instances(3, 24), "without": instances(2, 4)} {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +66,8 @@
 	require.Less(t, worst, revoked)
 }
 
-// TestDirectPeersExpire picks among those that said lately that they follow the store.
+// TestDirectPeersExpire picks among direct peers: one is picked only while its statement that it follows the store is not too
+// old.
 func TestDirectPeersExpire(t *testing.T) {
 	now := time.Unix(100, 0)
 	var h directPeers
--- a/relay/rejecting_test.go
+++ b/relay/rejecting_test.go
@@ -19,7 +19,7 @@
 	"junctioncross/timer"
 )
 
-// rejectingStore is a relay.Store that turns every call for news away.
+// rejectingStore is a relay.Store that rejects each call for updates.
 type rejectingStore struct{ view }
 
 // Reach implements relay.Store.
@@ -36,9 +36,9 @@
 	return nil, 0, follow.ErrUnavailable
 }
 
-// TestARelayAsksTheStoreOnEachPollAfterAFailure lets the store turn the relay of a domain away. Its control goroutine pauses after each
-// failure; a second pause for the store would let its domain hear of the store's return up to 0.8 s later. The relay of the other domain
-// has no address that can be dialed.
+// TestARelayAsksTheStoreOnEachPollAfterAFailure uses a store that rejects the relay of a domain, whose control goroutine
+// pauses after each failure. A second pause in the relay would delay the domain's updates by up to 0.8 s once the store is
+// back. The relay of the other domain has no address that can be dialed.
 func TestARelayAsksTheStoreOnEachPollAfterAFailure(t *testing.T) {
 	key, err := keys.NewFleetKey(time.Now())
 	require.NoError(t, err)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -21,10 +21,10 @@
 	"junctioncross/timer"
 )
 
-// waitLimit bounds waits that end within some seconds on a sound machine.
+// waitLimit bounds waits that end within a few seconds on a healthy machine.
 const waitLimit = 30 * time.Second
 
-// fleet is the same list of instances for all.
+// fleet is a relay.Fleet that is the same for all instances and does not change.
 type fleet struct {
 	members []census.Instance
 	key     []byte
@@ -51,7 +51,7 @@
 // NoteCounts implements relay.Fleet.
 func (fleet) NoteCounts(map[string]int) {}
 
-// recordsOf returns the records of instances, each in a slot of its own.
+// recordsOf returns the registration records of instances, each in a slot of its own.
 func recordsOf(members []census.Instance) []census.Record {
 	out := make([]census.Record, len(members))
 	for i, m := range members {
@@ -63,12 +63,12 @@
 // Key implements relay.Fleet.
 func (f fleet) Key() []byte { return f.key }
 
-// instance follows the servers and remembers what it heard, and when it last knew that nothing else had changed.
+// instance follows all feeds. heard holds the IDs of the servers feed, and known the last confirmation of the configuration.
 type instance struct {
 	*relay.Source
 	mu    sync.Mutex
 	heard []string
-	// ends is the number of changes of the quarantine.
+	// ends is the number of changes of the quarantine feed.
 	ends  int
 	known time.Time
 	stop  func()
@@ -86,7 +86,7 @@
 	return time.Since(i.known)
 }
 
-// follow runs the instance's feeds; heard holds the servers' changes, known the configuration's last confirmation.
+// follow reads a feed and polls it until ctx ends.
 func (i *instance) follow(ctx context.Context, feed follow.Feed) {
 	news, err := i.Read(ctx, feed)
 	for ctx.Err() == nil {
@@ -115,23 +115,23 @@
 	}
 }
 
-// run starts instances of one domain over real links and one store.
+// run starts n instances of one domain over real connections and one store.
 func run(t *testing.T, s *store, n int) []*instance {
 	return runOver(t, n, func(caller string) relay.Store { return view{store: s, caller: caller} })
 }
 
-// runOver starts instances of one domain over real links; over returns the store as an instance sees it.
+// runOver starts n instances of one domain over real connections; over returns the store as seen by an instance.
 func runOver(t *testing.T, n int, over func(caller string) relay.Store) []*instance {
 	return runIn(t, n, func(int) string { return "east" }, over)
 }
 
-// runIn starts instances over real links; in returns the domain of each.
+// runIn starts n instances over real connections; in returns the domain of each.
 func runIn(t *testing.T, n int, in func(i int) string, over func(caller string) relay.Store) []*instance {
 	return runWith(t, n, in, over, func(string) relay.Words { return follow.NewBoard() }, func(string) relay.Ends { return noEnds{} })
 }
 
-// runWith starts instances over real links; words returns what an instance holds of the state of servers, ends what it holds of servers that
-// ended under requests.
+// runWith starts n instances over real connections; words returns the shared reports of an instance, and ends its record of
+// servers that terminated under requests.
 func runWith(
 	t *testing.T, n int, in func(i int) string, over func(caller string) relay.Store, words func(caller string) relay.Words,
 	ends func(caller string) relay.Ends,
@@ -178,7 +178,8 @@
 	require.Eventually(t, what, waitLimit, 10*time.Millisecond)
 }
 
-// TestOnlyTheRelayAsksTheStore also checks that what the others know is as new as the relay's own knowledge allows.
+// TestOnlyTheRelayAsksTheStore also checks that what the other instances know is as recent as the relay's own knowledge
+// allows.
 func TestOnlyTheRelayAsksTheStore(t *testing.T) {
 	s := newStore()
 	all := run(t, s, 4)
@@ -191,7 +192,7 @@
 			soon(t, func() bool { return i.has(n + 1) })
 		}
 	}
-	require.Equal(t, before, s.count("i-3"), "an instance with a relay leaves the store alone")
+	require.Equal(t, before, s.count("i-3"), "an instance with a relay does not ask the store")
 }
 
 func TestInstancesAskElsewhereWhenTheirRelayStops(t *testing.T) {
@@ -207,8 +208,8 @@
 	}
 }
 
-// TestARelayCutFromTheStoreDoesNotServe cuts the relay from the store: it must not pass on what it has as if it were new, and
-// it hears by others itself.
+// TestARelayCutFromTheStoreDoesNotServe checks that a relay that is cut off from the store does not pass on old content as if
+// it were current, and that it gets updates from other instances itself.
 func TestARelayCutFromTheStoreDoesNotServe(t *testing.T) {
 	s := newStore()
 	all := run(t, s, 3)
@@ -222,8 +223,8 @@
 	soon(t, func() bool { return all[0].has(1) })
 }
 
-// TestKnownDoesNotAdvanceWhileTheStoreIsSilent freezes the store's word: once all calls hang, the moment up to which instances
-// know must not move on, however they ask each other.
+// TestKnownDoesNotAdvanceWhileTheStoreIsSilent makes all calls to the store hang. From then on the moment up to which
+// instances know that nothing else has changed must not advance, however they poll each other.
 func TestKnownDoesNotAdvanceWhileTheStoreIsSilent(t *testing.T) {
 	s := newStore()
 	all := run(t, s, 4)
--- a/relay/source.go
+++ b/relay/source.go
@@ -18,59 +18,61 @@
 )
 
 const (
-	// readTime bounds the reading of a whole feed, of which each page has its own bound: a store that is slow is read to the end.
+	// readTime bounds the reading of a full feed. Each page has its own bound, so a store that is slow is read to the end.
 	readTime = 20 * time.Second
-	// settledTime is how long an instance must have followed the store itself to count as one that does, if it is not the
-	// relay of its domain: relays that were lost for a moment come back.
+	// settledTime is how long an instance that is not the relay of its domain must have followed the store itself to count as
+	// direct, since a relay that was lost for a moment may come back.
 	settledTime = 3 * time.Second
 )
 
-// lateTime is how long after its last answer a feed counts as late: longer than a relay holds a question.
+// lateTime is how long after its last answer a feed counts as late: longer than a relay holds a poll.
 const lateTime = pollHold + 100*time.Millisecond
 
-// feeds is the number of feeds that are followed: configuration, servers and quarantine.
+// feeds is the number of feeds: configuration, servers and quarantine.
 const feeds = 3
 
-// Fleet tells what instances there are.
+// Fleet says which instances there are.
 type Fleet interface {
-	// Members returns the instances that have records; it is empty before the first count.
+	// Members returns the instances that have registration records; it is empty until the records were first read.
 	Members() []census.Instance
-	// Records returns the records.
+	// Records returns the registration records.
 	Records() []census.Record
 	// Empty reports whether the records were read and there were none.
 	Empty() bool
-	// Changed returns what is closed when the records or the key change.
+	// Changed returns a channel that is closed when the records or the key change.
 	Changed() <-chan struct{}
 	// Instances returns the number of instances.
 	Instances() int
-	// Counts returns the numbers of instances that the relays of the domains have counted, and NoteCounts keeps newer ones.
+	// Counts returns the number of instances of each domain that its relay has counted; NoteCounts records newer numbers.
 	Counts() map[string]int
 	NoteCounts(counts map[string]int)
-	// Key returns what the instances prove themselves with to each other; it is empty while it is not known.
+	// Key returns the fleet key, by which instances authenticate to each other; it is empty while it is not known.
 	Key() []byte
 }
 
-// Self says which instance this is and from how many instances on relays are used.
+// Self identifies this instance and says when relays are used.
 type Self struct {
 	Name   string
 	Domain string
-	// Addr is the address for calls of other instances; it is empty when there are none.
+	// Addr is the address for calls of other instances; it is empty if the instance accepts none.
 	Addr string
-	// From is the number of instances from which relays are used; with fewer, each watches the store itself.
+	// From is the number of instances from which relays are used; in a smaller fleet each instance follows the store itself.
 	From int
-	// ApplyTime is how long after its acceptance a configuration may not be in force yet.
+	// ApplyTime is how long after its acceptance a configuration may take to be in force.
 	ApplyTime time.Duration
 }
 
-// minApplyTime is the shortest ApplyTime that is kept through relays: one that falls silent says so after 2.6 s.
+// minApplyTime is the shortest ApplyTime that can be met through relays: a relay that no longer gets updates says so after up
+// to 2.6 s.
 const minApplyTime = 3 * time.Second
 
-// relays reports whether so many instances use relays, of whom so many have records.
+// relays reports whether the fleet uses relays; members is the number of instances with registration records, and instances
+// the number of all.
 func (s Self) relays(members, instances int) bool {
 	return members > 0 && max(members, instances) >= s.From && s.ApplyTime >= minApplyTime
 }
 
-// Source follows the store, by itself or through a relay; it implements follow.Source.
+// Source follows the store, either itself or through a relay; it implements follow.Source.
 type Source struct {
 	self  Self
 	store Store
@@ -80,32 +82,34 @@
 	stats *metrics.Registry
 	log   *logrus.Logger
 	logs  [feeds]*feedLog
-	// stopped is true once the instance serves other instances no more.
+	// stopped is true once the instance no longer serves other instances.
 	stopped atomic.Bool
 	epoch   *epoch
 	tally   *tally
 	words   Words
 	ends    Ends
 	begun   time.Time
-	// worse is when a server last turned bad by the word of another instance, in nanoseconds since begun.
+	// worse is when another instance last reported that a server has turned bad, in nanoseconds since begun.
 	worse atomic.Int64
 
 	upstreamCache upstreamCache
 
 	mu sync.Mutex
-	// sent is up to when the own words were passed on, and marks how far others have passed on theirs, by address.
+	// sent is the moment up to which this instance has passed on its own reports on servers. marks holds the Mark of the last
+	// answer of each other instance, by address.
 	sent  time.Time
 	marks map[string]time.Duration
-	// breaker decides about the store while relays refuse.
+	// breaker decides whether the store is asked while relays refuse.
 	breaker storeBreaker
-	// backoffs says until when ways that failed are backoffs alone, by address.
+	// backoffs says until when upstreams that failed are not asked, by address.
 	backoffs map[string]backoff
-	// using holds the way that each feed uses, and since when.
+	// using holds the upstream that each feed uses, and usingSince since when.
 	using      [feeds]upstream
 	usingSince [feeds]time.Time
-	// answered is when each feed was last answered.
+	// answered is when each feed was last answered by an upstream.
 	answered [feeds]time.Time
-	// directPeers are those to which others are referred, and helper is the one that this instance was referred to, by feed.
+	// directPeers are the instances to which others are referred. referral is the instance to which this one was referred, by
+	// feed.
 	directPeers directPeers
 	referral    [feeds]upstream
 	// random returns numbers that are uniform in [0, 1).
@@ -123,13 +127,13 @@
 	}
 }
 
-// Stop makes the instance refuse the questions of others, so that they ask elsewhere at once.
+// Stop makes the instance refuse the polls of others, so that they ask elsewhere at once.
 func (s *Source) Stop() {
 	s.stopped.Store(true)
 	s.stopServing()
 }
 
-// stopServing ends the service to other instances until the feeds are heard from the store again.
+// stopServing makes the instance refuse the polls of others until it follows the feeds in the store again.
 func (s *Source) stopServing() {
 	for _, l := range s.logs {
 		l.lose()
@@ -137,7 +141,7 @@
 }
 
 // Direct reports whether the instance follows the store itself: as the relay of its domain, because there are no relays, or
-// because it has found none for a while. It is false until the instances were counted.
+// because it has found none for a while. It is false until the member list is known.
 func (s *Source) Direct() bool {
 	switch {
 	case s.ways() == nil:
@@ -148,12 +152,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since := s.usingSince[follow.FeedConfig]
-	// Before the first news it is not known whom the instance follows; in a start of many they would all ask for the right to give orders.
+	// Before the first update it is not known which upstream the instance follows. If instances counted as direct until then,
+	// all that start together would ask for the right to give orders.
 	return !since.IsZero() && s.using[follow.FeedConfig].direct() && s.clock.Since(since) >= settledTime
 }
 
-// Read implements follow.Source. An instance that starts asks a relay; afterwards whole feeds are read from the store only,
-// since what another instance has may be older than what is known here.
+// Read implements follow.Source. An instance that starts asks a relay. Later, full feeds are read from the store only, since
+// what another instance has may be older than what is known here.
 func (s *Source) Read(ctx context.Context, feed follow.Feed) (follow.News, error) {
 	if at, _ := s.logs[feed].reached(); at == 0 {
 		if h, ok := s.readFromRelay(ctx, feed); ok {
@@ -207,20 +212,21 @@
 		last = err
 	}
 	if last == nil {
-		last = errors.Wrap(follow.ErrUnavailable, "no relay hears the store")
+		last = errors.Wrap(follow.ErrUnavailable, "no relay can reach the store")
 	}
 	return follow.News{}, last
 }
 
-// late reports whether a feed has brought nothing for so long that the next place is asked for what there is, and not to wait. While it is
-// not, places that have failed are passed over at the pace of those that answer: a relay that the store turned away would ask it without a
-// pause otherwise.
+// late reports whether a feed has had no answer for so long that the next upstream is asked for what it has at once, without
+// a wait for updates. While the feed is not late, the next upstream may hold the poll, which limits how often the upstreams
+// that failed are asked again: otherwise a relay that the store rejects would ask it without a pause.
 func (s *Source) late(feed follow.Feed) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.clock.Since(s.answered[feed]) > lateTime
 }
 
+// pollUpstream asks one upstream for updates of a feed.
 func (s *Source) pollUpstream(ctx context.Context, u upstream, feed follow.Feed, after follow.Position, noWait bool) (heard, error) {
 	if !u.direct() {
 		h, err := s.ask(ctx, u.addr, poll{Feed: feed, After: after, NoWait: noWait})
@@ -236,8 +242,9 @@
 	return h, err
 }
 
-// catchUp has the whole feed from a relay whose history does not reach back to a position, and returns what is new of it: instances that start
-// together read the feeds at different moments, and all whose relay had read a feed last asked the store otherwise.
+// catchUp gets the full feed from a relay whose history does not reach back to a position, and returns what changed since.
+// Instances that start together read the feeds at different moments; without catchUp, all instances whose relay read a feed
+// after they did would ask the store.
 func (s *Source) catchUp(ctx context.Context, u upstream, feed follow.Feed, after follow.Position) (heard, error) {
 	h, err := s.ask(ctx, u.addr, poll{Feed: feed, Whole: true})
 	if err != nil {
@@ -250,6 +257,7 @@
 	return h, nil
 }
 
+// news converts a result to follow.News.
 func (s *Source) news(h heard) follow.News {
 	return follow.News{Changes: s.store.Decode(h.records), At: h.at, Known: h.known}
 }
--- a/relay/start.go
+++ b/relay/start.go
@@ -13,34 +13,40 @@
 )
 
 const (
-	// firstRecordWait is how long an instance that starts waits for the first record of a fleet that has none: as long as the instances of a new fleet
-	// take to write theirs. It waits for longer while the store tells nothing, since the feeds are a hundred times as large as the records, and
-	// until it knows the fleet's key once there are records, so that it can ask a relay.
+	// firstRecordWait is how long an instance that starts waits for the first registration record of a fleet that has none: as
+	// long as the instances of a new fleet take to write theirs. It waits longer while the store does not answer, since the
+	// feeds are a hundred times as large as the records, and, once there are records, until it knows the fleet key, so that it
+	// can ask a relay.
 	firstRecordWait = 4 * time.Second
-	// relayReadyTime is how long an instance that starts goes on asking relays that are there and do not know the feed themselves yet. All
-	// instances that started together would read the whole feed otherwise; a relay has read it long before also at a slow store.
+	// relayReadyTime is how long an instance that starts keeps asking relays that are reachable but have not read the feed
+	// yet. Otherwise all instances that start together would read the full feed from the store. A relay has read it long
+	// before this time is over, even if the store is slow.
 	relayReadyTime = 2500 * time.Millisecond
-	// standbyReadyTime is the same for the stand-in of a domain, which so knows the feed when the others ask it. The relay of a new fleet may be
-	// the last to count the others.
+	// standbyReadyTime is relayReadyTime for the standby relay of a domain, which thus has the feed by the time the others ask
+	// it. The relay of a new fleet may be the last to learn of the other instances.
 	standbyReadyTime = 1300 * time.Millisecond
-	// readSpread and readShareServers are what a whole feed takes of the store's line at the size of the largest fleet. Instances that read
-	// the store after all are spread over as much for each of them, or none would be answered in time.
+	// readSpread and readSpreadServers are how long the network link of the store takes to transfer one full feed of the
+	// largest fleet. The reads of the instances that have to ask the store are spread by this much time for each instance;
+	// otherwise none would be answered in time.
 	readSpread        = 2 * time.Millisecond
 	readSpreadServers = 20 * time.Millisecond
-	// fullFeedTimeout is how long the answer with a whole feed may take: that of the largest fleet over the line of a weak instance.
+	// fullFeedTimeout bounds the answer with a full feed: that of the largest fleet over the network link of a weak instance.
 	fullFeedTimeout = 4 * time.Second
-	// fullFeedPeers is the number of instances of the own domain that one without a record asks for a whole feed.
+	// fullFeedPeers is the number of instances of the own domain that an instance without a registration record asks for a
+	// full feed.
 	fullFeedPeers = 3
-	// readyRetryPause is the pause between two rounds of questions.
+	// readyRetryPause is the pause between two rounds of requests for a full feed.
 	readyRetryPause = 100 * time.Millisecond
-	// connectTimeout is how long a relay may take to be reached by an instance that starts: as much as an answer that needs no wait may take.
+	// connectTimeout bounds the connection to a relay by an instance that starts: as long as an answer that is not held may
+	// take.
 	connectTimeout = peerTimeout
-	// firstConnectTimeout is the part of it after which a new connection is tried.
+	// firstConnectTimeout is the part of connectTimeout after which a second connection is tried.
 	firstConnectTimeout = 150 * time.Millisecond
 )
 
-// readFromRelay reads a whole feed from a relay, once the instances are counted. It answers a start of many instances at once: each that
-// reads the store itself costs as many calls as the feed has pages, and the store serves all of them more slowly.
+// readFromRelay reads a full feed from a relay, once the member list is known. It limits the load when many instances start
+// at once: each instance that reads the store itself costs as many calls as the feed has pages, and slows down the store for
+// all others.
 func (s *Source) readFromRelay(ctx context.Context, feed follow.Feed) (heard, bool) {
 	s.awaitMembers(ctx)
 	until := s.clock.Now().Add(s.readyTimeout(feed))
@@ -55,7 +61,7 @@
 	}
 }
 
-// awaitMembers waits until it is known whom to ask.
+// awaitMembers waits until it is known which instances can be asked.
 func (s *Source) awaitMembers(ctx context.Context) {
 	for {
 		changed := s.fleet.Changed()
@@ -76,14 +82,14 @@
 	}
 }
 
-// membersKnown reports whether the instances are membersKnown and can be asked, or are too few for relays.
+// membersKnown reports whether the members are known and can be asked, or are too few for relays.
 func (s *Source) membersKnown() bool {
 	n := len(s.fleet.Members())
 	return n > 0 && (!s.self.relays(n, s.fleet.Instances()) || len(s.fleet.Key()) > 0)
 }
 
-// readyTimeout returns how long relays are asked that do not know the feed yet. Those that have records read the store first after that, so that
-// the others can ask them.
+// readyTimeout returns how long relays that do not have the feed yet are asked. After that the instances with registration
+// records read the store first, so that the others can ask them.
 func (s *Source) readyTimeout(feed follow.Feed) time.Duration {
 	if upstreams := s.ways(); len(upstreams) > 1 && upstreams[1].direct() {
 		return standbyReadyTime
@@ -98,13 +104,14 @@
 	return relayReadyTime + time.Duration(s.random()*float64(readers)*float64(share))
 }
 
-// registered reports whether this instance is one of those that have records.
+// registered reports whether this instance is one of the members, that is, has a registration record.
 func (s *Source) registered(members []census.Instance) bool {
 	return slices.ContainsFunc(members, func(m census.Instance) bool { return m.Name == s.self.Name })
 }
 
-// fullFeedUpstreams returns where an instance that starts asks for a whole feed. Those that have records ask the relays; the others ask them, each
-// beginning with another, since the line of one relay does not carry what hundreds of instances read.
+// fullFeedUpstreams returns the upstreams that an instance which starts asks for a full feed. The instances with registration
+// records ask the relays. The others ask the instances with records, each starting at another one, since the network link of
+// a single relay cannot carry what hundreds of instances read.
 func (s *Source) fullFeedUpstreams() []upstream {
 	members := s.fleet.Members()
 	upstreams := s.ways()
@@ -120,7 +127,7 @@
 	return append(out, upstreams[min(ownRelaysAsked, len(own)):]...)
 }
 
-// mostPowerful returns those of ranked instances that have at least half of the power of the first.
+// mostPowerful returns those of the ranked instances that have at least half the power of the first.
 func mostPowerful(list []census.Instance) []census.Instance {
 	for i, m := range list {
 		if m.Power < list[0].Power/2 {
@@ -130,7 +137,8 @@
 	return list
 }
 
-// pollFull asks each relay once for a whole feed; there is true when one of them is there that may know it soon.
+// pollFull asks each upstream before the store once for a full feed. The result reachable is true if one of them is reachable
+// and may have the feed soon.
 func (s *Source) pollFull(ctx context.Context, feed follow.Feed) (h heard, ok, reachable bool) {
 	for _, u := range s.fullFeedUpstreams() {
 		if u.direct() {
@@ -149,9 +157,10 @@
 	return heard{}, false, reachable
 }
 
-// reach connects to the instance at addr. The time for an answer is many times longer, since everything that a feed holds takes its time
-// over a slow line; an instance that starts would wait that long for each relay that is gone. One that starts at the same moment may not
-// listen yet, and what was sent to it is sent again late, so that a second connection is tried sooner.
+// reach connects to the instance at addr. It has a timeout of its own: the one for the answer is many times longer, since a
+// full feed takes its time over a slow network link, and an instance that starts would wait that long for each relay that is
+// gone. A relay that starts at the same moment may not listen yet, and the transport resends lost packets late, so a second
+// connection is tried early.
 func (s *Source) reach(ctx context.Context, addr string) error {
 	err := s.reachWithin(ctx, addr, firstConnectTimeout)
 	if errors.Is(err, link.ErrUnreachable) {
--- a/relay/start_test.go
+++ b/relay/start_test.go
@@ -21,14 +21,14 @@
 	"junctioncross/timer"
 )
 
-// absentRelays are those of a domain that have records and do not run.
+// absentRelays are the relay and the standby relay of a domain, which have registration records but do not run.
 type absentRelays struct {
 	addrs []string
 	trust link.Trust
 	log   *logrus.Logger
 }
 
-// newSourceWithRelays returns an instance of a domain, the clock that it goes by, and its relay and stand-in.
+// newSourceWithRelays returns an instance of a domain, its fake clock, and the relay and standby relay of the domain.
 func newSourceWithRelays(t *testing.T, store relay.Store) (*relay.Source, *clockwork.FakeClock, absentRelays) {
 	key, err := keys.NewFleetKey(time.Now())
 	require.NoError(t, err)
@@ -49,7 +49,7 @@
 	return relay.New(self, store, f, follow.NewBoard(), noEnds{}, links, timer.New(fake), stats, log), fake, absentRelays{addrs: addrs[1:], trust: trust, log: log}
 }
 
-// readDuration returns how long an instance takes to read the servers; the clock moves only while it waits.
+// readDuration returns how long an instance takes to read the servers feed; the clock only advances while the instance waits.
 func readDuration(t *testing.T, source *relay.Source, fake *clockwork.FakeClock) time.Duration {
 	const step = 50 * time.Millisecond
 	begun := fake.Now()
@@ -65,8 +65,8 @@
 	return fake.Since(begun)
 }
 
-// TestStartDoesNotWaitLongForLostRelays starts an instance whose relay and stand-in are gone: it serves nobody until it has
-// asked them in vain.
+// TestStartDoesNotWaitLongForLostRelays starts an instance whose relay and standby relay are gone. The instance serves no
+// requests until it has given up on them and has read the store.
 func TestStartDoesNotWaitLongForLostRelays(t *testing.T) {
 	const longest = 800 * time.Millisecond
 	s := newStore()
@@ -75,13 +75,13 @@
 	require.Equal(t, 1, s.count("self"))
 }
 
-// TestASourceWithoutUpdatesIsNotDirect asks an instance that has relays and has not heard of them yet.
+// TestASourceWithoutUpdatesIsNotDirect asks an instance that uses relays and has not had any updates yet.
 func TestASourceWithoutUpdatesIsNotDirect(t *testing.T) {
 	one, _, _ := newSourceWithRelays(t, view{store: newStore(), caller: "self"})
 	require.False(t, one.Direct())
 }
 
-// delayedStore is a relay.Store whose feeds can be read from a moment on.
+// delayedStore is a relay.Store whose feeds cannot be read until ready is closed.
 type delayedStore struct {
 	view
 	ready chan struct{}
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestInstancesThatStartWithTheirRelayDoNotReadTheStore starts a domain at once whose relay takes its time to read the feeds, as after the
-// end of all: everyone else hears of them through it.
+// TestInstancesThatStartWithTheirRelayDoNotReadTheStore starts a whole domain at once, as after a failure of all instances.
+// Its relay takes a second to read the feeds; the others must wait for it and not read the store.
 func TestInstancesThatStartWithTheirRelayDoNotReadTheStore(t *testing.T) {
 	s := newStore()
 	s.put("known", false)
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestStartReadsTheStoreWhenItsRelaysCannotServe starts an instance whose relay is there and answers no question, as one that does not
-// hear the store itself.
+// TestStartReadsTheStoreWhenItsRelaysCannotServe starts an instance whose relays are reachable but serve no polls, like
+// relays that cannot reach the store themselves.
 func TestStartReadsTheStoreWhenItsRelaysCannotServe(t *testing.T) {
 	const longest = 4500 * time.Millisecond
 	s := newStore()
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -9,14 +9,14 @@
 	"junctioncross/relay"
 )
 
-// store is a relay.Store that a test writes to and counts the calls of.
+// store is a fake store that a test writes to; it counts the calls of each caller.
 type store struct {
 	mu      sync.Mutex
 	at      follow.Position
 	records []relay.Record
 	changed chan struct{}
 	calls   map[string]int
-	// ends are the records of the quarantine.
+	// ends are the records of the quarantine feed.
 	ends []relay.Record
 	// silent names the callers that get no answer.
 	silent map[string]bool
@@ -26,7 +26,7 @@
 	return &store{at: 1, changed: make(chan struct{}), calls: map[string]int{}, silent: map[string]bool{}}
 }
 
-// put adds a change of the servers.
+// put adds a change to the servers feed.
 func (s *store) put(key string, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +36,7 @@
 	s.changed = make(chan struct{})
 }
 
-// putEnd adds a change of the quarantine.
+// putEnd adds a change to the quarantine feed.
 func (s *store) putEnd(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +72,7 @@
 	s.changed = make(chan struct{})
 }
 
-// view is the store as one instance sees it.
+// view is the store as seen by one instance; it implements relay.Store.
 type view struct {
 	*store
 	caller string
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// firstBackoff is how long a relay is left alone after a failure; the time doubles up to longestLeft, since its return must be noticed
-	// soon.
+	// firstBackoff is how long a relay is not asked after a failure. The time doubles with each failure up to maxBackoff,
+	// which is short so that the relay's return is noticed soon.
 	firstBackoff = 200 * time.Millisecond
 	maxBackoff   = 800 * time.Millisecond
 )
 
-// backoff says until when a way is left alone, and after how many failures in a row.
+// backoff says until when an upstream is not asked, and after how many failures in a row.
 type backoff struct {
 	until    time.Time
 	failures int
-	// refused is true when the last question was refused by a relay that is there.
+	// refused is true when the last poll was refused by a relay that is reachable.
 	refused bool
 }
 
-// upstreamCache holds the ways that follow from one count of the instances. Each question asks for them several times, and half of the time of 295
-// instances that ask through an outage went into upstreamCache the same instances anew.
+// upstreamCache holds the upstreams that follow from one list of members. Each poll needs them several times; without the
+// cache, 295 instances that poll through an outage spend half of their time on ranking the same members again.
 type upstreamCache struct {
 	mu      sync.Mutex
 	members []census.Instance
@@ -37,7 +37,8 @@
 	list    []upstream
 }
 
-// get returns the ways that work out makes get these members, which are counted as a whole and not changed afterwards.
+// get returns the upstreams that compute derives from these members. The list of members must not be changed after the call,
+// since it is recognized by its first element.
 func (c *upstreamCache) get(members []census.Instance, relays bool, compute func([]census.Instance, bool) []upstream) []upstream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,13 +48,14 @@
 	return c.list
 }
 
-// ways returns where to ask, or nil while the instances are not counted; the caller does not change it.
+// ways returns the upstreams in the order in which they are asked, or nil while the member list is not known. The caller must
+// not change the result.
 func (s *Source) ways() []upstream {
 	members := s.fleet.Members()
 	return s.upstreamCache.get(members, s.self.relays(len(members), s.fleet.Instances()), s.upstreamsAmong)
 }
 
-// upstreamsAmong works out where to ask among some instances, which use relays or do not.
+// upstreamsAmong computes the upstreams from the members of the fleet; relays says whether the fleet uses relays.
 func (s *Source) upstreamsAmong(members []census.Instance, relays bool) []upstream {
 	switch {
 	case len(members) == 0:
@@ -65,7 +67,8 @@
 	}
 }
 
-// peerUpstreams returns some of the other instances of a fleet without relays, of whom each instance begins with another.
+// peerUpstreams returns some of the other instances of a fleet without relays. Each instance starts at another position of
+// the list, so that they share the load.
 func (s *Source) peerUpstreams(members []census.Instance) []upstream {
 	var out []upstream
 	first := int(hashOf(s.self.Name))
@@ -78,13 +81,14 @@
 	return out
 }
 
-// relay reports whether the instance is the one of its domain that follows the store for others.
+// relay reports whether the instance is the relay of its domain, which follows the store for the others.
 func (s *Source) relay() bool {
 	upstreams := s.ways()
 	return len(upstreams) > 0 && upstreams[0].direct()
 }
 
-// usableUpstreams returns the ways that are not left alone after a failure; for the store that is decided when its turn comes.
+// usableUpstreams returns the upstreams that are not backed off. Whether the store may be asked is decided later, when its
+// turn comes.
 func (s *Source) usableUpstreams(feed follow.Feed) []upstream {
 	upstreams := s.ways()
 	if upstreams == nil {
@@ -105,8 +109,9 @@
 	return out
 }
 
-// preferConfigUpstream puts the place first that the configuration was last had from, which is found sooner: a stand-in whose relay has died would ask that one for
-// each feed again. The caller holds the lock.
+// preferConfigUpstream moves the upstream that last served the configuration to the front, since a working upstream is found
+// sooner for the configuration. A standby relay whose relay has died would otherwise ask the dead relay again for each feed.
+// The caller holds the lock.
 func (s *Source) preferConfigUpstream(upstreams []upstream) []upstream {
 	u := s.using[follow.FeedConfig]
 	i := slices.Index(upstreams, u)
@@ -117,8 +122,8 @@
 	return slices.Insert(out, 0, u)
 }
 
-// backOff leaves a relay alone for a while and reports whether it is the first failure of a way in a row. Calls that fail together count
-// once. Whether the store is left alone is decided by sparing.
+// backOff keeps an upstream from being asked for a while after a failure, and reports whether it is the first failure in a
+// row. Calls that fail together count once. The store is not backed off here: whether it is asked is decided by the breaker.
 func (s *Source) backOff(u upstream, asked time.Time, refused bool) bool {
 	now := s.clock.Now()
 	s.mu.Lock()
@@ -129,7 +134,7 @@
 	}
 	until := now.Add(retry.Doubled(firstBackoff, maxBackoff, b.failures))
 	if refused {
-		// It costs little to ask one that is there, and it may soon name another that can answer.
+		// A poll costs little at a relay that is reachable, and the relay may soon refer to an instance that can answer.
 		until = now.Add(firstBackoff)
 	}
 	if u.direct() {
@@ -145,7 +150,8 @@
 	return b.failures == 0
 }
 
-// noteResult keeps how a way was found that was asked at a moment, and logs when a feed is had from another place than before.
+// noteResult records the result of a poll that was sent to an upstream at asked, and logs when a feed is served by another
+// upstream than before.
 func (s *Source) noteResult(feed follow.Feed, u upstream, asked time.Time, err error) {
 	if err != nil {
 		s.stats.Counter("feed_ways_failed_total").Inc(1)
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -10,30 +10,35 @@
 )
 
 const (
-	// answerSlack is how long after the end of its wait a watch in the store may be answered.
+	// answerSlack is how long after the end of its wait the store may still answer a watch.
 	answerSlack = 1200 * time.Millisecond
-	// configWait is how long a watch on the configuration waits for news. An answer confirms that no key was taken away; the
-	// wait leaves more than a second of the time for which confirmed keys are accepted, also when a relay adds its own.
+	// configWait is how long a watch on the configuration waits for updates. An answer confirms that no key was revoked. The
+	// wait leaves more than a second of the time for which confirmed keys are accepted, even when a relay adds its own wait.
 	configWait = 1200 * time.Millisecond
-	// serversWait is the same for the servers, whose news confirm nothing that is needed often.
+	// serversWait is how long a watch on the servers waits for updates. It is longer than configWait, since the servers need
+	// no frequent confirmation.
 	serversWait = 8 * time.Second
-	// quarantineWait is the same for ends under requests, of which there are none on most days, so that shorter waits were calls for
-	// nothing. That the connection has fallen silent shows by its keep-alive, and that the store has by the
-	// question for the configuration, both in the time in which all must have heard of an end.
+	// quarantineWait is how long a watch on the quarantine waits for updates. On most days there are none, so shorter waits
+	// would only add calls. A dead connection is noticed by its keep-alive, and a silent store by the watch on the
+	// configuration; both are noticed within the time in which all instances must learn that a server terminated under a
+	// request.
 	quarantineWait = 25 * time.Second
-	// doubtWait is how long a watch on the servers waits while the store is in doubt, so that its return is noticed.
+	// doubtWait is how long a watch on the servers or the quarantine waits while the store is suspect, so that its recovery is
+	// noticed soon.
 	doubtWait = time.Second
-	// suspectTimeout is how long a question may take that does not wait for news, as one for the configuration while the store is in doubt:
-	// twice what a slow store takes, since every moment counts until the keys are confirmed again.
+	// suspectTimeout bounds a call to the store that does not wait for updates, such as one for the configuration while the
+	// store is suspect. It is twice what a slow store takes; a longer timeout would delay the moment at which the keys are
+	// confirmed again.
 	suspectTimeout = 700 * time.Millisecond
-	// minWait is the shortest that the store accepts.
+	// minWait is the shortest wait that the store accepts.
 	minWait = time.Millisecond
 )
 
-// errStoreSuspect means that the store was not asked, since it has not answered the questions for other feeds yet; it says nothing new of it.
-var errStoreSuspect = errors.Wrap(follow.ErrUnavailable, "relay: store in doubt")
+// errStoreSuspect means that the store was not asked, since it has not yet answered the calls for other feeds; it says
+// nothing new about the store.
+var errStoreSuspect = errors.Wrap(follow.ErrUnavailable, "relay: store suspect")
 
-// watchStore asks the store; the call ends early when another call finds that the store does not answer.
+// watchStore asks the store for updates. The call ends early when another call finds that the store does not answer.
 func (s *Source) watchStore(ctx context.Context, feed follow.Feed, after follow.Position, noWait bool) (heard, error) {
 	if feed == follow.FeedQuarantine && !s.awaitHealthy(ctx) {
 		return heard{}, errStoreSuspect
@@ -60,15 +65,15 @@
 	s.epoch.markHealthy()
 	known := asked
 	if len(records) == 0 && s.clock.Since(asked) >= wait {
-		// The store held the call for the whole wait and had nothing to say.
+		// The store held the call for the whole wait and had no updates.
 		known = asked.Add(wait)
 	}
 	return heard{records: records, at: max(at, after), known: known}, nil
 }
 
-// watchWait returns how long a watch waits for news. News tell what was so when they were asked for: a watch on the configuration that follows
-// them is short enough to confirm what is known within freshTime, or the relay would refuse its domain for up to 0.6 s after each of
-// them.
+// watchWait returns how long a watch waits for updates. An answer with updates confirms only the state at the time at which
+// it was asked for. The next watch on the configuration is therefore short enough to confirm the state again within
+// freshTime; with a full wait the relay would refuse to serve its domain for up to 0.6 s after each update.
 func (s *Source) watchWait(feed follow.Feed, suspect, noWait bool) time.Duration {
 	switch {
 	case noWait, suspect && feed == follow.FeedConfig:
@@ -79,11 +84,12 @@
 		return serversWait
 	case feed == follow.FeedQuarantine:
 		if !s.logs[feed].followed() {
-			// One that has just found the store again can serve others at once.
+			// An instance that has just found the store again can serve others at once.
 			return minWait
 		}
 		if !s.relay() {
-			// The others hear the configuration from a relay, whose questions do not find out that the store has fallen silent.
+			// The others get the configuration from a relay, and polls to a relay do not reveal that the store has fallen
+			// silent.
 			return doubtWait
 		}
 		return quarantineWait
@@ -93,8 +99,8 @@
 	}
 }
 
-// awaitHealthy waits a while for a store in doubt to answer the questions for other feeds, and reports whether it has. The feed of ends makes
-// no calls of its own to find that out.
+// awaitHealthy waits up to doubtWait for a suspect store to answer the calls for other feeds, and reports whether it has. The
+// quarantine feed makes no calls of its own to find that out.
 func (s *Source) awaitHealthy(ctx context.Context) bool {
 	healthy := s.epoch.whenHealthy()
 	if healthy == nil {
@@ -109,22 +115,22 @@
 	return false
 }
 
-// reachStore finds out whether the store answers before it is asked for news, at a tenth of the price: in an outage of
-// a large fleet most calls are such questions.
+// reachStore checks that the store answers before it is asked for updates, at a tenth of the cost of such a call: in an
+// outage of a large fleet most calls to the store are checks.
 func (s *Source) reachStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, suspectTimeout)
 	defer cancel()
 	return s.store.Reach(ctx)
 }
 
-// probing reports whether the store is asked although it is spared.
+// probing reports whether the call is a probe, which the breaker allows although it is open.
 func (s *Source) probing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.breaker.probing
 }
 
-// storeLost ends the calls that wait for the store, and the service to other instances.
+// storeLost cancels the calls that wait for the store, and stops the service to other instances.
 func (s *Source) storeLost() {
 	s.epoch.markSuspect()
 	s.stopServing()
