--- a/relay/breaker_test.go
+++ b/relay/breaker_test.go
@@ -24,9 +24,9 @@
 		s := New(self, nil, known(all), nil, nil, nil, timer.New(fake), metrics.New(), nil)
 		// The configuration was confirmed just now, so that an instance has time before its first probe.
 		s.logs[follow.FeedConfig].extend(heard{at: 1, known: fake.Now()}, false)
-		for _, w := range s.ways() {
-			if !w.direct() {
-				s.backoffs[w.addr] = backoff{until: fake.Now(), refused: true}
+		for _, u := range s.ways() {
+			if !u.direct() {
+				s.backoffs[u.addr] = backoff{until: fake.Now(), refused: true}
 			}
 		}
 		// The first probe is at a random time; no instance draws 0 to the nanosecond.
@@ -36,8 +36,8 @@
 	}
 	require.Equal(t, 6, early, "two of each domain")
 	one := New(Self{Name: all[5].Name, Domain: all[5].Domain, From: 2, ApplyTime: promise}, nil, known(all), nil, nil, nil, timer.New(fake), metrics.New(), nil)
-	for _, w := range one.ways() {
-		one.backoffs[w.addr] = backoff{until: fake.Now().Add(-refusalAge), refused: true}
+	for _, u := range one.ways() {
+		one.backoffs[u.addr] = backoff{until: fake.Now().Add(-refusalAge), refused: true}
 	}
 	require.True(t, one.mayAskStore(follow.FeedConfig), "refusals of long ago")
 }
--- a/relay/nofault_test.go
+++ b/relay/nofault_test.go
@@ -23,7 +23,7 @@
 		p.forget()
 		require.Empty(t, p.run())
 		for i, s := range members {
-			if ways := waysOf(s.Name, s.Domain, members); !ways[0].direct() {
+			if upstreams := waysOf(s.Name, s.Domain, members); !upstreams[0].direct() {
 				require.Zero(t, p.calls[i], s.Name)
 			}
 		}
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -66,7 +66,7 @@
 	Behind bool `cbor:"4,keyasint,omitempty"`
 	// Words holds the reports on servers that the relay has learned of since the polling instance's Mark.
 	Words []backend.Word `cbor:"5,keyasint,omitempty"`
-	// Mark says up to when Words goes, as time since the relay's start.
+	// Mark says up to when the reports go, as time since the relay's start.
 	Mark time.Duration `cbor:"6,keyasint,omitempty"`
 	// ReferTo is the address of an instance that follows the store; an instance that does not follow it sets it in place of
 	// updates.
--- a/relay/rank_test.go
+++ b/relay/rank_test.go
@@ -27,12 +27,12 @@
 	all := members(12)
 	relays := map[string]int{}
 	for _, m := range all {
-		ways := waysOf(m.Name, m.Domain, all)
-		if ways[0].direct() {
+		upstreams := waysOf(m.Name, m.Domain, all)
+		if upstreams[0].direct() {
 			relays[m.Domain]++
 			continue
 		}
-		require.True(t, ways[0].direct() || ways[0] == upstream{addr: ranked(all)[m.Domain][0].Addr}, "all ask the same relay")
+		require.True(t, upstreams[0].direct() || upstreams[0] == upstream{addr: ranked(all)[m.Domain][0].Addr}, "all ask the same relay")
 	}
 	require.Equal(t, map[string]int{"east": 1, "west": 1, "south": 1}, relays)
 }
@@ -43,25 +43,25 @@
 	all := members(12)
 	asked := map[string]int{}
 	for _, m := range all {
-		ways := waysOf(m.Name, m.Domain, all)
+		upstreams := waysOf(m.Name, m.Domain, all)
 		relays := ranked(all)[m.Domain]
 		own := []upstream{{addr: relays[0].Addr}, {addr: relays[1].Addr}}
 		switch m.Name {
 		case relays[0].Name:
-			require.Equal(t, upstream{}, ways[0])
+			require.Equal(t, upstream{}, upstreams[0])
 		case relays[1].Name:
-			require.Equal(t, []upstream{own[0], {}}, ways[:2])
+			require.Equal(t, []upstream{own[0], {}}, upstreams[:2])
 		default:
-			require.Equal(t, own, ways[:2])
-			require.Len(t, ways, 5)
-			require.Equal(t, upstream{}, ways[4])
-			asked[ways[2].addr]++
+			require.Equal(t, own, upstreams[:2])
+			require.Len(t, upstreams, 5)
+			require.Equal(t, upstream{}, upstreams[4])
+			asked[upstreams[2].addr]++
 		}
-		for _, w := range ways {
-			require.NotEqual(t, m.Addr, w.addr)
+		for _, u := range upstreams {
+			require.NotEqual(t, m.Addr, u.addr)
 		}
-		for _, w := range ways[2:] {
-			require.NotContains(t, w.addr, m.Domain)
+		for _, u := range upstreams[2:] {
+			require.NotContains(t, u.addr, m.Domain)
 		}
 	}
 	require.Len(t, asked, 3)
--- a/relay/referral_test.go
+++ b/relay/referral_test.go
@@ -35,8 +35,8 @@
 	)
 	f := fault{kind: refused, from: settled, until: settled + outage, hits: make([]bool, len(members))}
 	for i, m := range members {
-		ways := waysOf(m.Name, m.Domain, members)
-		early := ways[0].direct() || ways[1].direct()
+		upstreams := waysOf(m.Name, m.Domain, members)
+		early := upstreams[0].direct() || upstreams[1].direct()
 		f.hits[i] = early && len(members) > 8 || i%3 == 0
 	}
 	p := newPlay(members, day{faults: []fault{f}, length: 30 * time.Second, promise: promise})
--- a/relay/source.go
+++ b/relay/source.go
@@ -95,9 +95,9 @@
 	upstreamCache upstreamCache
 
 	mu sync.Mutex
-	// sent is the moment up to which this instance has passed on its own reports on servers. marks holds the Mark of the last
-	// answer of each other instance, by address.
-	sent  time.Time
+	// sent is the moment up to which this instance has passed on its own reports on servers.
+	sent time.Time
+	// marks holds the Mark of the last answer of each other instance, by address.
 	marks map[string]time.Duration
 	// breaker decides whether the store is asked while relays refuse.
 	breaker storeBreaker
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// awaitHealthy waits up to doubtWait for a suspect store to answer the calls for other feeds, and reports whether it has. The
-// quarantine feed makes no calls of its own to find that out.
+// awaitHealthy waits for a suspect store to answer the calls for other feeds, as long as a watch on a suspect store takes,
+// and reports whether it has answered. The quarantine feed makes no calls of its own to find that out.
 func (s *Source) awaitHealthy(ctx context.Context) bool {
 	healthy := s.epoch.whenHealthy()
 	if healthy == nil {
