--- a/chain/choose.go
+++ b/chain/choose.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// handOff is the time for an activation to reach the next server of the same domain: a fraction of a millisecond on
+	// hopDelay is the time for an activation to reach the next server of the same domain: a fraction of a millisecond on
 	// the users' networks.
-	handOff = 200 * time.Microsecond
-	// crossing is what passing to another domain counts beside its delay, so that paths stay in one domain while that has
+	hopDelay = 200 * time.Microsecond
+	// crossingPenalty is what passing to another domain counts beside its delay, so that paths stay in one domain while that has
 	// room: the links between domains are shared by all.
-	crossing = 4 * time.Millisecond
-	// busyWait is the part of a server's step that a token waits on the mean for the step before it.
-	busyWait = 0.5
+	crossingPenalty = 4 * time.Millisecond
+	// meanStepWait is the part of a server's step that a token waits on the mean for the step before it.
+	meanStepWait = 0.5
 )
 
 // State tells the state of the servers at the moment of a choice.
@@ -65,8 +65,8 @@
 	return choose(g, state, need, first.Layers.End, first.Server)
 }
 
-// reach is the best known way to the boundary before a layer, with the last server in one domain.
-type reach struct {
+// partialPath is the best known way to the boundary before a layer, with the last server in one domain.
+type partialPath struct {
 	cost time.Duration
 	// node and from say how the boundary was reached; node is -1 at the start.
 	node       int
@@ -80,15 +80,15 @@
 // so that no server stands on a path twice.
 func choose(g *Graph, state State, need Need, start, used int) (Path, bool) {
 	domains := len(g.domains)
-	best := make([]reach, (g.engine.Layers+1)*domains)
+	best := make([]partialPath, (g.engine.Layers+1)*domains)
 	for i := range best {
 		best[i].cost = unreached
 	}
-	begin(g, best, need, start, used)
+	markStart(g, best, need, start, used)
 	usable := usableNodes(g, state, used)
 	for at := start; at < g.engine.Layers; at++ {
 		row := best[at*domains : (at+1)*domains]
-		if !reached(row) {
+		if !anyReached(row) {
 			continue
 		}
 		for _, n := range g.holders[at] {
@@ -101,8 +101,8 @@
 	return trace(g, best, need, start)
 }
 
-// begin marks where the path starts: in the domain of the caller or of the part that stays.
-func begin(g *Graph, best []reach, need Need, start, used int) {
+// markStart marks where the path starts: in the domain of the caller or of the part that stays.
+func markStart(g *Graph, best []partialPath, need Need, start, used int) {
 	domain := need.Domain
 	for i, n := range g.nodes {
 		if n.Server == used {
@@ -122,7 +122,7 @@
 	}
 }
 
-func reached(row []reach) bool {
+func anyReached(row []partialPath) bool {
 	for _, r := range row {
 		if r.cost != unreached {
 			return true
@@ -140,7 +140,7 @@
 }
 
 // relax goes through node n from the boundary at and keeps what is better than known before.
-func relax(g *Graph, state State, need Need, best, row []reach, n, at int) {
+func relax(g *Graph, state State, need Need, best, row []partialPath, n, at int) {
 	node := &g.nodes[n]
 	layers := node.Layers.End - at
 	if state.Room(node.Server) < float64(need.Tokens*layers) {
@@ -153,12 +153,12 @@
 		if row[d].cost == unreached {
 			continue
 		}
-		cost := row[d].cost + step + handOff
+		cost := row[d].cost + step + hopDelay
 		if d != to {
-			cost += g.delay[d][to] + crossing
+			cost += g.delay[d][to] + crossingPenalty
 		}
 		if cost < target.cost {
-			*target = reach{cost: cost, node: n, from: at, fromDomain: d}
+			*target = partialPath{cost: cost, node: n, from: at, fromDomain: d}
 		}
 	}
 }
@@ -166,11 +166,11 @@
 // nodeStep predicts what a token takes at a node: its step with one more sequence, and the wait for the step before.
 func nodeStep(g *Graph, state State, need Need, node *Node, layers int) time.Duration {
 	own := StepTime(g.engine, node.Kind, layers, state.Sequences(node.Server)+1, float64(need.Tokens))
-	return time.Duration(float64(own) * (1 + busyWait))
+	return time.Duration(float64(own) * (1 + meanStepWait))
 }
 
 // trace follows the best way back from the last layer.
-func trace(g *Graph, best []reach, need Need, start int) (Path, bool) {
+func trace(g *Graph, best []partialPath, need Need, start int) (Path, bool) {
 	domains := len(g.domains)
 	at, domain := g.engine.Layers, -1
 	for d := range domains {
--- a/chain/lanes_test.go
+++ b/chain/lanes_test.go
@@ -34,8 +34,8 @@
 	return chain.NewGraph(e, nodes), nodes
 }
 
-func always(int) bool   { return true }
-func usual(int) float64 { return 1 }
+func allUsable(int) bool    { return true }
+func usualPace(int) float64 { return 1 }
 
 var need = chain.Need{Prompt: 700, Tokens: 900, Domain: "a"}
 
@@ -58,7 +58,7 @@
 		g, nodes := drawGraph(t)
 		e := g.Engine()
 		used := map[int]float64{}
-		for _, l := range chain.Lanes(g, always, usual, need) {
+		for _, l := range chain.Lanes(g, allUsable, usualPace, need) {
 			requireTiles(t, nodes, l.Hops, e.Layers)
 			require.Positive(t, l.Sequences)
 			for _, h := range l.Hops {
@@ -77,18 +77,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g, nodes := drawGraph(t)
 		e := g.Engine()
-		bytes := map[[2]string]float64{}
-		for _, l := range chain.Lanes(g, always, usual, need) {
-			life := time.Duration(e.UsualAnswer)*l.Step + l.Read
+		rates := map[[2]string]float64{}
+		for _, l := range chain.Lanes(g, allUsable, usualPace, need) {
+			lifetime := time.Duration(e.UsualAnswer)*l.Step + l.Read
 			for i := 1; i < len(l.Hops); i++ {
 				a, b := nodes[l.Hops[i-1].Server].Domain, nodes[l.Hops[i].Server].Domain
 				if a != b {
-					bytes[[2]string{min(a, b), max(a, b)}] += l.Sequences * e.ActivationBytes * float64(need.Tokens) / life.Seconds()
+					rates[[2]string{min(a, b), max(a, b)}] += l.Sequences * e.ActivationBytes * float64(need.Tokens) / lifetime.Seconds()
 				}
 			}
 		}
-		for pipe, sent := range bytes {
-			require.LessOrEqual(t, sent*8/1e6, e.PipeMbps, "%v", pipe)
+		for pair, rate := range rates {
+			require.LessOrEqual(t, rate*8/1e6, e.PipeMbps, "%v", pair)
 		}
 	})
 }
@@ -128,11 +128,11 @@
 	})
 }
 
-func TestARepairKeepsTheFirstPartAndTilesTheRest(t *testing.T) {
+func TestExtendKeepsTheFirstStageAndTilesTheRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, nodes := drawGraph(t)
 		s := drawState(t, nodes)
-		p, ok := chain.Choose(g, state{usable: trues(len(nodes)), room: plenty(len(nodes))}, need)
+		p, ok := chain.Choose(g, state{usable: allTrue(len(nodes)), room: ampleRoom(len(nodes))}, need)
 		if !ok {
 			return
 		}
@@ -145,7 +145,7 @@
 	})
 }
 
-func trues(n int) []bool {
+func allTrue(n int) []bool {
 	out := make([]bool, n)
 	for i := range out {
 		out[i] = true
@@ -153,7 +153,7 @@
 	return out
 }
 
-func plenty(n int) []float64 {
+func ampleRoom(n int) []float64 {
 	out := make([]float64, n)
 	for i := range out {
 		out[i] = 1e9
@@ -161,13 +161,13 @@
 	return out
 }
 
-func TestASlowServerGetsLess(t *testing.T) {
+func TestSlowServerGetsNarrowerLane(t *testing.T) {
 	e := engine()
 	whole := models.Layers{First: 0, End: e.Layers}
 	g := chain.NewGraph(e, []chain.Node{
 		{Server: 0, Domain: "a", Kind: e.Kind("fast"), Layers: whole}, {Server: 1, Domain: "a", Kind: e.Kind("fast"), Layers: whole},
 	})
-	lanes := chain.Lanes(g, always, func(i int) float64 { return float64(1 + 3*i) }, need)
+	lanes := chain.Lanes(g, allUsable, func(i int) float64 { return float64(1 + 3*i) }, need)
 	require.Len(t, lanes, 2)
 	require.InDelta(t, lanes[0].Sequences, 4*lanes[1].Sequences, 1e-6)
 }
--- a/chain/mend.go
+++ b/chain/mend.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// crossingQueue is how many times longer than alone a repaired stream's tokens take between domains: a server that is
+	// crossingContention is how many times longer than alone a repaired stream's tokens take between domains: a server that is
 	// lost sends many streams over the same link at once.
-	crossingQueue = 4.0
+	crossingContention = 4.0
 )
 
 // Repair is what a path that has lost parts asks for.
@@ -43,14 +43,14 @@
 			gap.End = r.Hops[i].Layers.End
 			i++
 		}
-		m := &mender{graph: g, state: state, repair: r, used: used, gap: gap, before: -1, after: -1}
+		filler := &gapFiller{graph: g, state: state, repair: r, used: used, gap: gap, domainBefore: -1, domainAfter: -1}
 		if len(out) > 0 {
-			m.before = g.domainOfServer(out[len(out)-1].Server)
+			filler.domainBefore = g.domainOfServer(out[len(out)-1].Server)
 		}
 		if i < len(r.Hops) {
-			m.after = g.domainOfServer(r.Hops[i].Server)
+			filler.domainAfter = g.domainOfServer(r.Hops[i].Server)
 		}
-		hops, ok := m.fill()
+		hops, ok := filler.fill()
 		if !ok {
 			return nil, false
 		}
@@ -62,93 +62,93 @@
 	return out, true
 }
 
-// mender fills one gap of a path.
-type mender struct {
+// gapFiller fills one gap of a path.
+type gapFiller struct {
 	graph  *Graph
 	state  State
 	repair Repair
 	used   map[int]bool
 	gap    models.Layers
-	// before and after are the domains of the parts next to the gap, -1 where there is none.
-	before, after int
-	best          []reach
+	// domainBefore and domainAfter are the domains of the parts next to the gap, -1 where there is none.
+	domainBefore, domainAfter int
+	best                      []partialPath
 }
 
 // fill finds the cheapest way through the gap, over boundaries and the domain of the last server.
-func (m *mender) fill() ([]Hop, bool) {
-	domains := len(m.graph.domains)
-	m.best = make([]reach, (m.gap.Count()+1)*domains)
-	for i := range m.best {
-		m.best[i].cost = unreached
+func (f *gapFiller) fill() ([]Hop, bool) {
+	domains := len(f.graph.domains)
+	f.best = make([]partialPath, (f.gap.Count()+1)*domains)
+	for i := range f.best {
+		f.best[i].cost = unreached
 	}
 	for d := range domains {
-		if m.before < 0 || m.before == d {
-			m.best[d] = reach{node: -1}
+		if f.domainBefore < 0 || f.domainBefore == d {
+			f.best[d] = partialPath{node: -1}
 		}
 	}
-	for at := m.gap.First; at < m.gap.End; at++ {
-		if !reached(m.row(at)) {
+	for at := f.gap.First; at < f.gap.End; at++ {
+		if !anyReached(f.row(at)) {
 			continue
 		}
-		for _, n := range m.graph.holders[at] {
-			m.extend(n, at)
+		for _, n := range f.graph.holders[at] {
+			f.extend(n, at)
 		}
 	}
-	return m.trace()
+	return f.trace()
 }
 
-func (m *mender) row(at int) []reach {
-	domains := len(m.graph.domains)
-	first := (at - m.gap.First) * domains
-	return m.best[first : first+domains]
+func (f *gapFiller) row(at int) []partialPath {
+	domains := len(f.graph.domains)
+	first := (at - f.gap.First) * domains
+	return f.best[first : first+domains]
 }
 
 // extend goes through node n from the boundary at, to the end of its range or of the gap.
-func (m *mender) extend(n, at int) {
-	node := &m.graph.nodes[n]
-	if m.used[node.Server] || m.repair.Lost(node.Server) || !m.state.Usable(node.Server) {
+func (f *gapFiller) extend(n, at int) {
+	node := &f.graph.nodes[n]
+	if f.used[node.Server] || f.repair.Lost(node.Server) || !f.state.Usable(node.Server) {
 		return
 	}
-	end := min(node.Layers.End, m.gap.End)
-	if m.state.Room(node.Server) < float64(m.repair.Tokens*(end-at)) {
+	end := min(node.Layers.End, f.gap.End)
+	if f.state.Room(node.Server) < float64(f.repair.Tokens*(end-at)) {
 		return
 	}
-	read := ReadTime(m.graph.engine, node.Kind, end-at, m.repair.Tokens) + handOff
-	cost := time.Duration(float64(read) * m.state.Penalty(node.Server) * m.repair.Spread())
-	to := m.graph.domain[n]
-	target := &m.row(end)[to]
-	for d, from := range m.row(at) {
+	read := ReadTime(f.graph.engine, node.Kind, end-at, f.repair.Tokens) + hopDelay
+	cost := time.Duration(float64(read) * f.state.Penalty(node.Server) * f.repair.Spread())
+	to := f.graph.domain[n]
+	target := &f.row(end)[to]
+	for d, from := range f.row(at) {
 		if from.cost == unreached {
 			continue
 		}
-		total := from.cost + cost + m.crossing(d, to)
-		if end == m.gap.End && m.after >= 0 {
-			total += m.crossing(to, m.after)
+		total := from.cost + cost + f.crossingCost(d, to)
+		if end == f.gap.End && f.domainAfter >= 0 {
+			total += f.crossingCost(to, f.domainAfter)
 		}
 		if total < target.cost {
-			*target = reach{cost: total, node: n, from: at, fromDomain: d}
+			*target = partialPath{cost: total, node: n, from: at, fromDomain: d}
 		}
 	}
 }
 
-// crossing returns what it takes to send the stream's tokens from one domain to another.
-func (m *mender) crossing(from, to int) time.Duration {
+// crossingCost returns what it takes to send the stream's tokens from one domain to another.
+func (f *gapFiller) crossingCost(from, to int) time.Duration {
 	if from == to {
 		return 0
 	}
-	e := m.graph.engine
-	cost := m.graph.delay[from][to] + crossing
+	e := f.graph.engine
+	cost := f.graph.delay[from][to] + crossingPenalty
 	if e.PipeMbps > 0 {
-		seconds := crossingQueue * float64(m.repair.Tokens) * e.ActivationBytes / (e.PipeMbps * megabit)
+		seconds := crossingContention * float64(f.repair.Tokens) * e.ActivationBytes / (e.PipeMbps * megabit)
 		cost += time.Duration(seconds * float64(time.Second))
 	}
 	return cost
 }
 
-func (m *mender) trace() ([]Hop, bool) {
-	at, domain := m.gap.End, -1
-	for d, r := range m.row(at) {
-		if r.cost != unreached && (domain < 0 || r.cost < m.row(at)[domain].cost) {
+func (f *gapFiller) trace() ([]Hop, bool) {
+	at, domain := f.gap.End, -1
+	for d, r := range f.row(at) {
+		if r.cost != unreached && (domain < 0 || r.cost < f.row(at)[domain].cost) {
 			domain = d
 		}
 	}
@@ -156,9 +156,9 @@
 		return nil, false
 	}
 	var hops []Hop
-	for at > m.gap.First {
-		r := m.row(at)[domain]
-		hops = append([]Hop{{Server: m.graph.nodes[r.node].Server, Layers: models.Layers{First: r.from, End: at}}}, hops...)
+	for at > f.gap.First {
+		r := f.row(at)[domain]
+		hops = append([]Hop{{Server: f.graph.nodes[r.node].Server, Layers: models.Layers{First: r.from, End: at}}}, hops...)
 		at, domain = r.from, r.fromDomain
 	}
 	return hops, true
--- a/chain/mend_test.go
+++ b/chain/mend_test.go
@@ -12,13 +12,13 @@
 	"junctioncross/models"
 )
 
-// roomy is a chain.State of servers with room; those that are named have none.
-type roomy struct{ full map[int]bool }
+// stubState is a chain.State of servers with room; those that are named have none.
+type stubState struct{ full map[int]bool }
 
-func (roomy) Usable(int) bool       { return true }
-func (roomy) Sequences(int) float64 { return 0 }
-func (roomy) Penalty(int) float64   { return 1 }
-func (p roomy) Room(s int) float64 {
+func (stubState) Usable(int) bool       { return true }
+func (stubState) Sequences(int) float64 { return 0 }
+func (stubState) Penalty(int) float64   { return 1 }
+func (p stubState) Room(s int) float64 {
 	if p.full[s] {
 		return 0
 	}
@@ -36,14 +36,14 @@
 	return chain.Node{Server: server, Domain: domain, Kind: &e.Kinds[0], Layers: models.Layers{First: first, End: end}}
 }
 
-func evenly() float64 { return 1 }
+func noJitter() float64 { return 1 }
 
 func hop(server, first, end int) chain.Hop {
 	return chain.Hop{Server: server, Layers: models.Layers{First: first, End: end}}
 }
 
-// TestARepairKeepsTheSoundPartsAndStaysInTheDomain loses the middle part of three; the fastest way would be elsewhere.
-func TestARepairKeepsTheSoundPartsAndStaysInTheDomain(t *testing.T) {
+// TestRepairKeepsOtherStagesAndStaysInTheDomain loses the middle part of three; the fastest way would be elsewhere.
+func TestRepairKeepsOtherStagesAndStaysInTheDomain(t *testing.T) {
 	e := mendEngine()
 	e.Kinds = append(e.Kinds, catalog.Kind{Name: "fast", MemoryMB: 1000, StepPace: 0.01, ReadPace: 0.01})
 	fast := node(e, 4, "b", 0, 12)
@@ -52,17 +52,17 @@
 		node(e, 0, "a", 0, 4), node(e, 1, "a", 4, 8), node(e, 2, "a", 8, 12), node(e, 3, "a", 3, 9), fast,
 	})
 	r := chain.Repair{
-		Hops: []chain.Hop{hop(0, 0, 4), hop(1, 4, 8), hop(2, 8, 12)}, Lost: func(s int) bool { return s == 1 }, Tokens: 500, Spread: evenly,
+		Hops: []chain.Hop{hop(0, 0, 4), hop(1, 4, 8), hop(2, 8, 12)}, Lost: func(s int) bool { return s == 1 }, Tokens: 500, Spread: noJitter,
 	}
-	hops, ok := chain.Mend(g, roomy{}, r)
+	hops, ok := chain.Mend(g, stubState{}, r)
 	require.True(t, ok)
 	require.Equal(t, []chain.Hop{hop(0, 0, 4), hop(3, 4, 8), hop(2, 8, 12)}, hops)
 
-	hops, ok = chain.Mend(g, roomy{full: map[int]bool{3: true}}, r)
+	hops, ok = chain.Mend(g, stubState{full: map[int]bool{3: true}}, r)
 	require.True(t, ok)
 	require.Equal(t, []chain.Hop{hop(0, 0, 4), hop(4, 4, 8), hop(2, 8, 12)}, hops, "another domain when the own has no room")
 
-	_, ok = chain.Mend(g, roomy{full: map[int]bool{3: true, 4: true}}, r)
+	_, ok = chain.Mend(g, stubState{full: map[int]bool{3: true, 4: true}}, r)
 	require.False(t, ok)
 }
 
@@ -77,7 +77,7 @@
 			nodes = append(nodes, node(e, s, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"), first, end))
 		}
 		g := chain.NewGraph(e, nodes)
-		path, ok := chain.Choose(g, roomy{}, chain.Need{Prompt: 10, Tokens: 20, Domain: "a"})
+		path, ok := chain.Choose(g, stubState{}, chain.Need{Prompt: 10, Tokens: 20, Domain: "a"})
 		if !ok {
 			return
 		}
@@ -85,8 +85,8 @@
 		for _, s := range rapid.SliceOf(rapid.IntRange(0, len(nodes)-1)).Draw(t, "lost") {
 			lost[s] = true
 		}
-		r := chain.Repair{Hops: path.Hops, Lost: func(s int) bool { return lost[s] }, Tokens: 100, Spread: evenly}
-		hops, ok := chain.Mend(g, roomy{}, r)
+		r := chain.Repair{Hops: path.Hops, Lost: func(s int) bool { return lost[s] }, Tokens: 100, Spread: noJitter}
+		hops, ok := chain.Mend(g, stubState{}, r)
 		if !ok {
 			return
 		}
