--- a/leader/work.go
+++ b/leader/work.go
@@ -134,7 +134,7 @@
 	now := w.leader.clock.Now()
 	for i := range servers {
 		s := &servers[i]
-		s.Stays = w.arrivals[s.Domain].underWay(now, missing[s.Domain])
+		s.Pinned = w.arrivals[s.Domain].underWay(now, missing[s.Domain])
 	}
 }
 
@@ -144,7 +144,7 @@
 	now := w.leader.clock.Now()
 	for i := range servers {
 		s := &servers[i]
-		s.Waits = s.Layers.Count() == 0 && missing[s.Domain] <= cutOffShare && now.Sub(w.known[s.ID]) < replaceTime
+		s.Reserved = s.Layers.Count() == 0 && missing[s.Domain] <= cutOffShare && now.Sub(w.known[s.ID]) < replaceTime
 	}
 }
 
--- a/placement/cover.go
+++ b/placement/cover.go
@@ -8,36 +8,36 @@
 	"junctioncross/models"
 )
 
-// cover holds for each layer the number of sequences that its holders have memory for, in all and by domain.
-type cover struct {
-	engine *catalog.Engine
-	all    []float64
-	domain map[string][]float64
+// coverageMap holds for each layer the number of sequences that its holders have memory for, in all and by domain.
+type coverageMap struct {
+	engine   *catalog.Engine
+	all      []float64
+	byDomain map[string][]float64
 	// fastest holds the step time of the fastest server that was ever counted as a holder, by domain and layer; 0 means none.
 	fastest map[string][]time.Duration
 }
 
-func newCover(e *catalog.Engine, servers []Server) *cover {
-	c := &cover{engine: e, all: make([]float64, e.Layers), domain: map[string][]float64{}, fastest: map[string][]time.Duration{}}
+func newCoverageMap(e *catalog.Engine, servers []Server) *coverageMap {
+	c := &coverageMap{engine: e, all: make([]float64, e.Layers), byDomain: map[string][]float64{}, fastest: map[string][]time.Duration{}}
 	for i := range servers {
 		c.add(&servers[i], servers[i].Layers, 1)
 	}
 	return c
 }
 
-func (c *cover) in(domain string) []float64 {
-	d := c.domain[domain]
+func (c *coverageMap) ofDomain(domain string) []float64 {
+	d := c.byDomain[domain]
 	if d == nil {
 		d = make([]float64, c.engine.Layers)
-		c.domain[domain] = d
+		c.byDomain[domain] = d
 		c.fastest[domain] = make([]time.Duration, c.engine.Layers)
 	}
 	return d
 }
 
 // add counts a server as a holder of a range; sign -1 takes it off again.
-func (c *cover) add(s *Server, r models.Layers, sign float64) {
-	d := c.in(s.Domain)
+func (c *coverageMap) add(s *Server, r models.Layers, sign float64) {
+	d := c.ofDomain(s.Domain)
 	own := time.Duration(math.MaxInt64)
 	if s.Kind != nil {
 		own = stepTime(c.engine, s.Kind)
@@ -53,37 +53,37 @@
 }
 
 const (
-	// missingEverywhere and missingHere weigh a layer that has no holder at all, or none in the domain, against one whose
+	// missingInFleet and missingHere weigh a layer that has no holder at all, or none in the domain, against one whose
 	// holders have room for wantedSequences, which counts about 1: without any holder nothing is answered, without one in
 	// the domain paths cross.
-	missingEverywhere = 10000.0
-	missingHere       = 100.0
+	missingInFleet  = 10000.0
+	missingInDomain = 100.0
 	// loadCost weighs a layer that has to be loaded: seconds of one server, against a missing layer that sends all paths of
 	// its domain elsewhere.
 	loadCost = 2.0
-	// least is what is left by rounding where there is no holder.
-	least = 0.5
+	// minRoom is what is left by rounding where there is no holder.
+	minRoom = 0.5
 )
 
-// value returns what another holder of layer l in the domain would add: the less the more room its holders have.
-func (c *cover) value(domain []float64, l int) float64 {
+// layerValue returns what another holder of layer l in the domain would add: the less the more room its holders have.
+func (c *coverageMap) layerValue(domain []float64, l int) float64 {
 	switch {
-	case c.all[l] < least:
-		return missingEverywhere
-	case domain[l] < least:
-		return missingHere
+	case c.all[l] < minRoom:
+		return missingInFleet
+	case domain[l] < minRoom:
+		return missingInDomain
 	default:
 		share := domain[l]/wantedSequences + 0.1
 		return 1 / (share * share)
 	}
 }
 
-// best returns the range of n layers that adds most in the domain, the first one where several do.
-func (c *cover) best(domain string, n int) (models.Layers, float64) {
-	d := c.in(domain)
+// bestRange returns the range of n layers that adds most in the domain, the first one where several do.
+func (c *coverageMap) bestRange(domain string, n int) (models.Layers, float64) {
+	d := c.ofDomain(domain)
 	sums := make([]float64, c.engine.Layers+1)
 	for l := range c.engine.Layers {
-		sums[l+1] = sums[l] + c.value(d, l)
+		sums[l+1] = sums[l] + c.layerValue(d, l)
 	}
 	best, highest := 0, -1.0
 	for first := 0; first+n <= c.engine.Layers; first++ {
@@ -96,27 +96,27 @@
 }
 
 // rangeValue returns what the holder of a range adds.
-func (c *cover) rangeValue(domain string, r models.Layers) float64 {
-	d := c.in(domain)
+func (c *coverageMap) rangeValue(domain string, r models.Layers) float64 {
+	d := c.ofDomain(domain)
 	total := 0.0
 	for l := max(r.First, 0); l < min(r.End, c.engine.Layers); l++ {
-		total += c.value(d, l)
+		total += c.layerValue(d, l)
 	}
 	return total
 }
 
-// liveCover counts only what servers hold now.
-func liveCover(e *catalog.Engine, servers []Server) *cover {
+// settledCoverageMap counts only what servers hold now.
+func settledCoverageMap(e *catalog.Engine, servers []Server) *coverageMap {
 	settled := make([]Server, 0, len(servers))
 	for _, s := range servers {
 		if s.Settled {
 			settled = append(settled, s)
 		}
 	}
-	return newCover(e, settled)
+	return newCoverageMap(e, settled)
 }
 
-// spares reports whether every layer of a server has another holder in its domain.
-func (c *cover) spares(s *Server) bool {
-	return c.covers(s, models.Layers{})
+// isRedundant reports whether every layer of a server has another holder in its domain.
+func (c *coverageMap) isRedundant(s *Server) bool {
+	return c.othersHold(s, models.Layers{})
 }
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -13,9 +13,9 @@
 	// wantedSequences is the number of sequences that a server should have memory for beside its layers. More leave less memory for layers:
 	// with one bare copy of the model in each domain the loss of one server sends all paths of its domain over the links between domains.
 	wantedSequences = 96
-	// standInSequences is the same for a server whose layers all have another holder in its domain that is as fast: it stands in
+	// backupSequences is the same for a server whose layers all have another holder in its domain that is as fast: it stands in
 	// for servers that are lost and takes what they have no memory for, and covers more layers with less room.
-	standInSequences = 48
+	backupSequences = 48
 )
 
 // Server is a server as the decision sees it.
@@ -27,10 +27,10 @@
 	Layers models.Layers
 	// Settled servers can take an order now.
 	Settled bool
-	// Stays is true for a server that shall not give up layers now.
-	Stays bool
-	// Waits is true for an empty server that gets layers only when some are missing in its domain, since others may leave soon.
-	Waits bool
+	// Pinned is true for a server that shall not give up layers now.
+	Pinned bool
+	// Reserved is true for an empty server that gets layers only when some are missing in its domain, since others may leave soon.
+	Reserved bool
 }
 
 // Order says what one server should hold from now on.
@@ -41,8 +41,8 @@
 	Moves bool
 }
 
-// tokens returns the tokens that a usual request holds at its end.
-func tokens(e *catalog.Engine) float64 { return float64(max(e.UsualPrompt+e.UsualAnswer, 1)) }
+// usualTokens returns the usualTokens that a usual request holds at its end.
+func usualTokens(e *catalog.Engine) float64 { return float64(max(e.UsualPrompt+e.UsualAnswer, 1)) }
 
 // LayersOf returns how many layers a server of a kind should hold so that its memory has room for the sequences.
 func LayersOf(e *catalog.Engine, k *catalog.Kind, sequences int) int {
@@ -51,7 +51,7 @@
 
 // layerMB returns the memory that a layer takes with that of the sequences beside it.
 func layerMB(e *catalog.Engine, sequences int) float64 {
-	return e.LayerMB + float64(sequences)*tokens(e)*e.LayerBytes()/1e6
+	return e.LayerMB + float64(sequences)*usualTokens(e)*e.LayerBytes()/1e6
 }
 
 // sequencesOf returns the number of usual sequences that a server has memory for beside that many layers.
@@ -59,13 +59,13 @@
 	if k == nil || layers < 1 {
 		return 0
 	}
-	return chain.Room(e, k, layers) / (tokens(e) * float64(layers))
+	return chain.Room(e, k, layers) / (usualTokens(e) * float64(layers))
 }
 
 // Decide returns the orders that bring the servers nearer to what they should hold.
 func Decide(e *catalog.Engine, servers []Server) []Order {
-	c := newCover(e, servers)
-	if orders := append(fill(c, servers), replace(c, servers)...); len(orders) > 0 {
+	c := newCoverageMap(e, servers)
+	if orders := append(fillEmpty(c, servers), replaceLost(c, servers)...); len(orders) > 0 {
 		return orders
 	}
 	if orders := move(e, c, servers); len(orders) > 0 {
@@ -74,28 +74,28 @@
 	return retile(e, servers)
 }
 
-// fill gives layers to the servers that hold none, domain by domain, since each shall have a whole copy, and the fastest first, so
+// fillEmpty gives layers to the servers that hold none, domain by domain, since each shall have a whole copy, and the fastest first, so
 // that slow ones only hold what is left and stand in for others: every token passes each layer, and an answer that takes longer
 // holds its memory for longer.
-func fill(c *cover, servers []Server) []Order {
+func fillEmpty(c *coverageMap, servers []Server) []Order {
 	var free []*Server
 	for i := range servers {
-		if s := &servers[i]; s.Settled && s.Layers.Count() == 0 && s.Kind != nil && !s.Waits {
+		if s := &servers[i]; s.Settled && s.Layers.Count() == 0 && s.Kind != nil && !s.Reserved {
 			free = append(free, s)
 		}
 	}
-	sort.Slice(free, func(i, j int) bool { return before(c.engine, free[i], free[j]) })
+	sort.Slice(free, func(i, j int) bool { return placedBefore(c.engine, free[i], free[j]) })
 	orders := make([]Order, 0, len(free))
-	left := c.spareLayers(servers)
+	budget := c.countLayers(servers)
 	for _, s := range free {
 		usual := LayersOf(c.engine, s.Kind, wantedSequences)
-		r, ok := c.choose(s, left.mayStandIn(s.Domain, usual, c.engine.Layers))
+		r, ok := c.choose(s, budget.mayBeBackup(s.Domain, usual, c.engine.Layers))
 		if !ok {
 			continue
 		}
-		left.free[s.Domain] -= usual
+		budget.free[s.Domain] -= usual
 		if r.Count() > usual {
-			left.standing[s.Domain] += usual
+			budget.backup[s.Domain] += usual
 		}
 		c.add(s, r, 1)
 		orders = append(orders, Order{ID: s.ID, Layers: r})
@@ -104,20 +104,20 @@
 }
 
 // choose returns the range that an empty server should hold.
-func (c *cover) choose(s *Server, mayStandIn bool) (models.Layers, bool) {
+func (c *coverageMap) choose(s *Server, mayBeBackup bool) (models.Layers, bool) {
 	n := LayersOf(c.engine, s.Kind, wantedSequences)
 	if n == 0 {
 		return models.Layers{}, false
 	}
-	r, _ := c.best(s.Domain, n)
-	if mayStandIn && c.standsIn(s, r) {
-		r, _ = c.best(s.Domain, LayersOf(c.engine, s.Kind, standInSequences))
+	r, _ := c.bestRange(s.Domain, n)
+	if mayBeBackup && c.isBackup(s, r) {
+		r, _ = c.bestRange(s.Domain, LayersOf(c.engine, s.Kind, backupSequences))
 	}
 	return r, true
 }
 
-// standsIn reports whether every layer of a range has another holder in the server's domain that is as fast.
-func (c *cover) standsIn(s *Server, r models.Layers) bool {
+// isBackup reports whether every layer of a range has another holder in the server's domain that is as fast.
+func (c *coverageMap) isBackup(s *Server, r models.Layers) bool {
 	fastest, own := c.fastest[s.Domain], stepTime(c.engine, s.Kind)
 	for l := r.First; l < r.End; l++ {
 		if fastest[l] == 0 || fastest[l] > own {
@@ -130,13 +130,13 @@
 // stepTime returns how long a token step of all layers keeps a kind busy with wantedSequences, with its part of reading: while each
 // answer goes on, the prompt of another one is read.
 func stepTime(e *catalog.Engine, k *catalog.Kind) time.Duration {
-	step := chain.StepTime(e, k, e.Layers, wantedSequences, tokens(e))
+	step := chain.StepTime(e, k, e.Layers, wantedSequences, usualTokens(e))
 	reading := chain.ReadTime(e, k, e.Layers, e.UsualPrompt)
 	return step + wantedSequences*reading/time.Duration(max(e.UsualAnswer, 1))
 }
 
-// before says which of two empty servers gets layers first.
-func before(e *catalog.Engine, a, b *Server) bool {
+// placedBefore says which of two empty servers gets layers first.
+func placedBefore(e *catalog.Engine, a, b *Server) bool {
 	switch timeA, timeB := stepTime(e, a.Kind), stepTime(e, b.Kind); {
 	case a.Domain != b.Domain:
 		return a.Domain < b.Domain
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -71,13 +71,13 @@
 	return models.Layers{First: max(a.First, b.First), End: max(min(a.End, b.End), max(a.First, b.First))}
 }
 
-func hall(e *catalog.Engine) []placement.Server {
+func mixedDomain(e *catalog.Engine) []placement.Server {
 	return servers(e, "a", "mid", "mid", "small", "small", "small", "small", "tiny", "tiny", "tiny", "tiny", "tiny", "tiny", "tiny")
 }
 
-func TestEachDomainThatCanGetsAWholeCopy(t *testing.T) {
+func TestEachDomainWithEnoughMemoryGetsAWholeCopy(t *testing.T) {
 	e := engine()
-	all := append(hall(e), servers(e, "b", "big", "mid", "small", "small", "small", "small", "small", "tiny", "tiny", "tiny")...)
+	all := append(mixedDomain(e), servers(e, "b", "big", "mid", "small", "small", "small", "small", "small", "tiny", "tiny", "tiny")...)
 	apply(all, placement.Decide(e, all))
 	require.Zero(t, missing(e, all, "a"))
 	require.Zero(t, missing(e, all, "b"))
@@ -104,10 +104,10 @@
 	})
 }
 
-// TestAHoleIsFilledBySpareServersOnly loses each server of a hall in turn; a move must not open another hole.
-func TestAHoleIsFilledBySpareServersOnly(t *testing.T) {
+// TestMissingLayersAreFilledByRedundantServersOnly loses each server of a hall in turn; a move must not open another hole.
+func TestMissingLayersAreFilledByRedundantServersOnly(t *testing.T) {
 	e := engine()
-	full := hall(e)
+	full := mixedDomain(e)
 	apply(full, placement.Decide(e, full))
 	for lost := range full {
 		all := without(full, lost)
@@ -133,7 +133,7 @@
 
 func TestAServerThatComesBackTakesWhatIsMissing(t *testing.T) {
 	e := engine()
-	all := hall(e)
+	all := mixedDomain(e)
 	apply(all, placement.Decide(e, all))
 	all[2].Layers = models.Layers{}
 	orders := placement.Decide(e, all)
@@ -143,12 +143,12 @@
 	require.Zero(t, missing(e, all, "a"))
 }
 
-// TestADomainThatLostServersForGoodIsTiledAnew takes servers away until there are none to spare, and follows the orders
+// TestDomainThatLostServersForGoodIsRetiled takes servers away until there are none to spare, and follows the orders
 // until nothing is left to do; no layer may lose its last holder on the way.
-func TestADomainThatLostServersForGoodIsTiledAnew(t *testing.T) {
+func TestDomainThatLostServersForGoodIsRetiled(t *testing.T) {
 	e := engine()
 	rapid.Check(t, func(t *rapid.T) {
-		all := hall(e)
+		all := mixedDomain(e)
 		apply(all, placement.Decide(e, all))
 		for range rapid.IntRange(1, 3).Draw(t, "lost") {
 			i := rapid.IntRange(2, len(all)-1).Draw(t, "server")
@@ -168,22 +168,22 @@
 	})
 }
 
-// TestServersThatStayAreNotMoved opens a hole in a domain whose entries may still come back.
-func TestServersThatStayAreNotMoved(t *testing.T) {
+// TestPinnedServersAreNotMoved opens a hole in a domain whose entries may still come back.
+func TestPinnedServersAreNotMoved(t *testing.T) {
 	e := engine()
-	full := hall(e)
+	full := mixedDomain(e)
 	apply(full, placement.Decide(e, full))
 	for lost := range full {
 		all := without(full, lost)
 		for i := range all {
-			all[i].Stays = true
+			all[i].Pinned = true
 		}
 		require.Empty(t, placement.Decide(e, all))
 	}
 }
 
-// TestFastServersHoldTheUsualPath fills a hall whose fast servers can hold nearly the whole model.
-func TestFastServersHoldTheUsualPath(t *testing.T) {
+// TestFastServersHoldDifferentLayers fills a hall whose fast servers can hold nearly the whole model.
+func TestFastServersHoldDifferentLayers(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "tiny", "small", "big", "tiny", "big", "small", "mid", "small")
 	apply(all, placement.Decide(e, all))
@@ -200,8 +200,8 @@
 	require.GreaterOrEqual(t, held, 60)
 }
 
-// TestAServerThatStandsInCoversMoreWithLessRoom adds a server to a domain that has a whole copy.
-func TestAServerThatStandsInCoversMoreWithLessRoom(t *testing.T) {
+// TestBackupServerHoldsMoreLayersWithLessRoom adds a server to a domain that has a whole copy.
+func TestBackupServerHoldsMoreLayersWithLessRoom(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "big", "big", "big")
 	apply(all, placement.Decide(e, all))
@@ -212,8 +212,8 @@
 	require.Greater(t, orders[0].Layers.Count(), placement.LayersOf(e, extra.Kind, 96))
 }
 
-// TestServersThatMakeUpAnotherCopyDoNotStandIn fills a domain with memory for two and a half copies.
-func TestServersThatMakeUpAnotherCopyDoNotStandIn(t *testing.T) {
+// TestServersOfAnotherWholeCopyAreNoBackups fills a domain with memory for two and a half copies.
+func TestServersOfAnotherWholeCopyAreNoBackups(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "big", "big", "big", "big", "big", "big", "small", "small", "small", "small")
 	apply(all, placement.Decide(e, all))
@@ -230,8 +230,8 @@
 	require.Positive(t, wide, "what is left over stands in")
 }
 
-// TestCardsThatReadSlowlyComeLater fills a domain with two kinds of nearly the same step; one reads prompts half as fast.
-func TestCardsThatReadSlowlyComeLater(t *testing.T) {
+// TestKindsThatReadPromptsSlowlyArePlacedLater fills a domain with two kinds of nearly the same step; one reads prompts half as fast.
+func TestKindsThatReadPromptsSlowlyArePlacedLater(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "tiny", "tiny", "small", "small")
 	apply(all, placement.Decide(e, all))
--- a/placement/move.go
+++ b/placement/move.go
@@ -7,19 +7,19 @@
 //
 // A server that holds the only copy of a layer in its domain stays where it is, whatever it could cover: its layers would be
 // missing for as long as the new ones load.
-func move(e *catalog.Engine, c *cover, servers []Server) []Order {
-	live := liveCover(e, servers)
+func move(e *catalog.Engine, c *coverageMap, servers []Server) []Order {
+	live := settledCoverageMap(e, servers)
 	var best Order
 	highest := 0.0
 	for i := range servers {
 		s := &servers[i]
-		if !s.Settled || s.Stays || s.Layers.Count() == 0 || s.Kind == nil || !live.spares(s) {
+		if !s.Settled || s.Pinned || s.Layers.Count() == 0 || s.Kind == nil || !live.isRedundant(s) {
 			continue
 		}
 		c.add(s, s.Layers, -1)
-		r, gain := c.best(s.Domain, s.Layers.Count())
+		r, gain := c.bestRange(s.Domain, s.Layers.Count())
 		gain -= c.rangeValue(s.Domain, s.Layers) + loadCost*float64(r.Count())
-		if gain >= missingHere/2 && gain > highest {
+		if gain >= missingInDomain/2 && gain > highest {
 			best, highest = Order{ID: s.ID, Layers: r, Moves: true}, gain
 		}
 		c.add(s, s.Layers, 1)
--- a/placement/replace_test.go
+++ b/placement/replace_test.go
@@ -9,14 +9,14 @@
 	"junctioncross/placement"
 )
 
-// TestThoseWhoWaitTakeOnlyWhatIsMissing adds a large and a small empty server to a domain and lets one of its servers leave.
-func TestThoseWhoWaitTakeOnlyWhatIsMissing(t *testing.T) {
+// TestReservedServersTakeOnlyMissingLayers adds a large and a small empty server to a domain and lets one of its servers leave.
+func TestReservedServersTakeOnlyMissingLayers(t *testing.T) {
 	e := engine()
-	all := hall(e)
+	all := mixedDomain(e)
 	apply(all, placement.Decide(e, all))
 	newer := servers(e, "a", "mid", "tiny")
 	for i := range newer {
-		newer[i].ID, newer[i].Waits = "n"+newer[i].Kind.Name, true
+		newer[i].ID, newer[i].Reserved = "n"+newer[i].Kind.Name, true
 	}
 	require.Empty(t, placement.Decide(e, append(all, newer...)), "nothing is missing")
 	for i, s := range all {
@@ -36,14 +36,14 @@
 	}
 }
 
-// TestThoseWhoWaitFillSeveralHoles lets two servers leave at once.
-func TestThoseWhoWaitFillSeveralHoles(t *testing.T) {
+// TestReservedServersFillSeveralGaps lets two servers leave at once.
+func TestReservedServersFillSeveralGaps(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "big", "big", "big")
 	apply(all, placement.Decide(e, all))
 	newer := servers(e, "a", "big", "big")
 	for i := range newer {
-		newer[i].ID, newer[i].Waits = "n"+newer[i].ID, true
+		newer[i].ID, newer[i].Reserved = "n"+newer[i].ID, true
 	}
 	left := append([]placement.Server{all[1]}, newer...)
 	orders := placement.Decide(e, left)
@@ -53,10 +53,10 @@
 	require.NotContains(t, []models.Layers{orders[0].Layers, orders[1].Layers}, all[1].Layers)
 }
 
-// TestTheSummaryTellsHowMuchIsShort takes servers away until the rest cannot hold the model.
-func TestTheSummaryTellsHowMuchIsShort(t *testing.T) {
+// TestSummaryReportsMemoryShortage takes servers away until the rest cannot hold the model.
+func TestSummaryReportsMemoryShortage(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "big", "big")
 	require.Equal(t, 80-2*placement.LayersOf(e, e.Kind("big"), 96), placement.Summary(e, all)[1].Short)
-	require.Zero(t, placement.Summary(e, hall(e))[1].Short)
+	require.Zero(t, placement.Summary(e, mixedDomain(e))[1].Short)
 }
--- a/placement/retile.go
+++ b/placement/retile.go
@@ -8,18 +8,18 @@
 	"junctioncross/models"
 )
 
-// leastRetiled is the number of sequences that servers of a domain must still have memory for when they are tiled anew.
-const leastRetiled = 24
+// minRetiledSequences is the number of sequences that servers of a domain must still have memory for when they are tiled anew.
+const minRetiledSequences = 24
 
 // retile returns the orders that bring the servers of a domain with missing layers to a tiling of the whole model, with as
 // much memory for sequences as that leaves. It is the last resort, for domains that have lost servers for good and have none
 // to spare: ranges are shifted by a few layers each, and a server gives a layer up only when another one holds it.
 func retile(e *catalog.Engine, servers []Server) []Order {
-	live := liveCover(e, servers)
-	planned := newCover(e, servers)
+	live := settledCoverageMap(e, servers)
+	planned := newCoverageMap(e, servers)
 	var orders []Order
 	for domain, members := range settledByDomain(servers) {
-		if !misses(planned.in(domain)) {
+		if !hasMissing(planned.ofDomain(domain)) {
 			continue
 		}
 		for _, o := range tiling(e, members) {
@@ -27,7 +27,7 @@
 			if o.layers == s.Layers {
 				continue
 			}
-			if order, ok := step(e, live, s, o.layers); ok {
+			if order, ok := nextOrder(e, live, s, o.layers); ok {
 				orders = append(orders, order)
 			}
 		}
@@ -36,9 +36,9 @@
 	return orders
 }
 
-func misses(domain []float64) bool {
+func hasMissing(domain []float64) bool {
 	for _, room := range domain {
-		if room < least {
+		if room < minRoom {
 			return true
 		}
 	}
@@ -55,7 +55,7 @@
 		if s.Kind == nil {
 			continue
 		}
-		busy[s.Domain] = busy[s.Domain] || !s.Settled || s.Stays
+		busy[s.Domain] = busy[s.Domain] || !s.Settled || s.Pinned
 		out[s.Domain] = append(out[s.Domain], s)
 	}
 	for domain := range busy {
@@ -75,7 +75,7 @@
 // tiling cuts the model among the servers in the order of what they hold now; it is empty when they are too small.
 func tiling(e *catalog.Engine, members []*Server) []tile {
 	sequences := 0
-	for s := leastRetiled; s <= wantedSequences && sizes(e, members, s) >= e.Layers; s += 4 {
+	for s := minRetiledSequences; s <= wantedSequences && totalLayers(e, members, s) >= e.Layers; s += 4 {
 		sequences = s
 	}
 	if sequences == 0 {
@@ -88,7 +88,7 @@
 		}
 		return members[i].ID < members[j].ID
 	})
-	total := float64(sizes(e, members, sequences))
+	total := float64(totalLayers(e, members, sequences))
 	tiles := make([]tile, 0, len(members))
 	sum := 0.0
 	for _, s := range members {
@@ -102,7 +102,7 @@
 	return tiles
 }
 
-func sizes(e *catalog.Engine, members []*Server, sequences int) int {
+func totalLayers(e *catalog.Engine, members []*Server, sequences int) int {
 	total := 0
 	for _, s := range members {
 		total += LayersOf(e, s.Kind, sequences)
@@ -110,26 +110,26 @@
 	return total
 }
 
-// step returns the next order on the way from what a server holds to a range: the range itself when every layer that it
+// nextOrder returns the next order on the way from what a server holds to a range: the range itself when every layer that it
 // gives up has another holder, otherwise both together when they fit.
-func step(e *catalog.Engine, live *cover, s *Server, to models.Layers) (Order, bool) {
-	if live.covers(s, to) {
+func nextOrder(e *catalog.Engine, live *coverageMap, s *Server, to models.Layers) (Order, bool) {
+	if live.othersHold(s, to) {
 		live.add(s, s.Layers, -1)
 		return Order{ID: s.ID, Layers: to, Moves: true}, true
 	}
-	both := models.Layers{First: min(s.Layers.First, to.First), End: max(s.Layers.End, to.End)}
-	if both != s.Layers && sequencesOf(e, s.Kind, both.Count()) >= leastRetiled/2 {
-		return Order{ID: s.ID, Layers: both, Moves: true}, true
+	union := models.Layers{First: min(s.Layers.First, to.First), End: max(s.Layers.End, to.End)}
+	if union != s.Layers && sequencesOf(e, s.Kind, union.Count()) >= minRetiledSequences/2 {
+		return Order{ID: s.ID, Layers: union, Moves: true}, true
 	}
 	return Order{}, false
 }
 
-// covers reports whether every layer that the server would give up for a range has another holder in its domain.
-func (c *cover) covers(s *Server, to models.Layers) bool {
-	d := c.in(s.Domain)
+// othersHold reports whether every layer that the server would give up for a range has another holder in its domain.
+func (c *coverageMap) othersHold(s *Server, to models.Layers) bool {
+	d := c.ofDomain(s.Domain)
 	own := max(sequencesOf(c.engine, s.Kind, s.Layers.Count()), 1)
 	for l := s.Layers.First; l < s.Layers.End; l++ {
-		if (l < to.First || l >= to.End) && d[l]-own < least {
+		if (l < to.First || l >= to.End) && d[l]-own < minRoom {
 			return false
 		}
 	}
--- a/placement/summary.go
+++ b/placement/summary.go
@@ -24,7 +24,7 @@
 
 // Summary returns the coverage of each domain, by name, and that of the whole fleet under an empty name first.
 func Summary(e *catalog.Engine, servers []Server) []Coverage {
-	c := newCover(e, servers)
+	c := newCoverageMap(e, servers)
 	all := Coverage{Short: e.Layers}
 	byDomain := map[string]*Coverage{}
 	for i := range servers {
@@ -47,7 +47,7 @@
 	all.count(e, c.all)
 	out := []Coverage{all}
 	for name, d := range byDomain {
-		d.count(e, c.in(name))
+		d.count(e, c.ofDomain(name))
 		out = append(out, *d)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Domain < out[j].Domain })
@@ -59,7 +59,7 @@
 	lowest := room[0]
 	for _, r := range room {
 		lowest = min(lowest, r)
-		if r < least {
+		if r < minRoom {
 			c.Missing++
 		}
 	}
