--- a/leader/arrivals_test.go
+++ b/leader/arrivals_test.go
@@ -12,31 +12,31 @@
 	const whole, cut = 0.0, 0.8
 	start := time.Unix(100, 0)
 	var a arrivals
-	require.False(t, a.underWay(start, cut), "nothing has appeared")
-	a = a.next(start)
-	require.True(t, a.underWay(start, cut), "the first of a domain that lacks nearly all")
-	require.False(t, a.underWay(start, whole), "one server that comes back or replaces another")
-	for i := range together {
-		a = a.next(start.Add(time.Duration(i) * 200 * time.Millisecond))
+	require.False(t, a.expectsMore(start, cut), "nothing has appeared")
+	a = a.add(start)
+	require.True(t, a.expectsMore(start, cut), "the first of a domain that lacks nearly all")
+	require.False(t, a.expectsMore(start, whole), "one server that comes back or replaces another")
+	for i := range arrivalBurst {
+		a = a.add(start.Add(time.Duration(i) * 200 * time.Millisecond))
 	}
 	last := start.Add(400 * time.Millisecond)
-	require.True(t, a.underWay(last.Add(arrivalTime/2), whole), "several within a heartbeat")
-	require.False(t, a.underWay(last.Add(arrivalTime), cut), "nobody has followed")
+	require.True(t, a.expectsMore(last.Add(arrivalGap/2), whole), "several within a heartbeat")
+	require.False(t, a.expectsMore(last.Add(arrivalGap), cut), "nobody has followed")
 	for i := range 10 {
-		a = a.next(start.Add(time.Duration(i) * time.Second))
+		a = a.add(start.Add(time.Duration(i) * time.Second))
 	}
-	require.False(t, a.underWay(start.Add(9*time.Second), cut), "not for ever")
+	require.False(t, a.expectsMore(start.Add(9*time.Second), cut), "not for ever")
 	later := start.Add(time.Minute)
-	require.True(t, a.next(later).underWay(later.Add(time.Second), cut), "they are waited for again the next time")
+	require.True(t, a.add(later).expectsMore(later.Add(time.Second), cut), "they are waited for again the next time")
 }
 
-// TestAReleaseDoesNotHoldUpMoves replaces servers of a domain one after the other.
-func TestAReleaseDoesNotHoldUpMoves(t *testing.T) {
+// TestRollingReleaseDoesNotDelayMoves replaces servers of a domain one after the other.
+func TestRollingReleaseDoesNotDelayMoves(t *testing.T) {
 	start := time.Unix(100, 0)
 	var a arrivals
 	for i := range 5 {
 		now := start.Add(time.Duration(i) * time.Second)
-		a = a.next(now)
-		require.False(t, a.underWay(now, 0.35), "a hole of a third of the model")
+		a = a.add(now)
+		require.False(t, a.expectsMore(now, 0.35), "a hole of a third of the model")
 	}
 }
--- a/leader/lease.go
+++ b/leader/lease.go
@@ -38,30 +38,30 @@
 }
 
 const (
-	// leaseTime is how long a leader that died keeps others from giving orders: a few renewals.
-	leaseTime = 2 * time.Second
+	// leaseTTL is how long a leader that died keeps others from giving orders: a few renewals.
+	leaseTTL = 2 * time.Second
 	// leaseMargin is how much earlier than the store a holder takes its lease as over.
 	leaseMargin = 300 * time.Millisecond
-	// keepPeriod is how often a lease is renewed.
-	keepPeriod = 500 * time.Millisecond
+	// renewPeriod is how often a lease is renewed.
+	renewPeriod = 500 * time.Millisecond
 )
 
 // lease is the right as its holder sees it; until is measured from before the call that gave it.
 type lease struct {
-	clock *timer.Service
-	grant Grant
-	until time.Time
-	kept  time.Time
+	clock     *timer.Service
+	grant     Grant
+	expires   time.Time
+	renewedAt time.Time
 }
 
-func (l *lease) held() bool { return l.grant.Lease != 0 && l.clock.Now().Before(l.until) }
+func (l *lease) held() bool { return l.grant.Lease != 0 && l.clock.Now().Before(l.expires) }
 
-func (l *lease) taken(g Grant, before time.Time) {
-	l.grant, l.kept, l.until = g, before, before.Add(g.TTL-leaseMargin)
+func (l *lease) acquired(g Grant, sentAt time.Time) {
+	l.grant, l.renewedAt, l.expires = g, sentAt, sentAt.Add(g.TTL-leaseMargin)
 }
 
-func (l *lease) renewed(before time.Time) {
-	l.kept, l.until = before, before.Add(l.grant.TTL-leaseMargin)
+func (l *lease) renewed(sentAt time.Time) {
+	l.renewedAt, l.expires = sentAt, sentAt.Add(l.grant.TTL-leaseMargin)
 }
 
-func (l *lease) drop() { l.grant, l.until = Grant{}, time.Time{} }
+func (l *lease) drop() { l.grant, l.expires = Grant{}, time.Time{} }
--- a/leader/work_test.go
+++ b/leader/work_test.go
@@ -21,8 +21,8 @@
 	"junctioncross/timer"
 )
 
-// workers is a backend.Caller whose servers refuse orders while they are busy.
-type workers struct {
+// fakeServers is a backend.Caller whose servers refuse orders while they are busy.
+type fakeServers struct {
 	mu sync.Mutex
 	// busy, holds and placed go by address.
 	busy   map[string]bool
@@ -33,26 +33,26 @@
 }
 
 // Report implements backend.Caller.
-func (w *workers) Report(_ context.Context, addr string) (backend.Report, error) {
-	return backend.Report{Busy: w.busy[addr], Layers: w.holds[addr], Orders: 3}, nil
+func (f *fakeServers) Report(_ context.Context, addr string) (backend.Report, error) {
+	return backend.Report{Busy: f.busy[addr], Layers: f.holds[addr], Orders: 3}, nil
 }
 
 // Place implements backend.Caller.
-func (w *workers) Place(_ context.Context, addr, _ string, o backend.PlaceOrder) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.placed[addr] = append(w.placed[addr], o.Layers)
+func (f *fakeServers) Place(_ context.Context, addr, _ string, o backend.PlaceOrder) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.placed[addr] = append(f.placed[addr], o.Layers)
 	if o.Cut {
-		w.cuts++
+		f.cuts++
 	}
-	if w.busy[addr] {
+	if f.busy[addr] {
 		return backend.ErrStale
 	}
 	return nil
 }
 
 // Repair implements backend.Caller.
-func (*workers) Repair(context.Context, string, string, []call.Part) error { return nil }
+func (*fakeServers) Repair(context.Context, string, string, []call.Part) error { return nil }
 
 func engine() *catalog.Engine {
 	return &catalog.Engine{
@@ -81,48 +81,48 @@
 	})
 }
 
-func testWork(t *testing.T, caller backend.Caller) (*work, *clockwork.FakeClock) {
+func newTestTerm(t *testing.T, caller backend.Caller) (*term, *clockwork.FakeClock) {
 	fake := clockwork.NewFakeClock()
 	log := testlog.New(t)
-	return newWork(&Leader{caller: caller, clock: timer.New(fake), stats: metrics.New(), log: log}), fake
+	return newTerm(&Leader{caller: caller, clock: timer.New(fake), stats: metrics.New(), log: log}), fake
 }
 
-func newWorkers() *workers {
-	return &workers{busy: map[string]bool{}, holds: map[string]models.Layers{}, placed: map[string][]models.Layers{}}
+func newFakeServers() *fakeServers {
+	return &fakeServers{busy: map[string]bool{}, holds: map[string]models.Layers{}, placed: map[string][]models.Layers{}}
 }
 
-// TestAServerThatIsBusyIsNotOrderedInEachRound gives orders to an empty server that carries out another one.
-func TestAServerThatIsBusyIsNotOrderedInEachRound(t *testing.T) {
-	caller := newWorkers()
-	w, clock := testWork(t, caller)
+// TestBusyServerIsNotOrderedInEachRound gives orders to an empty server that carries out another one.
+func TestBusyServerIsNotOrderedInEachRound(t *testing.T) {
+	caller := newFakeServers()
+	term, clock := newTestTerm(t, caller)
 	whole := server(1, "fast", models.Layers{First: 0, End: 8})
 	empty := server(2, "fast", models.Layers{})
 	caller.busy[empty.Addr()] = true
 	for range 10 {
-		w.place(t.Context(), engine(), []*backend.Server{whole, empty})
-		clock.Advance(period)
+		term.place(t.Context(), engine(), []*backend.Server{whole, empty})
+		clock.Advance(roundPeriod)
 	}
 	require.Len(t, caller.placed[empty.Addr()], 1)
 	caller.busy[empty.Addr()] = false
 	for range 20 {
-		w.place(t.Context(), engine(), []*backend.Server{whole, empty})
-		clock.Advance(period)
+		term.place(t.Context(), engine(), []*backend.Server{whole, empty})
+		clock.Advance(roundPeriod)
 	}
 	require.Len(t, caller.placed[empty.Addr()], 2, "it is ordered again once it is free")
 }
 
 // TestAColdServiceWaitsForItsFastServers lets a slow server appear a heartbeat before the fast one.
 func TestAColdServiceWaitsForItsFastServers(t *testing.T) {
-	caller := newWorkers()
-	w, clock := testWork(t, caller)
+	caller := newFakeServers()
+	term, clock := newTestTerm(t, caller)
 	slow, fast := server(1, "slow", models.Layers{}), server(2, "fast", models.Layers{})
 	present := []*backend.Server{slow}
-	for elapsed := time.Duration(0); elapsed < 3*time.Second; elapsed += period {
+	for elapsed := time.Duration(0); elapsed < 3*time.Second; elapsed += roundPeriod {
 		if elapsed >= 1200*time.Millisecond {
 			present = []*backend.Server{slow, fast}
 		}
-		w.place(t.Context(), engine(), present)
-		clock.Advance(period)
+		term.place(t.Context(), engine(), present)
+		clock.Advance(roundPeriod)
 	}
 	require.Len(t, caller.placed[fast.Addr()], 1)
 	require.Equal(t, 0, caller.placed[fast.Addr()][0].First, "the fast server is first on the path")
@@ -130,57 +130,57 @@
 
 // TestAnEmptyServerWaitsForTheOneThatItReplaces lets a server appear a second before another one of its kind leaves.
 func TestAnEmptyServerWaitsForTheOneThatItReplaces(t *testing.T) {
-	caller := newWorkers()
-	w, clock := testWork(t, caller)
+	caller := newFakeServers()
+	term, clock := newTestTerm(t, caller)
 	first, second := server(1, "fast", models.Layers{First: 0, End: 4}), server(2, "fast", models.Layers{First: 4, End: 8})
 	empty := server(3, "slow", models.Layers{})
 	rounds := func(of time.Duration, present ...*backend.Server) {
-		for elapsed := time.Duration(0); elapsed < of; elapsed += period {
-			w.place(t.Context(), smallEngine(), present)
-			clock.Advance(period)
+		for elapsed := time.Duration(0); elapsed < of; elapsed += roundPeriod {
+			term.place(t.Context(), smallEngine(), present)
+			clock.Advance(roundPeriod)
 		}
 	}
 	rounds(4*time.Second, first, second)
 	rounds(time.Second, first, second, empty)
 	require.Empty(t, caller.placed[empty.Addr()], "it is not known yet whom it replaces")
-	rounds(period, first, empty)
+	rounds(roundPeriod, first, empty)
 	require.Equal(t, []models.Layers{{First: 4, End: 8}}, caller.placed[empty.Addr()])
 }
 
-// TestAnEmptyServerThatReplacesNobodyIsPlaced waits for nobody.
-func TestAnEmptyServerThatReplacesNobodyIsPlaced(t *testing.T) {
-	caller := newWorkers()
-	w, clock := testWork(t, caller)
+// TestEmptyServerThatReplacesNoServerIsPlaced waits for nobody.
+func TestEmptyServerThatReplacesNoServerIsPlaced(t *testing.T) {
+	caller := newFakeServers()
+	term, clock := newTestTerm(t, caller)
 	whole, empty := server(1, "fast", models.Layers{First: 0, End: 8}), server(2, "slow", models.Layers{})
-	for elapsed := time.Duration(0); elapsed < replaceTime+patience; elapsed += period {
-		w.place(t.Context(), engine(), []*backend.Server{whole, empty})
-		clock.Advance(period)
+	for elapsed := time.Duration(0); elapsed < replacementWait+maxQuietWait; elapsed += roundPeriod {
+		term.place(t.Context(), engine(), []*backend.Server{whole, empty})
+		clock.Advance(roundPeriod)
 	}
 	require.Len(t, caller.placed[empty.Addr()], 1)
 }
 
-// TestOthersThatAppearDoNotHoldUpADomain lets an empty server wait for nobody while servers appear elsewhere, one after the other.
-func TestOthersThatAppearDoNotHoldUpADomain(t *testing.T) {
-	caller := newWorkers()
-	w, clock := testWork(t, caller)
+// TestArrivalsInOtherDomainsDoNotDelayADomain lets an empty server wait for nobody while servers appear elsewhere, one after the other.
+func TestArrivalsInOtherDomainsDoNotDelayADomain(t *testing.T) {
+	caller := newFakeServers()
+	term, clock := newTestTerm(t, caller)
 	empty := server(2, "slow", models.Layers{})
 	present := []*backend.Server{server(1, "fast", models.Layers{First: 0, End: 8}), empty}
-	for elapsed := time.Duration(0); elapsed < replaceTime+2*period; elapsed += period {
+	for elapsed := time.Duration(0); elapsed < replacementWait+2*roundPeriod; elapsed += roundPeriod {
 		present = append(present, serverIn("b", 10+len(present), "fast", models.Layers{First: 0, End: 8}))
-		w.place(t.Context(), engine(), present)
-		clock.Advance(period)
+		term.place(t.Context(), engine(), present)
+		clock.Advance(roundPeriod)
 	}
 	require.Len(t, caller.placed[empty.Addr()], 1)
 }
 
 // TestADomainThatIsTooSmallIsLogged leaves a domain with one server that holds half of the model.
 func TestADomainThatIsTooSmallIsLogged(t *testing.T) {
-	w, _ := testWork(t, newWorkers())
-	hook := logtest.NewLocal(w.leader.log)
+	term, _ := newTestTerm(t, newFakeServers())
+	hook := logtest.NewLocal(term.leader.log)
 	half := server(1, "fast", models.Layers{First: 0, End: 4})
-	w.place(t.Context(), smallEngine(), []*backend.Server{half, server(2, "fast", models.Layers{First: 4, End: 8})})
+	term.place(t.Context(), smallEngine(), []*backend.Server{half, server(2, "fast", models.Layers{First: 4, End: 8})})
 	require.Empty(t, warnings(hook))
-	w.place(t.Context(), smallEngine(), []*backend.Server{half})
+	term.place(t.Context(), smallEngine(), []*backend.Server{half})
 	require.Len(t, warnings(hook), 1)
 	require.Equal(t, 4, warnings(hook)[0].Data["short_layers"])
 	require.Greater(t, warnings(hook)[0].Data["short_mb"], 400, "four layers and what sequences need")
@@ -196,18 +196,18 @@
 	return out
 }
 
-// TestAFirstPartIsNotCutByAMove loses the only holder of one half of the model beside two holders of the other half.
-func TestAFirstPartIsNotCutByAMove(t *testing.T) {
+// TestFirstServerOfPathsIsNotCutByAMove loses the only holder of one half of the model beside two holders of the other half.
+func TestFirstServerOfPathsIsNotCutByAMove(t *testing.T) {
 	for _, c := range []struct {
 		held models.Layers
 		cuts int
 	}{{models.Layers{First: 0, End: 4}, 0}, {models.Layers{First: 4, End: 8}, 1}} {
-		caller := newWorkers()
-		w, clock := testWork(t, caller)
+		caller := newFakeServers()
+		term, clock := newTestTerm(t, caller)
 		servers := []*backend.Server{server(1, "fast", c.held), server(2, "fast", c.held)}
-		for elapsed := time.Duration(0); elapsed < replaceTime; elapsed += period {
-			w.place(t.Context(), smallEngine(), servers)
-			clock.Advance(period)
+		for elapsed := time.Duration(0); elapsed < replacementWait; elapsed += roundPeriod {
+			term.place(t.Context(), smallEngine(), servers)
+			clock.Advance(roundPeriod)
 		}
 		require.Len(t, caller.placed, 1, "one of them moves")
 		require.Equal(t, c.cuts, caller.cuts, "what passes %s", c.held)
