--- a/chain/choose.go
+++ b/chain/choose.go
@@ -8,76 +8,80 @@
 )
 
 const (
-	// hopDelay is the time for an activation to reach the next server of the same domain: a fraction of a millisecond on
+	// hopDelay is the time that an activation takes to the next server of the same domain: a fraction of a millisecond on
 	// the users' networks.
 	hopDelay = 200 * time.Microsecond
-	// crossingPenalty is what passing to another domain counts beside its delay, so that paths stay in one domain while that has
-	// room: the links between domains are shared by all.
+	// crossingPenalty is added to the delay of each hop to another domain, so that paths stay in one domain while that has
+	// room: all paths share the links between domains.
 	crossingPenalty = 4 * time.Millisecond
-	// meanStepWait is the part of a server's step that a token waits on the mean for the step before it.
+	// meanStepWait is the mean time that a token waits for the server's running step to end, as a fraction of a step.
 	meanStepWait = 0.5
 )
 
-// State tells the state of the servers at the moment of a choice.
+// State describes the servers at the moment when a path is chosen.
 type State interface {
-	// Usable reports whether the server may get new work.
+	// Usable reports whether the server may be given new work.
 	Usable(server int) bool
 	// Sequences returns the estimated number of sequences on the server.
 	Sequences(server int) float64
-	// Room returns the memory that is estimated to be free on the server, in tokens times layers.
+	// Room returns the estimated free memory of the server, in tokens times layers.
 	Room(server int) float64
-	// Penalty multiplies the predicted time of the server; 1 for a server at its usual speed.
+	// Penalty returns the factor for the predicted time of the server: 1 at its usual speed, more when it is slower.
 	Penalty(server int) float64
 }
 
-// Need is what a request asks of its path.
+// Need describes what a request requires of its path.
 type Need struct {
-	// Prompt is the number of tokens that have to be read first.
+	// Prompt is the number of prompt tokens that the servers read (prefill) before the first token of the answer.
 	Prompt int
-	// Tokens is the number of tokens to be held at the end.
+	// Tokens is the number of tokens that the servers hold in memory at the end of the request.
 	Tokens int
 	// Domain is the failure domain in which the path should start.
 	Domain string
 }
 
-// Hop is one server of a path.
+// Hop is one server of a path, with the layers that it runs.
 type Hop struct {
 	Server int
 	Layers models.Layers
 }
 
-// Path is a sequence of servers whose layers tile what was asked for, with the predicted times.
+// Path is a sequence of servers whose layer ranges tile the requested layers, with the predicted times.
 type Path struct {
 	Hops []Hop
 	// Step is the predicted time between two tokens.
 	Step time.Duration
-	// Read is the predicted time to read the prompt when nothing else is read.
+	// Read is the predicted time to read the prompt on servers that read no other prompt meanwhile.
 	Read time.Duration
 }
 
-// Choose returns the path through all layers with the least predicted time; false means that there is none.
+// Choose returns the path through all layers with the shortest predicted time; false means that there is none.
 func Choose(g *Graph, state State, need Need) (Path, bool) {
 	return choose(g, state, need, 0, -1)
 }
 
-// Extend returns the path through the layers behind those of a first part, which stays as it is.
+// Extend returns the path through the layers after those of first, the first hop of an existing path, which is kept as it is
+// and is not part of the result; false means that there is none.
 func Extend(g *Graph, state State, need Need, first Hop) (Path, bool) {
 	return choose(g, state, need, first.Layers.End, first.Server)
 }
 
-// partialPath is the best known way to the boundary before a layer, with the last server in one domain.
+// partialPath is the cheapest known path to the boundary before a layer whose last server is in a given domain.
 type partialPath struct {
 	cost time.Duration
-	// node and from say how the boundary was reached; node is -1 at the start.
-	node       int
+	// node is the last node of the path, or -1 at its start.
+	node int
+	// from and fromDomain are the boundary at which that node is entered and the domain of the node before it.
 	from       int
 	fromDomain int
 }
 
+// unreached is the cost of a boundary to which no path is known.
 const unreached = time.Duration(math.MaxInt64)
 
-// choose runs over the boundaries in order; a server is entered at any layer that it holds and run to the end of its range,
-// so that no server stands on a path twice.
+// choose finds the path with the lowest cost by dynamic programming over the boundaries between layers, from start on. A path
+// may enter a server at any layer that it holds and runs it to the end of its range, so that no server is on a path twice. The
+// server used is left out; -1 means none.
 func choose(g *Graph, state State, need Need, start, used int) (Path, bool) {
 	domains := len(g.domains)
 	best := make([]partialPath, (g.engine.Layers+1)*domains)
@@ -101,7 +105,7 @@
 	return trace(g, best, need, start)
 }
 
-// markStart marks where the path starts: in the domain of the caller or of the part that stays.
+// markStart sets the cost of the starting point to 0: in the domain of the kept first hop, or else in that of the request.
 func markStart(g *Graph, best []partialPath, need Need, start, used int) {
 	domain := need.Domain
 	for i, n := range g.nodes {
@@ -139,7 +143,7 @@
 	return out
 }
 
-// relax goes through node n from the boundary at and keeps what is better than known before.
+// relax extends the paths that reach the boundary at by node n and keeps those that are cheaper than the ones known so far.
 func relax(g *Graph, state State, need Need, best, row []partialPath, n, at int) {
 	node := &g.nodes[n]
 	layers := node.Layers.End - at
@@ -163,13 +167,13 @@
 	}
 }
 
-// nodeStep predicts what a token takes at a node: its step with one more sequence, and the wait for the step before.
+// nodeStep predicts the time of a token at a node: a step with one more sequence, and the wait for the step before it.
 func nodeStep(g *Graph, state State, need Need, node *Node, layers int) time.Duration {
 	own := StepTime(g.engine, node.Kind, layers, state.Sequences(node.Server)+1, float64(need.Tokens))
 	return time.Duration(float64(own) * (1 + meanStepWait))
 }
 
-// trace follows the best way back from the last layer.
+// trace follows the cheapest path back from the last layer and returns it in order; false means that there is none.
 func trace(g *Graph, best []partialPath, need Need, start int) (Path, bool) {
 	domains := len(g.domains)
 	at, domain := g.engine.Layers, -1
--- a/chain/graph.go
+++ b/chain/graph.go
@@ -7,31 +7,31 @@
 	"junctioncross/models"
 )
 
-// Node is a backend server as the graph sees it.
+// Node is a backend server in the graph.
 type Node struct {
-	// Server is the index by which the caller knows the server.
+	// Server is the caller's index of the server.
 	Server int
 	Domain string
 	Kind   *catalog.Kind
 	Layers models.Layers
 }
 
-// Graph holds the servers of one model.
+// Graph holds the servers of one model with the layers and the domain of each.
 type Graph struct {
 	engine  *catalog.Engine
 	nodes   []Node
 	domains []string
-	// domain holds the index into domains of each node.
+	// domain holds, for each node, the index of its domain in domains.
 	domain []int
-	// nodeOf holds the node of each server.
+	// nodeOf holds the index of the node of each server.
 	nodeOf map[int]int
-	// delay holds the time between domains, by index.
+	// delay holds the one-way delay between two domains, by their indices.
 	delay [][]time.Duration
 	// holders lists the nodes that hold each layer.
 	holders [][]int
 }
 
-// NewGraph returns the graph of the servers of an engine; nodes without layers are left out.
+// NewGraph returns the graph of the servers of an engine; nodes without a kind or without a valid layer range are left out.
 func NewGraph(engine *catalog.Engine, nodes []Node) *Graph {
 	g := &Graph{engine: engine, nodeOf: map[int]int{}, holders: make([][]int, engine.Layers)}
 	index := map[string]int{}
@@ -62,7 +62,7 @@
 	return g
 }
 
-// domainOfServer returns the index of a server's domain, -1 for one that is not in the graph.
+// domainOfServer returns the index of a server's domain, or -1 if the server is not in the graph.
 func (g *Graph) domainOfServer(server int) int {
 	if n, ok := g.nodeOf[server]; ok {
 		return g.domain[n]
--- a/chain/lanes.go
+++ b/chain/lanes.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// maxLanes bounds the lanes of a graph.
+	// maxLanes limits the number of lanes of a graph.
 	maxLanes = 64
-	// minLaneSequences is the number of sequences below which a lane is not worth having.
+	// minLaneSequences is the number of sequences below which a lane is not worth using.
 	minLaneSequences = 4.0
 )
 
-// Lane is a path with the number of sequences that it has memory for beside the other lanes.
+// Lane is a path with a share of the memory of its servers; the shares of all lanes of a graph fit into that memory at once.
 type Lane struct {
 	Path
-	// Sequences is the lane's part of the memory of its servers.
+	// Sequences is the width of the lane: the number of sequences that its share of the memory holds.
 	Sequences float64
-	// Domain is the failure domain of all its servers, or empty when it crosses.
+	// Domain is the failure domain of all its servers, or empty if the lane crosses between domains.
 	Domain string
-	// Crossings is the number of times that it passes from one domain to another.
+	// Crossings is the number of hops from one domain to another.
 	Crossings int
 }
 
-// Lanes splits the memory of the usable servers into paths: within each domain as far as that goes, the fastest first of those
-// that are not much narrower than the widest, then across domains from what is left, the widest first. Need tells the tokens of
-// a usual request.
+// Lanes splits the memory of the usable servers into lanes. First come lanes within one domain, as many as its memory allows:
+// each is the fastest of those that are not much narrower than the widest. Then come lanes across domains from the memory that
+// is left, the widest first. Need gives the tokens of a usual request.
 //
-// Pace tells how many times slower than usual a server is: it gets that many times less.
+// Pace returns how many times slower than usual a server is; its share of the work is divided by that number.
 //
-// Instances that do not talk to each other spread their work evenly when each draws lanes by their width.
+// Instances that choose lanes at random, weighted by their width, spread the load evenly without exchanging messages.
 func Lanes(g *Graph, usable func(server int) bool, pace func(server int) float64, need Need) []Lane {
 	s := newLaneSplitter(g, usable, pace, need)
 	var lanes []Lane
@@ -41,23 +41,26 @@
 	return s.addLanes(lanes, allDomains)
 }
 
+// allDomains stands for the index of a domain where lanes may use the servers of every domain.
 const allDomains = -1
 
-// laneSplitter is the state of the division of memory.
+// laneSplitter holds the memory and the bandwidth that no lane has been given yet.
 type laneSplitter struct {
 	graph *Graph
 	need  Need
-	// memoryLeft is the memory of each node that no lane has, in tokens times layers.
+	// memoryLeft is the memory of each node that is left for further lanes, in tokens times layers.
 	memoryLeft []float64
 	// pace is how many times slower than usual each node is.
 	pace []float64
-	// bandwidthLeft holds what no lane has of the bandwidth between two domains, in bytes a second, by index.
+	// bandwidthLeft is the bandwidth between two domains that is left for further lanes, in bytes a second, by the indices of
+	// the domains, the lower one first.
 	bandwidthLeft map[[2]int]float64
 }
 
 func newLaneSplitter(g *Graph, usable func(server int) bool, pace func(server int) float64, need Need) *laneSplitter {
 	s := &laneSplitter{
-		graph: g, need: need, memoryLeft: make([]float64, len(g.nodes)), pace: make([]float64, len(g.nodes)), bandwidthLeft: map[[2]int]float64{},
+		graph: g, need: need, memoryLeft: make([]float64, len(g.nodes)), pace: make([]float64, len(g.nodes)),
+		bandwidthLeft: map[[2]int]float64{},
 	}
 	for a := range g.domains {
 		for b := a + 1; b < len(g.domains); b++ {
@@ -74,13 +77,14 @@
 }
 
 const (
-	// bandwidthShare is the part of the bandwidth between domains that lanes may plan with: prompts come in bursts, and a pipe
-	// that is full holds up every sequence that crosses it, and with it the memory of all its servers.
+	// bandwidthShare is the fraction of the bandwidth between domains that is divided among lanes. Prompts come in bursts, and a
+	// saturated link delays every sequence that crosses it, which then occupies the memory of all servers of its path for longer.
 	bandwidthShare = 0.4
-	megabit        = 1e6 / 8
+	// megabit is one million bits in bytes.
+	megabit = 1e6 / 8
 )
 
-// usableBandwidth returns the bytes a second that lanes may send between two domains.
+// usableBandwidth returns the bytes a second that all lanes together may send between two domains.
 func usableBandwidth(g *Graph) float64 {
 	if g.engine.PipeMbps == 0 {
 		return math.Inf(1)
@@ -88,13 +92,13 @@
 	return bandwidthShare * g.engine.PipeMbps * megabit
 }
 
-// crossingRate returns the bytes a second that one sequence sends over each crossing, on the mean over its life.
+// crossingRate returns the bytes a second that one sequence sends over each crossing, as the mean over its lifetime.
 func (s *laneSplitter) crossingRate(step, read time.Duration) float64 {
 	lifetime := time.Duration(s.graph.engine.UsualAnswer)*step + read
 	return s.graph.engine.ActivationBytes * float64(s.need.Tokens) / max(lifetime, time.Millisecond).Seconds()
 }
 
-// addLanes adds the lanes within one domain, or across all.
+// addLanes appends the lanes within one domain, or across all domains.
 func (s *laneSplitter) addLanes(lanes []Lane, domain int) []Lane {
 	for len(lanes) < maxLanes {
 		lane, ok := s.nextLane(domain)
@@ -106,7 +110,8 @@
 	return lanes
 }
 
-// nextLane returns one lane within a domain, or across all, and takes its memory.
+// nextLane returns one more lane within a domain, or across all domains, and allocates its memory; false means that no memory
+// for another lane is left.
 func (s *laneSplitter) nextLane(domain int) (Lane, bool) {
 	partials := s.search(domain, minLaneSequences, wider)
 	widest := partials[s.graph.engine.Layers].sequences
@@ -119,7 +124,7 @@
 	return s.allocate(partials, domain)
 }
 
-// allocate takes the memory of the best lane off its servers.
+// allocate builds the lane that best, the result of search, leads to and subtracts its share from the memory of its servers.
 func (s *laneSplitter) allocate(best []partialLane, domain int) (Lane, bool) {
 	end := s.graph.engine.Layers
 	lane := Lane{Sequences: best[end].sequences}
@@ -142,7 +147,7 @@
 	return lane, lane.Sequences >= minLaneSequences
 }
 
-// fitBandwidth narrows a lane to the bandwidth that is left where it crosses, and takes that.
+// fitBandwidth narrows a lane to the bandwidth that is left on the links that it crosses and subtracts what it uses.
 func (s *laneSplitter) fitBandwidth(lane *Lane) {
 	rate := s.crossingRate(lane.Step, lane.Read)
 	crossings := map[[2]int]float64{}
--- a/chain/lanes_test.go
+++ b/chain/lanes_test.go
@@ -39,7 +39,7 @@
 
 var need = chain.Need{Prompt: 700, Tokens: 900, Domain: "a"}
 
-// requireTiles checks that a path runs each layer once and in order, on servers that hold them.
+// requireTiles checks that a path runs each layer once and in order, each on a server that holds it, and uses no server twice.
 func requireTiles(t *rapid.T, nodes []chain.Node, hops []chain.Hop, layers int) {
 	ranges := make([]models.Layers, len(hops))
 	seen := map[int]bool{}
@@ -47,7 +47,7 @@
 		ranges[i] = h.Layers
 		held := nodes[h.Server].Layers
 		require.True(t, held.First <= h.Layers.First && h.Layers.End <= held.End)
-		require.False(t, seen[h.Server], "a server stands twice on the path")
+		require.False(t, seen[h.Server], "a server is twice on the path")
 		seen[h.Server] = true
 	}
 	require.True(t, models.Tile(ranges, layers))
--- a/chain/mend.go
+++ b/chain/mend.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// crossingContention is how many times longer than alone a repaired stream's tokens take between domains: a server that is
-	// lost sends many streams over the same link at once.
+	// crossingContention is the factor by which the tokens of a repaired stream take longer between domains than on an idle link:
+	// when a server is lost, many streams are repaired over the same link at once.
 	crossingContention = 4.0
 )
 
-// Repair is what a path that has lost parts asks for.
+// Repair describes a path that has lost servers and what is needed to repair it.
 type Repair struct {
-	// Hops is the path as it was.
+	// Hops is the path before the repair.
 	Hops []Hop
 	// Lost reports whether a server of the path must be replaced.
 	Lost func(server int) bool
-	// Tokens is the number of tokens that new parts have to read.
+	// Tokens is the number of tokens of the stream so far, which each new server has to read.
 	Tokens int
-	// Spread returns a factor near 1 for each server, so that instances which repair at once do not all choose the same.
+	// Spread returns a random factor near 1 for the cost of a server, so that instances that repair paths at the same time do not
+	// all choose the same server.
 	Spread func() float64
 }
 
-// Mend returns the path with other servers in place of the lost ones, as few as that takes: the others keep their memory of
-// the stream, while each new part reads every token so far. False means that no server can take the place.
+// Mend returns the path with other servers in place of the lost ones only. The servers that are kept still hold the stream in
+// memory, while each new one has to read every token so far. False means that no usable servers can replace the lost ones.
 func Mend(g *Graph, state State, r Repair) ([]Hop, bool) {
 	used := make(map[int]bool, len(r.Hops))
 	for _, h := range r.Hops {
@@ -62,19 +63,20 @@
 	return out, true
 }
 
-// gapFiller fills one gap of a path.
+// gapFiller finds servers for one gap of a path: the layers of consecutive lost servers.
 type gapFiller struct {
 	graph  *Graph
 	state  State
 	repair Repair
 	used   map[int]bool
 	gap    models.Layers
-	// domainBefore and domainAfter are the domains of the parts next to the gap, -1 where there is none.
+	// domainBefore and domainAfter are the domains of the hops next to the gap, or -1 where there is none.
 	domainBefore, domainAfter int
-	best                      []partialPath
+	// best holds the cheapest partial path to each boundary of the gap, for each domain of its last server.
+	best []partialPath
 }
 
-// fill finds the cheapest way through the gap, over boundaries and the domain of the last server.
+// fill returns the cheapest hops through the gap; false means that there are none.
 func (f *gapFiller) fill() ([]Hop, bool) {
 	domains := len(f.graph.domains)
 	f.best = make([]partialPath, (f.gap.Count()+1)*domains)
@@ -97,13 +99,15 @@
 	return f.trace()
 }
 
+// row returns the partial paths to the boundary at, by the domain of their last server.
 func (f *gapFiller) row(at int) []partialPath {
 	domains := len(f.graph.domains)
 	first := (at - f.gap.First) * domains
 	return f.best[first : first+domains]
 }
 
-// extend goes through node n from the boundary at, to the end of its range or of the gap.
+// extend extends the paths that reach the boundary at by node n, to the end of its range or of the gap, and keeps those that are
+// cheaper than the ones known so far.
 func (f *gapFiller) extend(n, at int) {
 	node := &f.graph.nodes[n]
 	if f.used[node.Server] || f.repair.Lost(node.Server) || !f.state.Usable(node.Server) {
@@ -131,7 +135,7 @@
 	}
 }
 
-// crossingCost returns what it takes to send the stream's tokens from one domain to another.
+// crossingCost returns the time that it takes to send the stream's tokens from one domain to another, with crossingPenalty.
 func (f *gapFiller) crossingCost(from, to int) time.Duration {
 	if from == to {
 		return 0
@@ -145,6 +149,7 @@
 	return cost
 }
 
+// trace follows the cheapest path back from the end of the gap and returns its hops in order.
 func (f *gapFiller) trace() ([]Hop, bool) {
 	at, domain := f.gap.End, -1
 	for d, r := range f.row(at) {
--- a/chain/mend_test.go
+++ b/chain/mend_test.go
@@ -12,7 +12,7 @@
 	"junctioncross/models"
 )
 
-// stubState is a chain.State of servers with room; those that are named have none.
+// stubState is a chain.State in which all servers are usable and have room, except those in full, which have none.
 type stubState struct{ full map[int]bool }
 
 func (stubState) Usable(int) bool       { return true }
@@ -42,7 +42,8 @@
 	return chain.Hop{Server: server, Layers: models.Layers{First: first, End: end}}
 }
 
-// TestRepairKeepsOtherStagesAndStaysInTheDomain loses the middle part of three; the fastest way would be elsewhere.
+// TestRepairKeepsOtherStagesAndStaysInTheDomain loses the middle one of three servers. A much faster server is in another domain;
+// the repair must use it only when its own domain has no room.
 func TestRepairKeepsOtherStagesAndStaysInTheDomain(t *testing.T) {
 	e := mendEngine()
 	e.Kinds = append(e.Kinds, catalog.Kind{Name: "fast", MemoryMB: 1000, StepPace: 0.01, ReadPace: 0.01})
@@ -52,7 +53,8 @@
 		node(e, 0, "a", 0, 4), node(e, 1, "a", 4, 8), node(e, 2, "a", 8, 12), node(e, 3, "a", 3, 9), fast,
 	})
 	r := chain.Repair{
-		Hops: []chain.Hop{hop(0, 0, 4), hop(1, 4, 8), hop(2, 8, 12)}, Lost: func(s int) bool { return s == 1 }, Tokens: 500, Spread: noJitter,
+		Hops: []chain.Hop{hop(0, 0, 4), hop(1, 4, 8), hop(2, 8, 12)}, Lost: func(s int) bool { return s == 1 }, Tokens: 500,
+		Spread: noJitter,
 	}
 	hops, ok := chain.Mend(g, stubState{}, r)
 	require.True(t, ok)
@@ -60,13 +62,14 @@
 
 	hops, ok = chain.Mend(g, stubState{full: map[int]bool{3: true}}, r)
 	require.True(t, ok)
-	require.Equal(t, []chain.Hop{hop(0, 0, 4), hop(4, 4, 8), hop(2, 8, 12)}, hops, "another domain when the own has no room")
+	require.Equal(t, []chain.Hop{hop(0, 0, 4), hop(4, 4, 8), hop(2, 8, 12)}, hops, "another domain when the own domain has no room")
 
 	_, ok = chain.Mend(g, stubState{full: map[int]bool{3: true, 4: true}}, r)
 	require.False(t, ok)
 }
 
-// TestRepairedPathsTileTheModel draws servers, a path and losses.
+// TestRepairedPathsTileTheModel repairs paths over random servers of which random ones are lost: the result must run each layer
+// once, on servers that hold it, and keep the servers that are not lost.
 func TestRepairedPathsTileTheModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := mendEngine()
@@ -95,7 +98,7 @@
 			require.Equal(t, at, h.Layers.First)
 			require.Greater(t, h.Layers.End, h.Layers.First)
 			held := nodes[h.Server].Layers
-			require.True(t, held.First <= h.Layers.First && h.Layers.End <= held.End, "a part runs only layers that it holds")
+			require.True(t, held.First <= h.Layers.First && h.Layers.End <= held.End, "a server runs only layers that it holds")
 			require.False(t, seen[h.Server], "no server twice")
 			require.False(t, lost[h.Server])
 			seen[h.Server], at = true, h.Layers.End
@@ -103,7 +106,7 @@
 		require.Equal(t, e.Layers, at)
 		for _, h := range path.Hops {
 			if !lost[h.Server] {
-				require.Contains(t, hops, h, "sound parts keep their layers")
+				require.Contains(t, hops, h, "servers that are not lost keep their layers")
 			}
 		}
 	})
--- a/chain/ways.go
+++ b/chain/ways.go
@@ -5,46 +5,49 @@
 	"time"
 )
 
-// partialLane is the best known partialLane from the first layer to the boundary before a layer.
+// partialLane is the best known lane from the first layer to the boundary before a layer.
 type partialLane struct {
-	// sequences is the number of sequences that every server of the way has memory for; 0 means that there is no way.
+	// sequences is the number of sequences that every server of the lane has memory for; 0 means that there is no lane.
 	sequences float64
 	cost      time.Duration
+	// node is the last node of the lane, or -1 at its start; from is the boundary at which it is entered.
 	node      int
 	from      int
 	crossings int
 }
 
 const (
-	// crossingWeight multiplies what a way is worth with each crossing, so that a narrow way with few goes before a wide one
-	// with many: each carries all activations.
+	// crossingWeight multiplies the weight of a lane once for each crossing, so that a narrow lane with few crossings is preferred
+	// to a wide one with many: all activations of a lane pass each of its crossings.
 	crossingWeight = 0.5
-	// maxCrossings bounds the crossings of a lane.
+	// maxCrossings limits the crossings of a lane.
 	maxCrossings = 4
-	// widthTolerance is how much wider a way must be to count as wider; rounding shall not decide between fast and slow.
+	// widthTolerance is the factor by which a lane must be wider to count as wider, so that rounding does not decide between a
+	// fast and a slow lane.
 	widthTolerance = 1.1
-	// minWidthShare is the part of the widest lane's width that a fast lane must have: many narrow lanes leave memory unused that
-	// no lane can reach.
+	// minWidthShare is the fraction of the widest lane's width that a lane chosen for its speed must have: many narrow lanes leave
+	// memory over that fits into no further lane.
 	minWidthShare = 0.5
-	// batchShare is the part of a lane's sequences that share one pass of a server, as measured: the others are at other servers.
+	// batchShare is the measured fraction of a lane's sequences that are in one batch of a server; the others are at other servers
+	// of the lane meanwhile.
 	batchShare = 0.25
 )
 
-// weight is what a way is compared by where width counts.
+// weight returns the width of the lane, reduced for each crossing; wider compares lanes by it.
 func (p *partialLane) weight() float64 {
 	return p.sequences * math.Pow(crossingWeight, float64(p.crossings))
 }
 
-// wider reports whether way a has memory for more sequences than b, or as much and is faster.
+// wider reports whether a has a greater weight than b, or about the same weight and a lower cost.
 func wider(a, b *partialLane) bool {
 	return a.weight() > b.weight()*widthTolerance || a.weight() > b.weight()/widthTolerance && a.cost < b.cost
 }
 
-// faster reports whether a token passes way a in less time than b.
+// faster reports whether a token takes less time through a than through b, or b does not exist.
 func faster(a, b *partialLane) bool { return b.sequences == 0 || a.cost < b.cost }
 
-// search returns the best way to each boundary over the nodes of a domain, or of all, that have memory for at least so many
-// sequences.
+// search returns the best lane to each boundary over the nodes of a domain, or of all domains, that have memory for at least
+// minSequences sequences.
 func (s *laneSplitter) search(domain int, minSequences float64, better func(a, b *partialLane) bool) []partialLane {
 	best := make([]partialLane, s.graph.engine.Layers+1)
 	best[0] = partialLane{sequences: float64(s.graph.engine.BatchSize), node: -1}
@@ -68,7 +71,7 @@
 	return best
 }
 
-// extend returns the way that goes on extend node n from the boundary at, to the end of the node's range.
+// extend returns the lane before, extended by node n from the boundary at to the end of the node's range.
 func (s *laneSplitter) extend(before *partialLane, n, at int) partialLane {
 	node := &s.graph.nodes[n]
 	layers := node.Layers.End - at
@@ -83,7 +86,7 @@
 	return lane
 }
 
-// Narrowest returns the server of a path that has memory for the fewest sequences.
+// Narrowest returns the server of a path that has memory for the fewest sequences, or -1 if none of them is in the graph.
 func Narrowest(g *Graph, hops []Hop) int {
 	smallest, server := math.Inf(1), -1
 	for _, h := range hops {
