--- a/placement/cover.go
+++ b/placement/cover.go
@@ -8,23 +8,29 @@
 	"junctioncross/models"
 )
 
-// coverageMap holds for each layer the number of sequences that its holders have memory for, in all and by domain.
+// coverageMap holds, for each layer, the number of sequences that its holders have memory for: over all domains and for each
+// one.
 type coverageMap struct {
 	engine   *catalog.Engine
 	all      []float64
 	byDomain map[string][]float64
-	// fastest holds the step time of the fastest server that was ever counted as a holder, by domain and layer; 0 means none.
+	// fastest holds, by domain and layer, the step time of the fastest server that has been added as a holder; 0 means none.
+	// Servers that are taken off again still count.
 	fastest map[string][]time.Duration
 }
 
+// newCoverageMap returns the coverage by all servers, with the layers that orders under way give them.
 func newCoverageMap(e *catalog.Engine, servers []Server) *coverageMap {
-	c := &coverageMap{engine: e, all: make([]float64, e.Layers), byDomain: map[string][]float64{}, fastest: map[string][]time.Duration{}}
+	c := &coverageMap{
+		engine: e, all: make([]float64, e.Layers), byDomain: map[string][]float64{}, fastest: map[string][]time.Duration{},
+	}
 	for i := range servers {
 		c.add(&servers[i], servers[i].Layers, 1)
 	}
 	return c
 }
 
+// ofDomain returns the sequences that the holders of each layer in the domain have memory for.
 func (c *coverageMap) ofDomain(domain string) []float64 {
 	d := c.byDomain[domain]
 	if d == nil {
@@ -35,7 +41,7 @@
 	return d
 }
 
-// add counts a server as a holder of a range; sign -1 takes it off again.
+// add counts a server as a holder of a range of layers; sign -1 takes it off again.
 func (c *coverageMap) add(s *Server, r models.Layers, sign float64) {
 	d := c.ofDomain(s.Domain)
 	own := time.Duration(math.MaxInt64)
@@ -53,19 +59,20 @@
 }
 
 const (
-	// missingInFleet and missingHere weigh a layer that has no holder at all, or none in the domain, against one whose
-	// holders have room for wantedSequences, which counts about 1: without any holder nothing is answered, without one in
-	// the domain paths cross.
+	// missingInFleet and missingInDomain are the values of holding a layer that has no holder at all, or none in the domain.
+	// A layer whose holders have room for wantedSequences has a value of about 1. Without any holder no request is served,
+	// without one in the domain paths cross to other domains.
 	missingInFleet  = 10000.0
 	missingInDomain = 100.0
-	// loadCost weighs a layer that has to be loaded: seconds of one server, against a missing layer that sends all paths of
-	// its domain elsewhere.
+	// loadCost is subtracted from the value of a move for each layer that it loads: loading takes seconds of one server,
+	// which is little against a missing layer, which sends all paths of its domain elsewhere.
 	loadCost = 2.0
-	// minRoom is what is left by rounding where there is no holder.
+	// minRoom is the number of sequences below which a layer counts as having no holder; rounding may leave a small
+	// remainder there.
 	minRoom = 0.5
 )
 
-// layerValue returns what another holder of layer l in the domain would add: the less the more room its holders have.
+// layerValue returns the value of another holder of layer l in the domain: the more room its holders have, the lower.
 func (c *coverageMap) layerValue(domain []float64, l int) float64 {
 	switch {
 	case c.all[l] < minRoom:
@@ -78,7 +85,8 @@
 	}
 }
 
-// bestRange returns the range of n layers that adds most in the domain, the first one where several do.
+// bestRange returns the range of n layers with the highest value in the domain, the first one if several have it, and that
+// value.
 func (c *coverageMap) bestRange(domain string, n int) (models.Layers, float64) {
 	d := c.ofDomain(domain)
 	sums := make([]float64, c.engine.Layers+1)
@@ -87,7 +95,7 @@
 	}
 	best, highest := 0, -1.0
 	for first := 0; first+n <= c.engine.Layers; first++ {
-		// The small difference keeps the first of several equal ranges, in spite of rounding.
+		// The tolerance keeps the first of several equal ranges despite rounding.
 		if v := sums[first+n] - sums[first]; v > highest+1e-6 {
 			best, highest = first, v
 		}
@@ -95,7 +103,7 @@
 	return models.Layers{First: best, End: best + n}, highest
 }
 
-// rangeValue returns what the holder of a range adds.
+// rangeValue returns the value of another holder of a range in the domain.
 func (c *coverageMap) rangeValue(domain string, r models.Layers) float64 {
 	d := c.ofDomain(domain)
 	total := 0.0
@@ -105,7 +113,7 @@
 	return total
 }
 
-// settledCoverageMap counts only what servers hold now.
+// settledCoverageMap returns the coverage by the servers without an order under way, which hold their layers now.
 func settledCoverageMap(e *catalog.Engine, servers []Server) *coverageMap {
 	settled := make([]Server, 0, len(servers))
 	for _, s := range servers {
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -10,51 +10,55 @@
 )
 
 const (
-	// wantedSequences is the number of sequences that a server should have memory for beside its layers. More leave less memory for layers:
-	// with one bare copy of the model in each domain the loss of one server sends all paths of its domain over the links between domains.
+	// wantedSequences is the number of sequences that a server should have memory for beside its layers. A higher number
+	// leaves less memory for layers: with only one bare copy of the model in each domain, the loss of one server sends all
+	// paths of its domain over the links between domains.
 	wantedSequences = 96
-	// backupSequences is the same for a server whose layers all have another holder in its domain that is as fast: it stands in
-	// for servers that are lost and takes what they have no memory for, and covers more layers with less room.
+	// backupSequences is the same for a backup server: one whose layers all have another holder in its domain that is as
+	// fast. It takes over from lost servers and takes the overflow of the others, and covers more layers with less room for
+	// sequences.
 	backupSequences = 48
 )
 
-// Server is a server as the decision sees it.
+// Server describes a backend server for Decide and Summary.
 type Server struct {
 	ID     string
 	Domain string
 	Kind   *catalog.Kind
-	// Layers is what the server holds, or will when an order under way is done.
+	// Layers is what the server holds, or will hold when the order under way is done.
 	Layers models.Layers
-	// Settled servers can take an order now.
+	// Settled is true when no order is under way, so that the server can take one now.
 	Settled bool
-	// Pinned is true for a server that shall not give up layers now.
+	// Pinned is true for a server that must not drop layers now.
 	Pinned bool
-	// Reserved is true for an empty server that gets layers only when some are missing in its domain, since others may leave soon.
+	// Reserved is true for an empty server that gets layers only when its domain lacks some, because it may have been
+	// started to replace a server that is about to leave.
 	Reserved bool
 }
 
-// Order says what one server should hold from now on.
+// Order gives the layers that a server should hold from now on.
 type Order struct {
 	ID     string
 	Layers models.Layers
-	// Moves is true when the server gives layers up.
+	// Moves is true when the server drops layers that it holds.
 	Moves bool
 }
 
-// usualTokens returns the usualTokens that a usual request holds at its end.
+// usualTokens returns the number of tokens that a usual request holds in memory at its end.
 func usualTokens(e *catalog.Engine) float64 { return float64(max(e.UsualPrompt+e.UsualAnswer, 1)) }
 
-// LayersOf returns how many layers a server of a kind should hold so that its memory has room for the sequences.
+// LayersOf returns the number of layers that a server of a kind should hold to have memory for the given number of usual
+// sequences beside them: at least one, unless not even one fits.
 func LayersOf(e *catalog.Engine, k *catalog.Kind, sequences int) int {
 	return min(max(int(k.MemoryMB/layerMB(e, sequences)), 1), e.Layers, int(k.MemoryMB/e.LayerMB))
 }
 
-// layerMB returns the memory that a layer takes with that of the sequences beside it.
+// layerMB returns the memory in megabytes that one layer takes together with the given number of sequences.
 func layerMB(e *catalog.Engine, sequences int) float64 {
 	return e.LayerMB + float64(sequences)*usualTokens(e)*e.LayerBytes()/1e6
 }
 
-// sequencesOf returns the number of usual sequences that a server has memory for beside that many layers.
+// sequencesOf returns the number of usual sequences that a server has memory for beside the given number of layers.
 func sequencesOf(e *catalog.Engine, k *catalog.Kind, layers int) float64 {
 	if k == nil || layers < 1 {
 		return 0
@@ -62,7 +66,8 @@
 	return chain.Room(e, k, layers) / (usualTokens(e) * float64(layers))
 }
 
-// Decide returns the orders that bring the servers nearer to what they should hold.
+// Decide returns the next orders that bring the servers nearer to what they should hold. It gives layers to empty servers
+// first; only if there are none to give, one server moves, and only if none can, domains with missing layers are retiled.
 func Decide(e *catalog.Engine, servers []Server) []Order {
 	c := newCoverageMap(e, servers)
 	if orders := append(fillEmpty(c, servers), replaceLost(c, servers)...); len(orders) > 0 {
@@ -74,9 +79,9 @@
 	return retile(e, servers)
 }
 
-// fillEmpty gives layers to the servers that hold none, domain by domain, since each shall have a whole copy, and the fastest first, so
-// that slow ones only hold what is left and stand in for others: every token passes each layer, and an answer that takes longer
-// holds its memory for longer.
+// fillEmpty gives layers to the servers that hold none. It goes domain by domain, since each one should have a whole copy of
+// the model, and begins with the fastest servers of a domain, so that slow ones only hold what is left or are backups: every
+// token passes each layer, and an answer that takes longer occupies its memory for longer.
 func fillEmpty(c *coverageMap, servers []Server) []Order {
 	var free []*Server
 	for i := range servers {
@@ -103,7 +108,7 @@
 	return orders
 }
 
-// choose returns the range that an empty server should hold.
+// choose returns the range that an empty server should hold; false means that no layer fits.
 func (c *coverageMap) choose(s *Server, mayBeBackup bool) (models.Layers, bool) {
 	n := LayersOf(c.engine, s.Kind, wantedSequences)
 	if n == 0 {
@@ -116,7 +121,8 @@
 	return r, true
 }
 
-// isBackup reports whether every layer of a range has another holder in the server's domain that is as fast.
+// isBackup reports whether every layer of a range has another holder in the server's domain that is as fast, so that a
+// server that holds the range would be a backup.
 func (c *coverageMap) isBackup(s *Server, r models.Layers) bool {
 	fastest, own := c.fastest[s.Domain], stepTime(c.engine, s.Kind)
 	for l := r.First; l < r.End; l++ {
@@ -127,15 +133,15 @@
 	return true
 }
 
-// stepTime returns how long a token step of all layers keeps a kind busy with wantedSequences, with its part of reading: while each
-// answer goes on, the prompt of another one is read.
+// stepTime returns how long one token step of all layers with wantedSequences keeps a server of the kind busy, including the
+// share of prompt reading: while each answer is generated, the prompt of another one is read.
 func stepTime(e *catalog.Engine, k *catalog.Kind) time.Duration {
 	step := chain.StepTime(e, k, e.Layers, wantedSequences, usualTokens(e))
 	reading := chain.ReadTime(e, k, e.Layers, e.UsualPrompt)
 	return step + wantedSequences*reading/time.Duration(max(e.UsualAnswer, 1))
 }
 
-// placedBefore says which of two empty servers gets layers first.
+// placedBefore reports whether the empty server a gets layers before b.
 func placedBefore(e *catalog.Engine, a, b *Server) bool {
 	switch timeA, timeB := stepTime(e, a.Kind), stepTime(e, b.Kind); {
 	case a.Domain != b.Domain:
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -34,6 +34,7 @@
 	return out
 }
 
+// apply sets the layers of servers as their orders say.
 func apply(all []placement.Server, orders []placement.Order) {
 	for _, o := range orders {
 		for i := range all {
@@ -44,6 +45,7 @@
 	}
 }
 
+// missing returns the number of layers without a holder in the domain.
 func missing(e *catalog.Engine, all []placement.Server, domain string) int {
 	held := make([]bool, e.Layers)
 	for _, s := range all {
@@ -71,6 +73,7 @@
 	return models.Layers{First: max(a.First, b.First), End: max(min(a.End, b.End), max(a.First, b.First))}
 }
 
+// mixedDomain returns the servers of domain a: many slow ones and two of a faster kind.
 func mixedDomain(e *catalog.Engine) []placement.Server {
 	return servers(e, "a", "mid", "mid", "small", "small", "small", "small", "tiny", "tiny", "tiny", "tiny", "tiny", "tiny", "tiny")
 }
@@ -81,7 +84,7 @@
 	apply(all, placement.Decide(e, all))
 	require.Zero(t, missing(e, all, "a"))
 	require.Zero(t, missing(e, all, "b"))
-	require.Empty(t, placement.Decide(e, all), "nothing is left to do")
+	require.Empty(t, placement.Decide(e, all), "all layers are placed")
 }
 
 func TestNoServerIsOrderedToHoldMoreThanFits(t *testing.T) {
@@ -104,7 +107,8 @@
 	})
 }
 
-// TestMissingLayersAreFilledByRedundantServersOnly loses each server of a hall in turn; a move must not open another hole.
+// TestMissingLayersAreFilledByRedundantServersOnly loses each server of a domain in turn; a move must not leave other layers
+// without a holder.
 func TestMissingLayersAreFilledByRedundantServersOnly(t *testing.T) {
 	e := engine()
 	full := mixedDomain(e)
@@ -118,10 +122,10 @@
 				require.True(t, o.Moves)
 				for i := range all {
 					if all[i].ID == o.ID {
-						// While it loads, a server that moves serves only what it holds before and after.
+						// While it loads, a moving server serves only the layers that it holds before and after.
 						moving := append([]placement.Server(nil), all...)
 						moving[i].Layers = overlap(all[i].Layers, o.Layers)
-						require.Equal(t, missing(e, all, "a"), missing(e, moving, "a"), "%s gives up the only copy of a layer", o.ID)
+						require.Equal(t, missing(e, all, "a"), missing(e, moving, "a"), "%s drops the only copy of a layer", o.ID)
 					}
 				}
 			}
@@ -143,8 +147,8 @@
 	require.Zero(t, missing(e, all, "a"))
 }
 
-// TestDomainThatLostServersForGoodIsRetiled takes servers away until there are none to spare, and follows the orders
-// until nothing is left to do; no layer may lose its last holder on the way.
+// TestDomainThatLostServersForGoodIsRetiled removes servers until none can be spared, and applies orders until none are
+// left; no layer may lose its last holder on the way.
 func TestDomainThatLostServersForGoodIsRetiled(t *testing.T) {
 	e := engine()
 	rapid.Check(t, func(t *rapid.T) {
@@ -168,7 +172,7 @@
 	})
 }
 
-// TestPinnedServersAreNotMoved opens a hole in a domain whose entries may still come back.
+// TestPinnedServersAreNotMoved loses servers of a domain whose entries may still come back, so that all others are pinned.
 func TestPinnedServersAreNotMoved(t *testing.T) {
 	e := engine()
 	full := mixedDomain(e)
@@ -182,7 +186,7 @@
 	}
 }
 
-// TestFastServersHoldDifferentLayers fills a hall whose fast servers can hold nearly the whole model.
+// TestFastServersHoldDifferentLayers fills a domain whose fast servers can hold nearly the whole model.
 func TestFastServersHoldDifferentLayers(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "tiny", "small", "big", "tiny", "big", "small", "mid", "small")
@@ -200,7 +204,7 @@
 	require.GreaterOrEqual(t, held, 60)
 }
 
-// TestBackupServerHoldsMoreLayersWithLessRoom adds a server to a domain that has a whole copy.
+// TestBackupServerHoldsMoreLayersWithLessRoom adds a slow server to a domain that has a whole copy.
 func TestBackupServerHoldsMoreLayersWithLessRoom(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "big", "big", "big")
@@ -212,14 +216,15 @@
 	require.Greater(t, orders[0].Layers.Count(), placement.LayersOf(e, extra.Kind, 96))
 }
 
-// TestServersOfAnotherWholeCopyAreNoBackups fills a domain with memory for two and a half copies.
+// TestServersOfAnotherWholeCopyAreNoBackups fills a domain with memory for two and a half copies: only servers of the half
+// copy may be backups.
 func TestServersOfAnotherWholeCopyAreNoBackups(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "big", "big", "big", "big", "big", "big", "small", "small", "small", "small")
 	apply(all, placement.Decide(e, all))
 	usual := placement.LayersOf(e, e.Kind("big"), 96)
 	for _, s := range all[:6] {
-		require.Equal(t, usual, s.Layers.Count(), "the fast servers have room for the usual number of sequences")
+		require.Equal(t, usual, s.Layers.Count(), "the fast servers are no backups")
 	}
 	wide := 0
 	for _, s := range all[6:] {
@@ -227,10 +232,11 @@
 			wide++
 		}
 	}
-	require.Positive(t, wide, "what is left over stands in")
+	require.Positive(t, wide, "servers beyond whole copies are backups")
 }
 
-// TestKindsThatReadPromptsSlowlyArePlacedLater fills a domain with two kinds of nearly the same step; one reads prompts half as fast.
+// TestKindsThatReadPromptsSlowlyArePlacedLater fills a domain with two kinds of nearly the same step time, one of which
+// reads prompts half as fast.
 func TestKindsThatReadPromptsSlowlyArePlacedLater(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "tiny", "tiny", "small", "small")
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,3 +1,3 @@
 // Package placement decides which layers each server of a chained engine should hold. It starts from what the servers hold
-// now, so that whoever gives orders next goes on where the last one stopped. It holds no clock and does no I/O.
+// now, so that a new leader continues where the former one stopped. It reads no clock and does no I/O.
 package placement
--- a/placement/move.go
+++ b/placement/move.go
@@ -2,11 +2,11 @@
 
 import "junctioncross/catalog"
 
-// move lets one server give up layers that have other holders, for layers that have none: the one that covers most of
-// them, and of several the one that loads least.
+// move lets one server drop layers that have other holders in its domain and load layers that are missing there: the server
+// that covers most missing layers, and among equals the one that loads the fewest.
 //
-// A server that holds the only copy of a layer in its domain stays where it is, whatever it could cover: its layers would be
-// missing for as long as the new ones load.
+// A server that holds the only copy of a layer in its domain is never moved, whatever it could cover: its layers would be
+// missing while the new ones load.
 func move(e *catalog.Engine, c *coverageMap, servers []Server) []Order {
 	live := settledCoverageMap(e, servers)
 	var best Order
--- a/placement/replace.go
+++ b/placement/replace.go
@@ -6,8 +6,8 @@
 	"junctioncross/models"
 )
 
-// replaceLost gives what is missing in a domain to the empty servers that wait there, to as few as can hold it, so that the others are
-// still free for whoever leaves next.
+// replaceLost gives the missing layers of each domain to its reserved empty servers, to as few as can hold them, so that the
+// others stay free to replace the next servers that leave.
 func replaceLost(c *coverageMap, servers []Server) []Order {
 	reserved := map[string][]*Server{}
 	for i := range servers {
@@ -23,7 +23,7 @@
 	return orders
 }
 
-// replaceIn gives what is missing in one domain to the servers that wait there.
+// replaceIn gives the missing layers of one domain to its reserved servers.
 func (c *coverageMap) replaceIn(domain string, reserved []*Server) []Order {
 	size := func(s *Server) int { return LayersOf(c.engine, s.Kind, wantedSequences) }
 	sort.Slice(reserved, func(i, j int) bool {
@@ -35,7 +35,7 @@
 	var orders []Order
 	for hasMissing(c.ofDomain(domain)) && len(reserved) > 0 {
 		missing := firstMissing(c.ofDomain(domain))
-		// The smallest one that can hold all of it, or the largest one.
+		// Take the smallest server that can hold all of the missing range, or else the largest one.
 		i := sort.Search(len(reserved)-1, func(i int) bool { return size(reserved[i]) >= missing.Count() })
 		s := reserved[i]
 		reserved = append(reserved[:i], reserved[i+1:]...)
--- a/placement/replace_test.go
+++ b/placement/replace_test.go
@@ -9,7 +9,8 @@
 	"junctioncross/placement"
 )
 
-// TestReservedServersTakeOnlyMissingLayers adds a large and a small empty server to a domain and lets one of its servers leave.
+// TestReservedServersTakeOnlyMissingLayers adds a large and a small reserved server to a domain and lets each of its other
+// servers leave in turn: only the layers that are missing then are given away, to the small server if they fit.
 func TestReservedServersTakeOnlyMissingLayers(t *testing.T) {
 	e := engine()
 	all := mixedDomain(e)
@@ -53,7 +54,7 @@
 	require.NotContains(t, []models.Layers{orders[0].Layers, orders[1].Layers}, all[1].Layers)
 }
 
-// TestSummaryReportsMemoryShortage takes servers away until the rest cannot hold the model.
+// TestSummaryReportsMemoryShortage summarizes a domain whose servers cannot hold the model.
 func TestSummaryReportsMemoryShortage(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "big", "big")
--- a/placement/retile.go
+++ b/placement/retile.go
@@ -8,12 +8,13 @@
 	"junctioncross/models"
 )
 
-// minRetiledSequences is the number of sequences that servers of a domain must still have memory for when they are tiled anew.
+// minRetiledSequences is the number of sequences that the servers of a domain must still have memory for after it is
+// retiled.
 const minRetiledSequences = 24
 
 // retile returns the orders that bring the servers of a domain with missing layers to a tiling of the whole model, with as
 // much memory for sequences as that leaves. It is the last resort, for domains that have lost servers for good and have none
-// to spare: ranges are shifted by a few layers each, and a server gives a layer up only when another one holds it.
+// to spare: ranges are shifted by a few layers at a time, and a server drops a layer only when another one holds it.
 func retile(e *catalog.Engine, servers []Server) []Order {
 	live := settledCoverageMap(e, servers)
 	planned := newCoverageMap(e, servers)
@@ -36,6 +37,7 @@
 	return orders
 }
 
+// hasMissing reports whether a layer of the domain has no holder.
 func hasMissing(domain []float64) bool {
 	for _, room := range domain {
 		if room < minRoom {
@@ -45,8 +47,8 @@
 	return false
 }
 
-// settledByDomain returns the servers by domain; a domain with orders under way or with servers that
-// stay is left out.
+// settledByDomain returns the servers of a known kind by domain, without the domains that have orders under way or pinned
+// servers.
 func settledByDomain(servers []Server) map[string][]*Server {
 	out := map[string][]*Server{}
 	busy := map[string]bool{}
@@ -66,13 +68,14 @@
 	return out
 }
 
-// tile is the range that a server should hold in the end.
+// tile is the range that a server should hold when the domain is retiled.
 type tile struct {
 	server *Server
 	layers models.Layers
 }
 
-// tiling cuts the model among the servers in the order of what they hold now; it is empty when they are too small.
+// tiling divides the model among the servers, in the order of the layers that they hold now; it returns nil when their
+// memory is too small.
 func tiling(e *catalog.Engine, members []*Server) []tile {
 	sequences := 0
 	for s := minRetiledSequences; s <= wantedSequences && totalLayers(e, members, s) >= e.Layers; s += 4 {
@@ -93,7 +96,7 @@
 	sum := 0.0
 	for _, s := range members {
 		n := LayersOf(e, s.Kind, sequences)
-		// What the servers hold beyond one copy is spread evenly as overlaps.
+		// Layers that the servers can hold beyond one copy are spread evenly as overlaps between neighbours.
 		first := int(math.Floor(sum * float64(e.Layers) / total))
 		first = min(first, e.Layers-n)
 		tiles = append(tiles, tile{server: s, layers: models.Layers{First: first, End: first + n}})
@@ -102,6 +105,7 @@
 	return tiles
 }
 
+// totalLayers returns the number of layers that the servers can hold together with the given number of sequences beside them.
 func totalLayers(e *catalog.Engine, members []*Server, sequences int) int {
 	total := 0
 	for _, s := range members {
@@ -110,8 +114,9 @@
 	return total
 }
 
-// nextOrder returns the next order on the way from what a server holds to a range: the range itself when every layer that it
-// gives up has another holder, otherwise both together when they fit.
+// nextOrder returns the next order on the way from what a server holds to the range to: the range itself when every layer
+// that the server drops has another holder, otherwise the union of both when it fits; false means that neither is possible
+// now.
 func nextOrder(e *catalog.Engine, live *coverageMap, s *Server, to models.Layers) (Order, bool) {
 	if live.othersHold(s, to) {
 		live.add(s, s.Layers, -1)
@@ -124,7 +129,7 @@
 	return Order{}, false
 }
 
-// othersHold reports whether every layer that the server would give up for a range has another holder in its domain.
+// othersHold reports whether every layer that the server would drop for the range to has another holder in its domain.
 func (c *coverageMap) othersHold(s *Server, to models.Layers) bool {
 	d := c.ofDomain(s.Domain)
 	own := max(sequencesOf(c.engine, s.Kind, s.Layers.Count()), 1)
--- a/placement/standin.go
+++ b/placement/standin.go
@@ -1,13 +1,14 @@
 package placement
 
-// layerBudget counts the layers that the servers of each domain have room for beside wantedSequences: of all, of those that hold nothing
-// yet, and of those that stand in.
+// layerBudget counts, for each domain, the layers that servers can hold with wantedSequences beside them: all servers, those
+// that hold nothing yet, and the backup servers.
 type layerBudget struct {
 	all    map[string]int
 	free   map[string]int
 	backup map[string]int
 }
 
+// countLayers returns the layer budget of the domains as their servers are now.
 func (c *coverageMap) countLayers(servers []Server) layerBudget {
 	out := layerBudget{all: map[string]int{}, free: map[string]int{}, backup: map[string]int{}}
 	for i := range servers {
@@ -27,8 +28,9 @@
 	return out
 }
 
-// mayBeBackup reports whether a server that has room for so many layers may stand in for others: only what is left over when the
-// domain holds as many whole copies as it can does, and the slowest servers, which come last.
+// mayBeBackup reports whether a server that can hold usual layers with wantedSequences may be a backup server. Backups are
+// limited to the memory that is left over when the domain holds as many whole copies of the model as it can; they are the
+// slowest servers, which are placed last.
 func (s layerBudget) mayBeBackup(domain string, usual, layers int) bool {
 	leftOver := s.all[domain] % layers
 	return s.free[domain] <= leftOver && s.backup[domain]+usual <= leftOver
--- a/placement/summary.go
+++ b/placement/summary.go
@@ -6,23 +6,24 @@
 	"junctioncross/catalog"
 )
 
-// Coverage tells how many holders the layers of a model have in one failure domain.
+// Coverage describes how the layers of a model are covered by the servers of one failure domain.
 type Coverage struct {
 	Domain string
 	// Missing is the number of layers without a holder.
 	Missing int
-	// Room is the least number of sequences that the holders of a layer have memory for.
+	// Room is the number of sequences that the holders of a layer have memory for, at the layer where it is lowest.
 	Room int
-	// Servers and Empty count the servers of the domain and those that hold nothing.
+	// Servers is the number of servers of the domain, Empty that of the servers that hold no layers.
 	Servers int
 	Empty   int
-	// Short is the number of layers of one whole copy for which the servers have no memory with the usual room for sequences beside, and
-	// ShortMB that memory.
+	// Short is the number of layers of one whole copy that the servers have no memory for, with wantedSequences beside each
+	// layer; ShortMB is the missing memory in megabytes.
 	Short   int
 	ShortMB int
 }
 
-// Summary returns the coverage of each domain, by name, and that of the whole fleet under an empty name first.
+// Summary returns the coverage of the whole fleet, with an empty domain name, followed by that of each domain, sorted by
+// name.
 func Summary(e *catalog.Engine, servers []Server) []Coverage {
 	c := newCoverageMap(e, servers)
 	all := Coverage{Short: e.Layers}
@@ -54,6 +55,7 @@
 	return out
 }
 
+// count fills in the fields that follow from the room of each layer and from Short.
 func (c *Coverage) count(e *catalog.Engine, room []float64) {
 	c.ShortMB = int(float64(c.Short) * layerMB(e, wantedSequences))
 	lowest := room[0]
