--- a/leader/leader.go
+++ b/leader/leader.go
@@ -15,39 +15,42 @@
 )
 
 const (
-	// roundPeriod is how often holdings are compared with what is wanted.
+	// roundPeriod is how often the layers that servers hold are compared with those that they should hold.
 	roundPeriod = 200 * time.Millisecond
-	// maxAwait bounds one wait for the right to become free. A wait that hangs in an outage ends so much later at most, and
-	// few instances wait.
+	// maxAwait limits one wait for the lock to become free. If the store goes silent during a wait, the instance notices at
+	// most this much later; only the few instances that follow the store directly wait.
 	maxAwait = 4 * time.Second
-	// directCheckPeriod is how often an instance that hears of the fleet through another one looks whether it still does.
+	// directCheckPeriod is how often an instance that gets its feed updates from another instance checks whether it follows
+	// the store itself by now.
 	directCheckPeriod = 500 * time.Millisecond
-	// lockTimeout bounds a call that takes or keeps the right.
+	// lockTimeout limits a call that acquires, renews or releases the lock, and is the pause after a failed one.
 	lockTimeout = 800 * time.Millisecond
-	// startJitter keeps instances that start together from all asking for the right at once.
+	// startJitter is the longest random delay before an instance tries to acquire a free lock, so that instances that start
+	// together do not all try at once.
 	startJitter = 150 * time.Millisecond
-	// quietTime is how long no server may have come or gone before empty ones get layers, so that those that start together are
-	// placed together.
+	// quietTime is how long no server may have appeared before empty servers get layers, so that servers that start together
+	// are placed together.
 	quietTime = 400 * time.Millisecond
-	// maxQuietWait is the longest that empty servers wait for calm.
+	// maxQuietWait is the longest that empty servers wait for such a quiet period.
 	maxQuietWait = 1500 * time.Millisecond
-	// replacementWait is how long an empty server of a domain that lacks nothing waits for the one that it may be there to replace,
-	// which mostly leaves within that time.
+	// replacementWait is how long an empty server of a domain that does not lack most of a model is reserved for one that it
+	// may have been started to replace; such a server usually leaves within that time.
 	replacementWait = 1500 * time.Millisecond
-	// coldQuietTime and coldPatience are the same for a service of which no server holds anything: nothing is served meanwhile, and
-	// which server is fast shows only when all are known. Entries appear within a heartbeat of the platform, 1.2 s.
+	// coldQuietTime and maxColdQuietWait are the same for a cold service, of which no server holds any layer: it serves no
+	// requests meanwhile, and the fastest servers can be chosen only when all are known. Entries appear within one heartbeat
+	// of the platform, 1.2 s.
 	coldQuietTime    = 1500 * time.Millisecond
 	maxColdQuietWait = 4 * time.Second
 )
 
-// Place tells where an instance stands in the fleet.
+// Place describes where the instance gets its feed updates from.
 type Place interface {
-	// Direct reports whether the instance follows the platform's store itself. Others leave it to those that do to give
-	// orders: they know first what changes, and each waiting call has its price.
+	// Direct reports whether the instance follows the platform's store itself. Only such instances compete for leadership:
+	// they learn of changes first, and each waiting call costs the store resources.
 	Direct() bool
 }
 
-// Leader takes part in choosing who gives orders and gives them while it is chosen.
+// Leader competes for leadership of the fleet and gives orders to servers while it has it.
 type Leader struct {
 	lock     Claim
 	upstream Place
@@ -64,7 +67,8 @@
 	term  *term
 }
 
-// New returns a Leader and starts it; it ends when ctx ends or Stop is called. Holder names this start of the instance.
+// New returns a Leader and starts it; it runs until ctx ends or Stop is called. Holder identifies this run of the instance
+// in the lock.
 func New(
 	ctx context.Context, lock Claim, upstream Place, holder string, fleet *follow.Board, caller backend.Caller, clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
@@ -86,7 +90,7 @@
 	return g
 }
 
-// Stop gives the right back and returns when that is done.
+// Stop stops the Leader, releases the lock and returns when that is done.
 func (g *Leader) Stop() {
 	close(g.stop)
 	<-g.done
@@ -102,7 +106,7 @@
 	}
 }
 
-// campaign waits for the right to become free and tries to take it.
+// campaign waits for the lock to become free and tries to acquire it.
 func (g *Leader) campaign(ctx context.Context) {
 	if !g.upstream.Direct() {
 		g.clock.Sleep(ctx, directCheckPeriod)
@@ -138,7 +142,7 @@
 	g.log.WithFields(logrus.Fields{"holder": g.holder, "lease": grant.Lease}).Info("gives orders")
 }
 
-// lead keeps the right and gives orders, one round of both.
+// lead runs one round of a leader: it renews the lease when that is due and gives orders.
 func (g *Leader) lead(ctx context.Context) {
 	if g.clock.Since(g.lease.renewedAt) >= renewPeriod {
 		g.renew(ctx)
@@ -155,6 +159,7 @@
 	g.clock.Sleep(ctx, roundPeriod)
 }
 
+// renew renews the lease; a lease that has ended is dropped.
 func (g *Leader) renew(ctx context.Context) {
 	sentAt := g.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
@@ -170,7 +175,7 @@
 	}
 }
 
-// resign gives the right back, so that another instance takes over at once.
+// resign releases the lock, so that another instance can take over at once.
 func (g *Leader) resign() {
 	if g.lease.grant.Lease == 0 {
 		return
--- a/leader/lease.go
+++ b/leader/lease.go
@@ -11,42 +11,45 @@
 
 // Errors of a Claim.
 var (
-	// ErrTaken means that another instance holds the right to give orders.
-	ErrTaken = errors.New("leader: right is taken")
-	// ErrOver means that the right has ended.
-	ErrOver = errors.New("leader: right has ended")
-	// ErrUnavailable means that the store did not answer or turned the call away.
-	ErrUnavailable = errors.New("leader: store is not available")
+	// ErrTaken means that another instance holds the leader lock.
+	ErrTaken = errors.New("leader: lock is held by another instance")
+	// ErrOver means that the lease of the lock has ended.
+	ErrOver = errors.New("leader: lease of the lock has ended")
+	// ErrUnavailable means that the store did not answer or rejected the call.
+	ErrUnavailable = errors.New("leader: store is unavailable")
 )
 
-// Grant is the right to give orders.
+// Grant is the leader lock as it was granted: the store's lease that keeps it, and the time to live of that lease.
 type Grant struct {
 	Lease int64
 	TTL   time.Duration
 }
 
-// Claim takes and keeps the right to give orders in the platform's store.
+// Claim is the leader lock in the platform's store: the right to give orders to servers, held by one instance at a time
+// under a lease.
 type Claim interface {
-	// Await returns true as soon as the right is free, and false when wait has passed; it returns ErrUnavailable.
+	// Await returns true as soon as the lock is free, and false when wait has passed; it returns ErrUnavailable.
 	Await(ctx context.Context, wait time.Duration) (bool, error)
-	// Take takes the right for holder; it returns ErrTaken or ErrUnavailable.
+	// Take acquires the lock for holder; it returns ErrTaken or ErrUnavailable.
 	Take(ctx context.Context, holder string, ttl time.Duration) (Grant, error)
-	// Keep renews the right; it returns ErrOver or ErrUnavailable.
+	// Keep renews the lease of the lock; it returns ErrOver or ErrUnavailable.
 	Keep(ctx context.Context, g Grant) error
-	// End gives the right back; it returns ErrUnavailable.
+	// End releases the lock; it returns ErrUnavailable.
 	End(ctx context.Context, g Grant) error
 }
 
 const (
-	// leaseTTL is how long a leader that died keeps others from giving orders: a few renewals.
+	// leaseTTL is the time to live of the lease, and so how long a leader that has crashed keeps others from taking over:
+	// several renewal periods.
 	leaseTTL = 2 * time.Second
-	// leaseMargin is how much earlier than the store a holder takes its lease as over.
+	// leaseMargin is how much earlier than the store a holder regards its lease as ended.
 	leaseMargin = 300 * time.Millisecond
-	// renewPeriod is how often a lease is renewed.
+	// renewPeriod is how often the lease is renewed.
 	renewPeriod = 500 * time.Millisecond
 )
 
-// lease is the right as its holder sees it; until is measured from before the call that gave it.
+// lease is the lock as its holder sees it. The field expires is counted from the time just before the call that acquired or
+// renewed the lock, so that it is not later than in the store.
 type lease struct {
 	clock     *timer.Service
 	grant     Grant
--- a/leader/work.go
+++ b/leader/work.go
@@ -16,49 +16,54 @@
 )
 
 const (
-	// orderTimeout bounds the call that gives an order.
+	// orderTimeout limits a call that gives an order or asks for a server's report.
 	orderTimeout = 500 * time.Millisecond
-	// maxConcurrentOrders bounds the calls under way.
+	// maxConcurrentOrders limits the orders that are sent at the same time.
 	maxConcurrentOrders = 8
-	// orderSlack is how much longer than its load an order may take to show in the server's entry: a heartbeat or two.
+	// orderSlack is how much longer than the load time an order may take to show in the server's entry: one or two
+	// heartbeats.
 	orderSlack = 3 * time.Second
-	// orderCheckDelay is how long after an order without an answer the server is asked what became of it.
+	// orderCheckDelay is how long after an order without a known outcome the server is queried for it.
 	orderCheckDelay = 700 * time.Millisecond
 )
 
-// pendingOrder is an order that does not show yet in what its server says.
+// pendingOrder is an order that the server's entry does not show yet.
 type pendingOrder struct {
 	layers models.Layers
-	since  time.Time
-	// timeout is how long the order may take.
+	// since is when the order was sent or its server was last queried.
+	since time.Time
+	// timeout is how long after since the order may take before the server is queried.
 	timeout time.Duration
-	// uncertain is true while it is not known whether the server took the order.
+	// uncertain is true while it is unknown whether the server accepted the order.
 	uncertain bool
 }
 
-// term is what a leader remembers of its orders; it ends with its term.
+// term holds what a leader knows of its orders and of the servers; it ends when the instance loses the lease.
 type term struct {
 	leader  *Leader
 	pending map[string]*pendingOrder
-	// orders holds the number of orders that each server is known to have taken; a fresh start has taken none.
+	// orders holds the number of orders that each incarnation of a server is known to have accepted; one that is not listed
+	// has accepted none.
 	orders map[string]int64
-	// knownSince tells since when each server of the last round has been knownSince, and changed when one last came.
+	// knownSince holds since when each server of the last round has been known, lastArrival when one last appeared, and
+	// waitingSince since when empty servers have been waiting for a quiet period; zero means that none wait.
 	knownSince   map[string]time.Time
 	lastArrival  time.Time
 	waitingSince time.Time
-	// arrivals holds when servers last appeared in each domain.
+	// arrivals records when servers appeared in each domain.
 	arrivals map[string]arrivals
-	// coverage is the last coverage that was logged.
+	// coverage is what was last logged.
 	coverage []placement.Coverage
 }
 
 func newTerm(g *Leader) *term {
 	return &term{
-		leader: g, pending: map[string]*pendingOrder{}, orders: map[string]int64{}, knownSince: map[string]time.Time{}, lastArrival: g.clock.Now(),
-		arrivals: map[string]arrivals{},
+		leader: g, pending: map[string]*pendingOrder{}, orders: map[string]int64{}, knownSince: map[string]time.Time{},
+		lastArrival: g.clock.Now(), arrivals: map[string]arrivals{},
 	}
 }
 
+// round gives the orders that are due to the servers of all services with a chained engine.
 func (t *term) round(ctx context.Context) {
 	snapshot := t.leader.fleet.Current()
 	for _, group := range snapshot.Groups() {
@@ -68,7 +73,7 @@
 	}
 }
 
-// place gives the orders that are due to the servers of one service.
+// place gives the servers of one service the orders that are due.
 func (t *term) place(ctx context.Context, engine *catalog.Engine, servers []*backend.Server) {
 	t.checkPending(ctx, servers)
 	t.trackServers(servers)
@@ -93,7 +98,7 @@
 	t.sendOrders(ctx, engine, orders, byID)
 }
 
-// missingShares returns which part of a model's layers each domain lacks.
+// missingShares returns the fraction of a model's layers that each domain lacks.
 func missingShares(engine *catalog.Engine, coverage []placement.Coverage) map[string]float64 {
 	missing := make(map[string]float64, len(coverage))
 	for _, c := range coverage {
@@ -102,7 +107,7 @@
 	return missing
 }
 
-// logCoverage writes a line for each change of what is known of the holders.
+// logCoverage logs the coverage of the fleet and of each domain when it has changed.
 func (t *term) logCoverage(engine *catalog.Engine, coverage []placement.Coverage) {
 	if slices.Equal(coverage, t.coverage) {
 		return
@@ -117,9 +122,9 @@
 	}
 }
 
-// warnOfShortage says by how much the servers of a domain are too few for one copy of the model with the usual room: it serves less than
-// it should then, and planned work may leave layers without a holder. A domain whose servers all hold nothing is about to start, and
-// others will follow.
+// warnOfShortage logs by how much the servers of a domain are too few for one copy of the model with the usual room: such a
+// domain serves less than it should, and planned work may leave layers without a holder. A domain whose servers all hold
+// nothing is just starting, and more servers will follow, so that it is not reported.
 func (t *term) warnOfShortage(engine *catalog.Engine, c placement.Coverage) {
 	if c.Domain == "" || c.Short == 0 || c.Empty == c.Servers {
 		return
@@ -129,7 +134,8 @@
 	}).Warn("domain too small for a copy of the model with the usual room")
 }
 
-// keepInPlace marks the servers that shall not move, since others of their domain may be about to appear.
+// keepInPlace pins the servers of domains in which more servers are likely to appear soon, so that none moves for layers that
+// these may bring back.
 func (t *term) keepInPlace(servers []placement.Server, missing map[string]float64) {
 	now := t.leader.clock.Now()
 	for i := range servers {
@@ -138,8 +144,9 @@
 	}
 }
 
-// reserveReplacements marks the empty servers that may be there to replace others: a release starts the new server first. A domain that
-// lacks most of a model needs all of its servers at once.
+// reserveReplacements reserves the empty servers that may have been started to replace others: a release starts the new
+// server before it stops the old one. A domain that lacks most of a model needs all of its servers at once, so that none are
+// reserved there.
 func (t *term) reserveReplacements(servers []placement.Server, missing map[string]float64) {
 	now := t.leader.clock.Now()
 	for i := range servers {
@@ -148,7 +155,7 @@
 	}
 }
 
-// projected returns a server as it will be when the orders under way are done.
+// projected returns a server with the layers that it will hold when the order under way is done.
 func (t *term) projected(engine *catalog.Engine, s *backend.Server) placement.Server {
 	v := placement.Server{ID: s.Incarnation().String(), Domain: s.Domain(), Kind: engine.Kind(s.Kind()), Layers: s.Layers(), Settled: true}
 	if p := t.pending[s.Incarnation().String()]; p != nil {
@@ -157,7 +164,7 @@
 	return v
 }
 
-// trackServers remembers when servers last came or went.
+// trackServers records which servers have appeared since the last round and forgets those that are gone.
 func (t *term) trackServers(servers []*backend.Server) {
 	now := t.leader.clock.Now()
 	present := make(map[string]bool, len(servers))
@@ -178,8 +185,9 @@
 	}
 }
 
-// mayGiveOrders reports whether the empty servers of domains that lack most of a model may get layers now, or have waited long enough. What is
-// missing elsewhere is given to whoever is there.
+// mayGiveOrders reports whether orders may be given now. While an empty server is in a domain that lacks most of a model,
+// they wait for a quiet period, with a limit. Otherwise they need not wait: layers that are missing elsewhere are given to
+// the servers that are there.
 func (t *term) mayGiveOrders(servers []placement.Server, missing map[string]float64) bool {
 	now := t.leader.clock.Now()
 	empty, cold := false, true
@@ -200,7 +208,7 @@
 	return now.Sub(t.lastArrival) >= quietTime || now.Sub(t.waitingSince) >= maxQuietWait
 }
 
-// checkPending forgets orders that show in the servers' entries or took too long.
+// checkPending forgets orders that the servers' entries show, and queries servers whose orders are uncertain or overdue.
 func (t *term) checkPending(ctx context.Context, servers []*backend.Server) {
 	now := t.leader.clock.Now()
 	for _, s := range servers {
@@ -215,20 +223,21 @@
 	}
 }
 
-// checkOrder finds out what became of an order.
+// checkOrder queries a server for the outcome of its order.
 func (t *term) checkOrder(ctx context.Context, s *backend.Server, p *pendingOrder) {
 	g := t.leader
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	report, err := g.caller.Report(ctx, s.Addr())
 	if err != nil || report.Born != s.Incarnation().Born {
-		// The server may be gone, or have started again; its entry will tell. Until then it keeps what it was ordered to hold.
+		// The server may be gone or have restarted, which its entry will show. Until then it counts as holding what it was
+		// ordered to hold.
 		p.since = g.clock.Now()
 		return
 	}
 	t.orders[s.Incarnation().String()] = report.Orders
 	if report.Busy {
-		// Whether this order or another one is carried out shows at its end.
+		// Whether the server is carrying out this order or another one shows only when it has finished.
 		p.since = g.clock.Now()
 		return
 	}
@@ -243,7 +252,7 @@
 	}).Warn("order had no effect")
 }
 
-// sendOrders sends orders, some at a time.
+// sendOrders sends the orders, maxConcurrentOrders at a time, and records their outcomes.
 func (t *term) sendOrders(ctx context.Context, engine *catalog.Engine, orders []placement.Order, byID map[string]*backend.Server) {
 	results := make([]error, len(orders))
 	slots := make(chan struct{}, maxConcurrentOrders)
@@ -270,15 +279,16 @@
 	return t.leader.caller.Place(ctx, s.Addr(), s.ID(), order)
 }
 
-// mayCut reports whether an order may break off what passes a server. A server moves only to fill a hole that keeps its domain from
-// serving, and waiting for what passes it would leave the hole open for longer: parts behind the first are replaced in a fraction of a
-// second. A first part takes its streams with it when it cuts them; they are handed over while it waits.
+// mayCut reports whether an order may cut the streams that pass through a server. A server moves only to cover missing
+// layers that keep its domain from serving, and waiting for the streams to end would keep them missing for longer. Streams
+// whose later stage is cut get another server for it within a fraction of a second. Cutting at the first server of their
+// paths would end the streams, so that such a server waits while they are handed over.
 func mayCut(s *backend.Server) bool { return s.Layers().First > 0 }
 
-// expectedOrders returns the number of orders that the server is known to have taken.
+// expectedOrders returns the number of orders that the server is known to have accepted.
 func (t *term) expectedOrders(s *backend.Server) int64 { return t.orders[s.Incarnation().String()] }
 
-// recordOrder remembers an order and its outcome.
+// recordOrder logs an order and its outcome and keeps it as pending.
 func (t *term) recordOrder(ctx context.Context, engine *catalog.Engine, s *backend.Server, o placement.Order, err error) {
 	g := t.leader
 	g.stats.Counter("orders_total").Inc(1)
@@ -300,7 +310,7 @@
 	default:
 		g.stats.Counter("orders_refused_total").Inc(1)
 		g.log.WithFields(fields).WithError(err).Warn("order refused")
-		// A server that carries out an order of a former leader refuses all others until it has done so.
+		// A server that is carrying out an order of a former leader refuses all others until it has finished.
 		p.uncertain = true
 		t.pending[s.Incarnation().String()] = p
 		t.checkOrder(ctx, s, p)
--- a/leader/work_test.go
+++ b/leader/work_test.go
@@ -24,11 +24,11 @@
 // fakeServers is a backend.Caller whose servers refuse orders while they are busy.
 type fakeServers struct {
 	mu sync.Mutex
-	// busy, holds and placed go by address.
+	// busy, holds and placed are keyed by address.
 	busy   map[string]bool
 	holds  map[string]models.Layers
 	placed map[string][]models.Layers
-	// cuts counts the orders that break off what passes.
+	// cuts is the number of orders that allow streams to be cut.
 	cuts int
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// smallEngine is an engine whose servers hold half of the model at most.
+// smallEngine returns an engine whose servers hold half of the model at most.
 func smallEngine() *catalog.Engine {
 	e := engine()
 	for i := range e.Kinds {
@@ -91,7 +91,8 @@
 	return &fakeServers{busy: map[string]bool{}, holds: map[string]models.Layers{}, placed: map[string][]models.Layers{}}
 }
 
-// TestBusyServerIsNotOrderedInEachRound gives orders to an empty server that carries out another one.
+// TestBusyServerIsNotOrderedInEachRound places layers while an empty server carries out the order of another leader and
+// refuses all others: it must get one order, not one in each round.
 func TestBusyServerIsNotOrderedInEachRound(t *testing.T) {
 	caller := newFakeServers()
 	term, clock := newTestTerm(t, caller)
@@ -111,7 +112,8 @@
 	require.Len(t, caller.placed[empty.Addr()], 2, "it is ordered again once it is free")
 }
 
-// TestAColdServiceWaitsForItsFastServers lets a slow server appear a heartbeat before the fast one.
+// TestAColdServiceWaitsForItsFastServers lets a slow server appear a heartbeat before the fast one, which must still become
+// the first server of the path.
 func TestAColdServiceWaitsForItsFastServers(t *testing.T) {
 	caller := newFakeServers()
 	term, clock := newTestTerm(t, caller)
@@ -128,7 +130,8 @@
 	require.Equal(t, 0, caller.placed[fast.Addr()][0].First, "the fast server is first on the path")
 }
 
-// TestAnEmptyServerWaitsForTheOneThatItReplaces lets a server appear a second before another one of its kind leaves.
+// TestAnEmptyServerWaitsForTheOneThatItReplaces lets an empty server appear a second before one that holds layers leaves, as
+// a release does: it must take just the layers of that one.
 func TestAnEmptyServerWaitsForTheOneThatItReplaces(t *testing.T) {
 	caller := newFakeServers()
 	term, clock := newTestTerm(t, caller)
@@ -142,12 +145,13 @@
 	}
 	rounds(4*time.Second, first, second)
 	rounds(time.Second, first, second, empty)
-	require.Empty(t, caller.placed[empty.Addr()], "it is not known yet whom it replaces")
+	require.Empty(t, caller.placed[empty.Addr()], "it is not known yet which server it replaces")
 	rounds(roundPeriod, first, empty)
 	require.Equal(t, []models.Layers{{First: 4, End: 8}}, caller.placed[empty.Addr()])
 }
 
-// TestEmptyServerThatReplacesNoServerIsPlaced waits for nobody.
+// TestEmptyServerThatReplacesNoServerIsPlaced adds an empty server while no server leaves: it must get layers when its
+// reservation ends.
 func TestEmptyServerThatReplacesNoServerIsPlaced(t *testing.T) {
 	caller := newFakeServers()
 	term, clock := newTestTerm(t, caller)
@@ -159,7 +163,8 @@
 	require.Len(t, caller.placed[empty.Addr()], 1)
 }
 
-// TestArrivalsInOtherDomainsDoNotDelayADomain lets an empty server wait for nobody while servers appear elsewhere, one after the other.
+// TestArrivalsInOtherDomainsDoNotDelayADomain lets servers appear in another domain one after the other: an empty server
+// must not wait for a quiet period there.
 func TestArrivalsInOtherDomainsDoNotDelayADomain(t *testing.T) {
 	caller := newFakeServers()
 	term, clock := newTestTerm(t, caller)
@@ -173,7 +178,7 @@
 	require.Len(t, caller.placed[empty.Addr()], 1)
 }
 
-// TestADomainThatIsTooSmallIsLogged leaves a domain with one server that holds half of the model.
+// TestADomainThatIsTooSmallIsLogged leaves a domain with one server, which holds half of the model.
 func TestADomainThatIsTooSmallIsLogged(t *testing.T) {
 	term, _ := newTestTerm(t, newFakeServers())
 	hook := logtest.NewLocal(term.leader.log)
@@ -183,7 +188,7 @@
 	term.place(t.Context(), smallEngine(), []*backend.Server{half})
 	require.Len(t, warnings(hook), 1)
 	require.Equal(t, 4, warnings(hook)[0].Data["short_layers"])
-	require.Greater(t, warnings(hook)[0].Data["short_mb"], 400, "four layers and what sequences need")
+	require.Greater(t, warnings(hook)[0].Data["short_mb"], 400, "the memory of four layers and of the sequences beside them")
 }
 
 func warnings(hook *logtest.Hook) []*logrus.Entry {
@@ -196,7 +201,8 @@
 	return out
 }
 
-// TestFirstServerOfPathsIsNotCutByAMove loses the only holder of one half of the model beside two holders of the other half.
+// TestFirstServerOfPathsIsNotCutByAMove loses the only holder of one half of the model beside two holders of the other half:
+// a move may cut the streams through a server only if it is not the first of their paths.
 func TestFirstServerOfPathsIsNotCutByAMove(t *testing.T) {
 	for _, c := range []struct {
 		held models.Layers
@@ -210,6 +216,6 @@
 			clock.Advance(roundPeriod)
 		}
 		require.Len(t, caller.placed, 1, "one of them moves")
-		require.Equal(t, c.cuts, caller.cuts, "what passes %s", c.held)
+		require.Equal(t, c.cuts, caller.cuts, "orders that cut the streams through a holder of %s", c.held)
 	}
 }
