--- a/placement/decide.go
+++ b/placement/decide.go
@@ -14,10 +14,10 @@
 	// leaves less memory for layers: with only one bare copy of the model in each domain, the loss of one server sends all
 	// paths of its domain over the links between domains.
 	wantedSequences = 96
-	// backupSequences is the same for a backup server: one whose layers all have another holder in its domain that is as
+	// standbySequences is the same for a standby server: one whose layers all have another holder in its domain that is as
 	// fast. It takes over from lost servers and takes the overflow of the others, and covers more layers with less room for
 	// sequences.
-	backupSequences = 48
+	standbySequences = 48
 )
 
 // Server describes a backend server for Decide and Summary.
@@ -80,7 +80,7 @@
 }
 
 // fillEmpty gives layers to the servers that hold none. It goes domain by domain, since each one should have a whole copy of
-// the model, and begins with the fastest servers of a domain, so that slow ones only hold what is left or are backups: every
+// the model, and begins with the fastest servers of a domain, so that slow ones only hold what is left or are standbys: every
 // token passes each layer, and an answer that takes longer occupies its memory for longer.
 func fillEmpty(c *coverageMap, servers []Server) []Order {
 	var free []*Server
@@ -94,13 +94,13 @@
 	budget := c.countLayers(servers)
 	for _, s := range free {
 		usual := LayersOf(c.engine, s.Kind, wantedSequences)
-		r, ok := c.choose(s, budget.mayBeBackup(s.Domain, usual, c.engine.Layers))
+		r, ok := c.choose(s, budget.mayBeStandby(s.Domain, usual, c.engine.Layers))
 		if !ok {
 			continue
 		}
 		budget.free[s.Domain] -= usual
 		if r.Count() > usual {
-			budget.backup[s.Domain] += usual
+			budget.standby[s.Domain] += usual
 		}
 		c.add(s, r, 1)
 		orders = append(orders, Order{ID: s.ID, Layers: r})
@@ -109,21 +109,21 @@
 }
 
 // choose returns the range that an empty server should hold; false means that no layer fits.
-func (c *coverageMap) choose(s *Server, mayBeBackup bool) (models.Layers, bool) {
+func (c *coverageMap) choose(s *Server, mayBeStandby bool) (models.Layers, bool) {
 	n := LayersOf(c.engine, s.Kind, wantedSequences)
 	if n == 0 {
 		return models.Layers{}, false
 	}
 	r, _ := c.bestRange(s.Domain, n)
-	if mayBeBackup && c.isBackup(s, r) {
-		r, _ = c.bestRange(s.Domain, LayersOf(c.engine, s.Kind, backupSequences))
+	if mayBeStandby && c.isStandby(s, r) {
+		r, _ = c.bestRange(s.Domain, LayersOf(c.engine, s.Kind, standbySequences))
 	}
 	return r, true
 }
 
-// isBackup reports whether every layer of a range has another holder in the server's domain that is as fast, so that a
-// server that holds the range would be a backup.
-func (c *coverageMap) isBackup(s *Server, r models.Layers) bool {
+// isStandby reports whether every layer of a range has another holder in the server's domain that is as fast, so that a
+// server that holds the range would be a standby server.
+func (c *coverageMap) isStandby(s *Server, r models.Layers) bool {
 	fastest, own := c.fastest[s.Domain], stepTime(c.engine, s.Kind)
 	for l := r.First; l < r.End; l++ {
 		if fastest[l] == 0 || fastest[l] > own {
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -204,8 +204,8 @@
 	require.GreaterOrEqual(t, held, 60)
 }
 
-// TestBackupServerHoldsMoreLayersWithLessRoom adds a slow server to a domain that has a whole copy.
-func TestBackupServerHoldsMoreLayersWithLessRoom(t *testing.T) {
+// TestStandbyServerHoldsMoreLayersWithLessRoom adds a slow server to a domain that has a whole copy.
+func TestStandbyServerHoldsMoreLayersWithLessRoom(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "big", "big", "big")
 	apply(all, placement.Decide(e, all))
@@ -216,15 +216,15 @@
 	require.Greater(t, orders[0].Layers.Count(), placement.LayersOf(e, extra.Kind, 96))
 }
 
-// TestServersOfAnotherWholeCopyAreNoBackups fills a domain with memory for two and a half copies: only servers of the half
-// copy may be backups.
-func TestServersOfAnotherWholeCopyAreNoBackups(t *testing.T) {
+// TestServersOfAnotherWholeCopyAreNoStandbys fills a domain with memory for two and a half copies: only servers of the half
+// copy may be standbys.
+func TestServersOfAnotherWholeCopyAreNoStandbys(t *testing.T) {
 	e := engine()
 	all := servers(e, "a", "big", "big", "big", "big", "big", "big", "small", "small", "small", "small")
 	apply(all, placement.Decide(e, all))
 	usual := placement.LayersOf(e, e.Kind("big"), 96)
 	for _, s := range all[:6] {
-		require.Equal(t, usual, s.Layers.Count(), "the fast servers are no backups")
+		require.Equal(t, usual, s.Layers.Count(), "the fast servers are no standbys")
 	}
 	wide := 0
 	for _, s := range all[6:] {
@@ -232,7 +232,7 @@
 			wide++
 		}
 	}
-	require.Positive(t, wide, "servers beyond whole copies are backups")
+	require.Positive(t, wide, "servers beyond whole copies are standbys")
 }
 
 // TestKindsThatReadPromptsSlowlyArePlacedLater fills a domain with two kinds of nearly the same step time, one of which
--- a/placement/backup.go
+++ b/placement/standby.go
@@ -1,16 +1,16 @@
 package placement
 
 // layerBudget counts, for each domain, the layers that servers can hold with wantedSequences beside them: all servers, those
-// that hold nothing yet, and the backup servers.
+// that hold nothing yet, and the standby servers.
 type layerBudget struct {
-	all    map[string]int
-	free   map[string]int
-	backup map[string]int
+	all     map[string]int
+	free    map[string]int
+	standby map[string]int
 }
 
 // countLayers returns the layer budget of the domains as their servers are now.
 func (c *coverageMap) countLayers(servers []Server) layerBudget {
-	out := layerBudget{all: map[string]int{}, free: map[string]int{}, backup: map[string]int{}}
+	out := layerBudget{all: map[string]int{}, free: map[string]int{}, standby: map[string]int{}}
 	for i := range servers {
 		s := &servers[i]
 		if s.Kind == nil {
@@ -20,7 +20,7 @@
 		out.all[s.Domain] += n
 		switch held := s.Layers.Count(); {
 		case held > n:
-			out.backup[s.Domain] += n
+			out.standby[s.Domain] += n
 		case held == 0 && s.Settled:
 			out.free[s.Domain] += n
 		}
@@ -28,10 +28,10 @@
 	return out
 }
 
-// mayBeBackup reports whether a server that can hold usual layers with wantedSequences may be a backup server. Backups are
+// mayBeStandby reports whether a server that can hold usual layers with wantedSequences may be a standby server. Standbys are
 // limited to the memory that is left over when the domain holds as many whole copies of the model as it can; they are the
 // slowest servers, which are placed last.
-func (s layerBudget) mayBeBackup(domain string, usual, layers int) bool {
+func (s layerBudget) mayBeStandby(domain string, usual, layers int) bool {
 	leftOver := s.all[domain] % layers
-	return s.free[domain] <= leftOver && s.backup[domain]+usual <= leftOver
+	return s.free[domain] <= leftOver && s.standby[domain]+usual <= leftOver
 }
