--- a/control/backends.go
+++ b/control/backends.go
@@ -24,14 +24,14 @@
 	kind  *intent.Kind
 	index int
 	chart *chart.Machine
-	// status is the newest statement about the server.
-	status backendStatus
+	// latest is the newest statement about the server.
+	latest backendStatus
 	known  bool
 }
 
 // serving reports whether new work for the model may go to the server.
 func (b *backend) serving(model string) bool {
-	return b.chart.State() == "serving" && b.status.Model == model && !b.spec.Retiring
+	return b.chart.State() == "serving" && b.latest.Model == model && !b.spec.Retiring
 }
 
 func (b *backend) fire(e chart.Event) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// followDocument adds and removes backend servers by the configuration.
-func (l *Loop) followDocument() {
+// syncBackends adds and removes backend servers by the configuration.
+func (l *Loop) syncBackends() {
 	d := l.index.Document()
 	keep := map[string]bool{}
 	for _, spec := range d.Backends {
@@ -72,7 +72,7 @@
 	for _, o := range l.table.Origins(l.deps.Clock.Now()) {
 		o.Each(func(e gossip.Entry) {
 			if name, ok := strings.CutPrefix(e.Key, prefixBackend); ok {
-				l.collect(newest, name, o, e.Key)
+				l.keepNewest(newest, name, o, e.Key)
 			}
 		})
 		if o.Silent < silentLimit {
@@ -83,10 +83,10 @@
 	changed := false
 	serving := 0
 	for name, b := range l.backends {
-		if s := newest[name]; b.known && s.Incarnation > b.status.Incarnation {
+		if s := newest[name]; b.known && s.Incarnation > b.latest.Incarnation {
 			l.deps.Pool.Server(b.index).Restarted()
 		}
-		changed = b.follow(newest[name], listedLeaving[name]) || changed
+		changed = b.update(newest[name], listedLeaving[name]) || changed
 		barred := b.spec.Retiring || movingNow[name] || b.chart.State() == "leaving" || b.chart.State() == "suspect"
 		l.deps.Pool.Server(b.index).Bar(barred)
 		if b.chart.State() == "serving" && !barred {
@@ -104,7 +104,7 @@
 	}
 }
 
-func (l *Loop) collect(newest map[string]backendStatus, name string, o gossip.Origin, key string) {
+func (l *Loop) keepNewest(newest map[string]backendStatus, name string, o gossip.Origin, key string) {
 	s, ok := l.backendCache.get(o, key)
 	if !ok {
 		return
@@ -115,21 +115,21 @@
 	}
 }
 
-// follow moves the server's chart by the newest statement and reports whether anything changed.
-func (b *backend) follow(s backendStatus, listedLeaving bool) bool {
-	before, was := b.chart.State(), b.status
+// update moves the server's chart by the newest statement and reports whether anything changed.
+func (b *backend) update(s backendStatus, listedLeaving bool) bool {
+	before, was := b.chart.State(), b.latest
 	if s.Incarnation != 0 {
-		if b.known && s.Incarnation > b.status.Incarnation {
+		if b.known && s.Incarnation > b.latest.Incarnation {
 			b.fire("restarted")
 		}
 		b.known = true
-		b.status = s
+		b.latest = s
 		b.fire(eventOf(s))
 	}
 	if s.Leaving || listedLeaving {
 		b.fire("leaving")
 	}
-	return b.chart.State() != before || !b.status.sameFacts(was)
+	return b.chart.State() != before || !b.latest.equalIgnoringSequence(was)
 }
 
 func eventOf(s backendStatus) chart.Event {
@@ -143,8 +143,8 @@
 	}
 }
 
-// publish shows the request path the servers as they are now.
-func (l *Loop) publish() {
+// publishSnapshot shows the request path the servers as they are now.
+func (l *Loop) publishSnapshot() {
 	if l.index == nil {
 		return
 	}
@@ -159,8 +159,8 @@
 func (l *Loop) graph(m *intent.Model) *route.Graph {
 	nodes := make([]route.Node, 0, len(l.backends))
 	for _, b := range l.backends {
-		if b.spec.Domain == l.self.Domain && b.serving(m.Name) && b.status.Version == m.Version {
-			nodes = append(nodes, b.node(b.status.Layers))
+		if b.spec.Domain == l.self.Domain && b.serving(m.Name) && b.latest.Version == m.Version {
+			nodes = append(nodes, b.node(b.latest.Layers))
 		}
 	}
 	g := route.NewGraph(m.Layers, nodes)
@@ -184,9 +184,9 @@
 	}
 }
 
-// orders lists the servers of the own domain, as planned and as seen.
-func (l *Loop) orders() ordersAnswer {
-	a := ordersAnswer{seen: map[string]order.Seen{}}
+// domainServers lists the servers of the own domain, as planned and as seen.
+func (l *Loop) domainServers() serversAnswer {
+	a := serversAnswer{seen: map[string]order.Seen{}}
 	if l.index == nil {
 		return a
 	}
@@ -203,7 +203,7 @@
 			Layers: b.spec.Layers, ChecksFence: b.spec.ChecksFence,
 		})
 		if b.known {
-			s := b.status
+			s := b.latest
 			a.seen[name] = order.Seen{
 				Silent: s.Silent, Leaving: s.Leaving, State: s.State, Model: s.Model, Version: s.Version, Layers: s.Layers,
 			}
@@ -216,17 +216,17 @@
 func (l *Loop) Chosen() bool { return l.chosen.Load() }
 
 // Targets implements order.Fleet.
-func (l *Loop) Targets() []order.Target { return l.askOrders().targets }
+func (l *Loop) Targets() []order.Target { return l.askServers().targets }
 
 // Seen implements order.Fleet.
-func (l *Loop) Seen() map[string]order.Seen { return l.askOrders().seen }
+func (l *Loop) Seen() map[string]order.Seen { return l.askServers().seen }
 
 // SetMoving implements order.Fleet.
-func (l *Loop) SetMoving(names []string) { l.post(moving{names: names}) }
+func (l *Loop) SetMoving(names []string) { l.post(movingChanged{names: names}) }
 
 // SetLeads tells whether this instance gives the orders of its domain.
 func (l *Loop) SetLeads(leads bool) { l.leads.Store(leads) }
 
-func (l *Loop) askOrders() ordersAnswer {
-	return ask(l, func(answer chan ordersAnswer) message { return ordersAsked{answer: answer} })
+func (l *Loop) askServers() serversAnswer {
+	return ask(l, func(answer chan serversAnswer) message { return serversAsked{answer: answer} })
 }
--- a/control/cache.go
+++ b/control/cache.go
@@ -8,9 +8,9 @@
 }
 
 type decoded[T any] struct {
-	known gossip.Known
-	value T
-	ok    bool
+	version gossip.Known
+	value   T
+	ok      bool
 }
 
 // cache keeps the decoded bodies of gossip entries, which are read far more often than they change.
@@ -24,15 +24,15 @@
 func (c *cache[T]) get(o gossip.Origin, key string) (T, bool) {
 	e, ok := o.Entry(key)
 	if !ok {
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 	at := entryKey{origin: o.Name, key: key}
-	known := gossip.Known{Incarnation: o.Incarnation, Version: e.Version}
-	if d, ok := c.bodies[at]; ok && d.known == known {
+	version := gossip.Known{Incarnation: o.Incarnation, Version: e.Version}
+	if d, ok := c.bodies[at]; ok && d.version == version {
 		return d.value, d.ok
 	}
 	value, ok := decode[T](e.Body)
-	c.bodies[at] = decoded[T]{known: known, value: value, ok: ok}
+	c.bodies[at] = decoded[T]{version: version, value: value, ok: ok}
 	return value, ok
 }
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -16,10 +16,10 @@
 
 const (
 	exchangeTimeout = 1500 * time.Millisecond
-	// strangerShare is how many exchanges there are for one with an unknown instance, while there are any.
-	strangerShare = 2
-	// strangersAtOnce bounds the unknown instances that are asked when the list has been read.
-	strangersAtOnce = 3
+	// exchangesPerUnknown is how many exchanges there are for one with an unknown instance, while there are any.
+	exchangesPerUnknown = 2
+	// maxUnknownAtOnce bounds the unknown instances that are asked when the list has been read.
+	maxUnknownAtOnce = 3
 )
 
 var errOtherDomain = errors.New("control: caller stands in another domain")
@@ -29,31 +29,31 @@
 	link.Handle(m, link.KindExchange, l.serveExchange)
 	link.Handle(m, link.KindUpdates, l.serveUpdates)
 	link.Handle(m, link.KindHead, l.serveHead)
-	link.Handle(m, link.KindNews, l.serveNews)
+	link.Handle(m, link.KindNews, l.serveNewerHead)
 	link.Handle(m, link.KindSegment, l.serveSegment)
-	link.Handle(m, link.KindStatus, func(context.Context, keys.Identity, none) ([]InstanceStatus, error) {
+	link.Handle(m, link.KindStatus, func(context.Context, keys.Identity, empty) ([]InstanceStatus, error) {
 		return l.Statuses(), nil
 	})
 }
 
-func (l *Loop) serveExchange(_ context.Context, from keys.Identity, q exchangeQuestion) (exchangeAnswer, error) {
+func (l *Loop) serveExchange(_ context.Context, from keys.Identity, request exchangeRequest) (exchangeResponse, error) {
 	if from.Domain() != l.self.Domain {
-		return exchangeAnswer{}, errOtherDomain
+		return exchangeResponse{}, errOtherDomain
 	}
-	return ask(l, func(answer chan exchangeAnswer) message {
-		return exchangeAsked{digest: q.Digest, answer: answer}
+	return ask(l, func(answer chan exchangeResponse) message {
+		return exchangeAsked{digest: request.Digest, answer: answer}
 	}), nil
 }
 
-func (l *Loop) serveUpdates(_ context.Context, from keys.Identity, q updatesQuestion) (none, error) {
+func (l *Loop) serveUpdates(_ context.Context, from keys.Identity, request updatesRequest) (empty, error) {
 	if from.Domain() != l.self.Domain {
-		return none{}, errOtherDomain
+		return empty{}, errOtherDomain
 	}
-	l.post(updatesArrived{updates: q.Updates})
-	return none{}, nil
+	l.post(updatesArrived{updates: request.Updates})
+	return empty{}, nil
 }
 
-func (l *Loop) serveHead(context.Context, keys.Identity, none) (revision.Head, error) {
+func (l *Loop) serveHead(context.Context, keys.Identity, empty) (revision.Head, error) {
 	f := l.deps.Keeper.InForce()
 	if f == nil {
 		return revision.Head{}, errors.New("control: no configuration")
@@ -61,13 +61,13 @@
 	return f.Head(), nil
 }
 
-func (l *Loop) serveNews(_ context.Context, _ keys.Identity, q newsQuestion) (newsAnswer, error) {
+func (l *Loop) serveNewerHead(_ context.Context, _ keys.Identity, request newerHeadRequest) (newerHeadResponse, error) {
 	f := l.deps.Keeper.InForce()
-	if f == nil || f.Head().Revision <= q.Above {
-		return newsAnswer{}, nil
+	if f == nil || f.Head().Revision <= request.Above {
+		return newerHeadResponse{}, nil
 	}
 	head := f.Head()
-	return newsAnswer{Head: &head}, nil
+	return newerHeadResponse{Head: &head}, nil
 }
 
 func (l *Loop) serveSegment(_ context.Context, _ keys.Identity, hash string) ([]byte, error) {
@@ -82,7 +82,7 @@
 // two groups of instances that started apart would otherwise never meet.
 func (l *Loop) startExchange() {
 	addrs := l.neighbourAddrs()
-	if strangers := l.strangerAddrs(); len(strangers) > 0 && rand.IntN(strangerShare) == 0 {
+	if strangers := l.unknownAddrs(); len(strangers) > 0 && rand.IntN(exchangesPerUnknown) == 0 {
 		addrs = strangers
 	}
 	if len(addrs) > 0 {
@@ -90,17 +90,17 @@
 	}
 }
 
-// meetStrangers exchanges news at once with some listed instances that are not known yet.
-func (l *Loop) meetStrangers() {
-	addrs := l.strangerAddrs()
+// exchangeWithUnknown exchanges news at once with some listed instances that are not known yet.
+func (l *Loop) exchangeWithUnknown() {
+	addrs := l.unknownAddrs()
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-	for _, addr := range addrs[:min(len(addrs), strangersAtOnce)] {
+	for _, addr := range addrs[:min(len(addrs), maxUnknownAtOnce)] {
 		l.exchange(addr)
 	}
 }
 
-// strangerAddrs returns the listed instances of the domain that are not among the known ones.
-func (l *Loop) strangerAddrs() []string {
+// unknownAddrs returns the listed instances of the domain that are not among the known ones.
+func (l *Loop) unknownAddrs() []string {
 	var out []string
 	for _, line := range l.listed {
 		_, known := l.members.statuses[line.Name]
@@ -134,7 +134,7 @@
 
 // seedAddr returns one address from the settings or the platform's list.
 func (l *Loop) seedAddr() []string {
-	out := l.strangerAddrs()
+	out := l.unknownAddrs()
 	for _, addr := range l.self.Seeds {
 		if addr != l.self.PeerAddr {
 			out = append(out, addr)
@@ -152,7 +152,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 		defer cancel()
-		a, err := link.Call[exchangeQuestion, exchangeAnswer](ctx, l.deps.Links, addr, link.KindExchange, exchangeQuestion{Digest: digest})
+		a, err := link.Call[exchangeRequest, exchangeResponse](ctx, l.deps.Links, addr, link.KindExchange, exchangeRequest{Digest: digest})
 		if err != nil {
 			l.deps.Stats.Counter("exchanges_failed_total").Inc(1)
 			return
@@ -170,7 +170,7 @@
 	if len(updates) == 0 {
 		return
 	}
-	if _, err := link.Call[updatesQuestion, none](ctx, l.deps.Links, addr, link.KindUpdates, updatesQuestion{Updates: updates}); err != nil {
+	if _, err := link.Call[updatesRequest, empty](ctx, l.deps.Links, addr, link.KindUpdates, updatesRequest{Updates: updates}); err != nil {
 		l.deps.Stats.Counter("exchanges_failed_total").Inc(1)
 	}
 }
--- a/control/limits.go
+++ b/control/limits.go
@@ -19,10 +19,10 @@
 	}
 	others := l.othersDemand()
 	for _, m := range l.index.Document().Models {
-		places := float64(l.places(m.Name))
+		slots := float64(l.slots(m.Name))
 		own := l.demand[m.Name]
-		fair := places * (own + 1) / (own + others[m.Name] + float64(max(len(l.members.live), 1)))
-		l.deps.Gates.Gate(m.Name).SetLimit(int(max(fair, places-others[m.Name]) + 0.5))
+		fair := slots * (own + 1) / (own + others[m.Name] + float64(max(len(l.members.live), 1)))
+		l.deps.Gates.Gate(m.Name).SetLimit(int(max(fair, slots-others[m.Name]) + 0.5))
 	}
 }
 
@@ -39,10 +39,10 @@
 	return out
 }
 
-// places returns the sequences that the model's lanes should carry at once. While a batch is in a step of each server, one
+// slots returns the sequences that the model's lanes should carry at once. While a batch is in a step of each server, one
 // more has to wait for the next step, or servers start with batches that are not full; but a token must not take longer
 // than gapTarget.
-func (l *Loop) places(model string) int {
+func (l *Loop) slots(model string) int {
 	total := 0.0
 	for _, lane := range l.deps.Board.Current().Graph(model).Lanes() {
 		stages := float64(len(lane.Path()))
--- a/control/loop.go
+++ b/control/loop.go
@@ -22,21 +22,21 @@
 )
 
 const (
-	// newsPeriod gathers news of backend servers before they are spread.
-	newsPeriod = 100 * time.Millisecond
-	fastPeriod = 400 * time.Millisecond
-	slowPeriod = time.Second
-	// beatTicks is the number of slow ticks from one sign of life to the next.
-	beatTicks = 2
+	// batchPeriod gathers news of backend servers before they are spread.
+	batchPeriod = 100 * time.Millisecond
+	fastPeriod  = 400 * time.Millisecond
+	slowPeriod  = time.Second
+	// heartbeatTicks is the number of slow ticks from one sign of life to the next.
+	heartbeatTicks = 2
 	// mergeTicks is the number of slow ticks after which servers are looked at again although nothing was stated: what an
 	// instance said that has gone silent no longer counts.
-	mergeTicks  = 5
-	inboxLength = 1024
+	mergeTicks    = 5
+	inboxCapacity = 1024
 	// exchangeTicks is the number of fast ticks from one exchange to the next when there is no news.
 	exchangeTicks = 3
 	// silentLimit is the time without news after which an instance is not counted on.
 	silentLimit = 12 * time.Second
-	forgetLimit = 5 * time.Minute
+	forgetAfter = 5 * time.Minute
 )
 
 // Self says who this instance is.
@@ -83,64 +83,64 @@
 	fetching atomic.Bool
 	alone    atomic.Bool
 	leads    atomic.Bool
-	// hearsKV is false while the last call to the key-value service failed.
-	hearsKV   atomic.Bool
-	directory atomic.Pointer[directory]
+	// kvReachable is false while the last call to the key-value service failed.
+	kvReachable atomic.Bool
+	directory   atomic.Pointer[directory]
 
-	// relayNews is when each relay was last heard to hear the service; it belongs to watch.
-	relayNews map[string]relayNews
+	// relayProgress is when each relay was last heard to hear the service; it belongs to watch.
+	relayProgress map[string]kvProgress
 
 	// The fields below belong to the control goroutine.
-	table        *gossip.Table
-	members      members
-	statusCache  *cache[InstanceStatus]
-	backendCache *cache[backendStatus]
-	namesCache   *cache[[]string]
-	usageCache   *cache[[]modelUsage]
-	index        *view.Index
-	backends     map[string]*backend
-	listed       []member.Listed
-	leftList     map[string]bool
-	heard        uint64
-	demand       map[string]float64
-	leaves       bool
-	ticks        int
-	beats        int
-	// newsDue delivers when news that were gathered are to be followed and spread; it is nil while there are none.
-	newsDue <-chan time.Time
-	polls   map[string]*poll
-	charged map[chargedKey]float64
+	table         *gossip.Table
+	members       members
+	statusCache   *cache[InstanceStatus]
+	backendCache  *cache[backendStatus]
+	namesCache    *cache[[]string]
+	usageCache    *cache[[]modelUsage]
+	index         *view.Index
+	backends      map[string]*backend
+	listed        []member.Listed
+	listedLeaving map[string]bool
+	kvAnswers     uint64
+	demand        map[string]float64
+	leaving       bool
+	fastTicks     int
+	slowTicks     int
+	// updatesDue delivers when news that were gathered are to be followed and spread; it is nil while there are none.
+	updatesDue <-chan time.Time
+	polls      map[string]*poll
+	charged    map[chargedKey]float64
 }
 
-type relayNews struct {
-	heard uint64
-	at    time.Time
+type kvProgress struct {
+	answers   uint64
+	changedAt time.Time
 }
 
 // New returns a Loop and starts it with its helpers; all stop when ctx ends.
 func New(ctx context.Context, self Self, deps Deps) *Loop {
 	now := deps.Clock.Now()
 	l := &Loop{
-		self: self, deps: deps, inbox: make(chan message, inboxLength),
-		http:         &http.Client{Timeout: 2 * time.Second},
-		stopped:      make(chan struct{}),
-		table:        gossip.New(self.Name, self.Incarnation, now),
-		backends:     map[string]*backend{},
-		statusCache:  newCache[InstanceStatus](),
-		backendCache: newCache[backendStatus](),
-		namesCache:   newCache[[]string](),
-		usageCache:   newCache[[]modelUsage](),
-		leftList:     map[string]bool{},
-		polls:        map[string]*poll{},
-		charged:      map[chargedKey]float64{},
-		relayNews:    map[string]relayNews{},
+		self: self, deps: deps, inbox: make(chan message, inboxCapacity),
+		http:          &http.Client{Timeout: 2 * time.Second},
+		stopped:       make(chan struct{}),
+		table:         gossip.New(self.Name, self.Incarnation, now),
+		backends:      map[string]*backend{},
+		statusCache:   newCache[InstanceStatus](),
+		backendCache:  newCache[backendStatus](),
+		namesCache:    newCache[[]string](),
+		usageCache:    newCache[[]modelUsage](),
+		listedLeaving: map[string]bool{},
+		polls:         map[string]*poll{},
+		charged:       map[chargedKey]float64{},
+		relayProgress: map[string]kvProgress{},
 	}
 	// The helpers start with this instance's roles, which it has alone until it hears of others.
 	l.refreshMembers()
 	go func() { l.run(ctx) }()
-	go func() { l.watch(ctx) }()
+	go func() { l.watchHead(ctx) }()
 	go func() { l.pollList(ctx) }()
-	go func() { l.askOthers(ctx) }()
+	go func() { l.pollOtherDomains(ctx) }()
 	return l
 }
 
@@ -176,8 +176,8 @@
 		select {
 		case m := <-l.inbox:
 			l.handle(m)
-		case <-l.newsDue:
-			l.spreadNews()
+		case <-l.updatesDue:
+			l.applyUpdates()
 		case <-fast.C():
 			l.fastTick()
 		case <-slow.C():
@@ -188,19 +188,19 @@
 	}
 }
 
-// gatherNews makes news be followed and spread soon, together with what else comes until then.
-func (l *Loop) gatherNews() {
-	if l.newsDue == nil {
-		l.newsDue = l.deps.Clock.After(newsPeriod)
+// scheduleUpdate makes news be followed and spread soon, together with what else comes until then.
+func (l *Loop) scheduleUpdate() {
+	if l.updatesDue == nil {
+		l.updatesDue = l.deps.Clock.After(batchPeriod)
 	}
 }
 
-// spreadNews follows the gathered news and passes them on to one neighbour, as that will to one of its own: they reach all
+// applyUpdates follows the gathered news and passes them on to one neighbour, as that will to one of its own: they reach all
 // in a number of periods that grows with the logarithm of their number, at a cost that does not grow with the news.
-func (l *Loop) spreadNews() {
-	l.newsDue = nil
+func (l *Loop) applyUpdates() {
+	l.updatesDue = nil
 	if l.mergeBackends() {
-		l.publish()
+		l.publishSnapshot()
 	}
 	l.startExchange()
 }
@@ -208,70 +208,70 @@
 func (l *Loop) fastTick() {
 	l.setLimits()
 	l.startPolls()
-	l.ticks++
-	if l.ticks%exchangeTicks == 0 || len(l.strangerAddrs()) > 0 {
+	l.fastTicks++
+	if l.fastTicks%exchangeTicks == 0 || len(l.unknownAddrs()) > 0 {
 		l.startExchange()
 	}
 }
 
 func (l *Loop) slowTick() {
 	now := l.deps.Clock.Now()
-	l.beats++
-	if l.beats%beatTicks == 0 {
+	l.slowTicks++
+	if l.slowTicks%heartbeatTicks == 0 {
 		l.table.Beat(now)
 	}
-	l.table.Forget(now, forgetLimit)
+	l.table.Forget(now, forgetAfter)
 	l.refreshMembers()
-	l.stateDemand()
-	l.stateUsage()
-	if l.beats%mergeTicks == 0 && l.mergeBackends() {
-		l.publish()
+	l.publishDemand()
+	l.publishUsage()
+	if l.slowTicks%mergeTicks == 0 && l.mergeBackends() {
+		l.publishSnapshot()
 	}
 }
 
 func (l *Loop) handle(m message) {
 	switch m := m.(type) {
 	case exchangeAsked:
-		m.answer <- exchangeAnswer{Updates: l.table.Delta(m.digest), Digest: l.table.Digest()}
+		m.answer <- exchangeResponse{Updates: l.table.Delta(m.digest), Digest: l.table.Digest()}
 	case deltaAsked:
 		m.answer <- l.table.Delta(m.digest)
 	case updatesArrived:
-		l.merge(m.updates)
+		l.mergeUpdates(m.updates)
 	case reportArrived:
-		l.reported(m)
+		l.handleReport(m)
 	case listArrived:
-		l.listChanged(m.lines)
-	case configured:
-		l.configure()
-	case heard:
-		l.heard++
-	case moving:
+		l.handleList(m.lines)
+	case configurationChanged:
+		l.applyConfiguration()
+	case kvAnswered:
+		l.kvAnswers++
+	case movingChanged:
 		l.table.Set(entryMoving, encode(m.names))
-		l.gatherNews()
+		l.scheduleUpdate()
 	case statusAsked:
 		m.answer <- l.statuses()
 	case listAsked:
 		m.answer <- append([]member.Listed(nil), l.listed...)
-	case ordersAsked:
-		m.answer <- l.orders()
-	case leaving:
-		l.leave(m)
+	case serversAsked:
+		m.answer <- l.domainServers()
+	case leaveRequested:
+		l.announceLeave(m)
 	}
 }
 
-// merge takes statements of other instances in.
-func (l *Loop) merge(updates []gossip.Update) {
+// mergeUpdates takes statements of other instances in.
+func (l *Loop) mergeUpdates(updates []gossip.Update) {
 	if !l.table.Merge(updates, l.deps.Clock.Now()) {
 		return
 	}
 	l.refreshMembers()
 	l.chargeRemote()
-	l.gatherNews()
+	l.scheduleUpdate()
 	l.fetchNewer()
 }
 
-// configure follows a configuration that has just come into force.
-func (l *Loop) configure() {
+// applyConfiguration follows a configuration that has just come into force.
+func (l *Loop) applyConfiguration() {
 	f := l.deps.Keeper.InForce()
 	if f == nil || l.index != nil && l.index.Revision() >= f.Head().Revision {
 		return
@@ -279,16 +279,16 @@
 	l.index = view.NewIndex(f)
 	l.deps.Stats.Gauge("revision").Update(int64(f.Head().Revision))
 	l.deps.Log.WithField("revision", f.Head().Revision).Info("configuration in force")
-	l.followDocument()
+	l.syncBackends()
 	l.mergeBackends()
-	l.publish()
-	l.stateStatus()
+	l.publishSnapshot()
+	l.publishStatus()
 	l.exchangeWithAll()
 }
 
-func (l *Loop) leave(m leaving) {
-	l.leaves = true
-	l.stateStatus()
+func (l *Loop) announceLeave(m leaveRequested) {
+	l.leaving = true
+	l.publishStatus()
 	l.refreshMembers()
 	l.exchangeWithAll()
 	close(m.done)
@@ -296,7 +296,7 @@
 
 // Leave tells the other instances that this one stops.
 func (l *Loop) Leave() {
-	ask(l, func(done chan struct{}) message { return leaving{done: done} })
+	ask(l, func(done chan struct{}) message { return leaveRequested{done: done} })
 }
 
 // Statuses returns what is known of the domain's instances.
--- a/control/members.go
+++ b/control/members.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// relays is the number of instances of a domain that watch the key-value service.
-	relays       = 2
+	// relayCount is the number of instances of a domain that watch the key-value service.
+	relayCount   = 2
 	subjectRelay = "relay"
 	subjectLead  = "lead"
 )
@@ -49,7 +49,7 @@
 	for _, o := range l.table.Origins(l.deps.Clock.Now()) {
 		s, ok := l.statusCache.get(o, entryStatus)
 		if o.Name == l.self.Name {
-			s.Leaving, ok = l.leaves, true
+			s.Leaving, ok = l.leaving, true
 		}
 		if !ok {
 			continue
@@ -73,7 +73,7 @@
 func (l *Loop) assignRoles() {
 	names := l.members.live
 	at := member.Position(names, subjectRelay, l.self.Name)
-	l.relay.Store(at >= 0 && at < relays)
+	l.relay.Store(at >= 0 && at < relayCount)
 	l.chosen.Store(member.Position(names, subjectLead, l.self.Name) == 0)
 	l.alone.Store(len(names) <= 1)
 	l.members.neighbours = member.Neighbours(names, l.self.Name)
@@ -81,30 +81,30 @@
 	l.assignPolls()
 }
 
-// stateStatus states what is true of this instance.
-func (l *Loop) stateStatus() {
+// publishStatus states what is true of this instance.
+func (l *Loop) publishStatus() {
 	s := InstanceStatus{
 		Name: l.self.Name, Domain: l.self.Domain, Addr: l.self.PeerAddr,
-		Revision: l.deps.Keeper.Revision(), Leaving: l.leaves, Heard: l.heard, Demand: l.demand,
+		Revision: l.deps.Keeper.Revision(), Leaving: l.leaving, KVAnswers: l.kvAnswers, Demand: l.demand,
 		Leads: l.leads.Load(),
 	}
 	l.table.Set(entryStatus, encode(s))
 }
 
-// stateDemand measures the demand at this instance, for its own limits and those of the others.
-func (l *Loop) stateDemand() {
+// publishDemand measures the demand at this instance, for its own limits and those of the others.
+func (l *Loop) publishDemand() {
 	l.demand = map[string]float64{}
 	l.deps.Gates.Each(func(model string, g gate) {
 		if d := math.Round(g.Offered()); d > 0 {
 			l.demand[model] = d
 		}
 	})
-	l.stateStatus()
+	l.publishStatus()
 }
 
 // statuses lists the instances of the domain.
 func (l *Loop) statuses() []InstanceStatus {
-	l.stateStatus()
+	l.publishStatus()
 	l.refreshMembers()
 	out := make([]InstanceStatus, 0, len(l.members.statuses))
 	for _, s := range l.members.statuses {
--- a/control/messages.go
+++ b/control/messages.go
@@ -13,7 +13,7 @@
 // exchangeAsked is a peer's digest; the answer holds what the peer lacks.
 type exchangeAsked struct {
 	digest gossip.Digest
-	answer chan exchangeAnswer
+	answer chan exchangeResponse
 }
 
 // updatesArrived holds statements of other instances.
@@ -35,14 +35,14 @@
 // listArrived is the platform's instance list.
 type listArrived struct{ lines []member.Listed }
 
-// configured says that a newer configuration is in force.
-type configured struct{}
+// configurationChanged says that a newer configuration is in force.
+type configurationChanged struct{}
 
-// heard says that the key-value service answered a watch.
-type heard struct{}
+// kvAnswered says that the key-value service answered a watch.
+type kvAnswered struct{}
 
-// moving names the servers that are drained for an order.
-type moving struct{ names []string }
+// movingChanged names the servers that are drained for an order.
+type movingChanged struct{ names []string }
 
 // statusAsked asks for the instances of the domain.
 type statusAsked struct{ answer chan []InstanceStatus }
@@ -50,26 +50,26 @@
 // listAsked asks for the platform's instance list as last read.
 type listAsked struct{ answer chan []member.Listed }
 
-// ordersAsked asks for the servers of the domain, as planned and as seen.
-type ordersAsked struct{ answer chan ordersAnswer }
+// serversAsked asks for the servers of the domain, as planned and as seen.
+type serversAsked struct{ answer chan serversAnswer }
 
-type ordersAnswer struct {
+type serversAnswer struct {
 	targets []order.Target
 	seen    map[string]order.Seen
 }
 
-// leaving says that this instance stops.
-type leaving struct{ done chan struct{} }
-
-func (exchangeAsked) message()  {}
-func (updatesArrived) message() {}
-func (deltaAsked) message()     {}
-func (reportArrived) message()  {}
-func (listArrived) message()    {}
-func (configured) message()     {}
-func (heard) message()          {}
-func (moving) message()         {}
-func (statusAsked) message()    {}
-func (listAsked) message()      {}
-func (ordersAsked) message()    {}
-func (leaving) message()        {}
+// leaveRequested says that this instance stops.
+type leaveRequested struct{ done chan struct{} }
+
+func (exchangeAsked) message()        {}
+func (updatesArrived) message()       {}
+func (deltaAsked) message()           {}
+func (reportArrived) message()        {}
+func (listArrived) message()          {}
+func (configurationChanged) message() {}
+func (kvAnswered) message()           {}
+func (movingChanged) message()        {}
+func (statusAsked) message()          {}
+func (listAsked) message()            {}
+func (serversAsked) message()         {}
+func (leaveRequested) message()       {}
--- a/control/others.go
+++ b/control/others.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// othersPeriod is how often a relay that does not hear the key-value service asks another domain.
-	othersPeriod  = 500 * time.Millisecond
-	othersTimeout = 700 * time.Millisecond
+	// otherDomainPeriod is how often a relay that does not hear the key-value service asks another domain.
+	otherDomainPeriod  = 500 * time.Millisecond
+	otherDomainTimeout = 700 * time.Millisecond
 )
 
-// askOthers carries configurations past a cut between this domain and the key-value service: its relays ask instances of
+// pollOtherDomains carries configurations past a cut between this domain and the key-value service: its relays ask instances of
 // other domains, one at a time.
-func (l *Loop) askOthers(ctx context.Context) {
+func (l *Loop) pollOtherDomains(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.deps.Clock.Sleep(ctx, jittered(othersPeriod))
-		if !l.relay.Load() || l.hearsKV.Load() {
+		l.deps.Clock.Sleep(ctx, jittered(otherDomainPeriod))
+		if !l.relay.Load() || l.kvReachable.Load() {
 			continue
 		}
 		if addr := l.otherDomainAddr(); addr != "" {
-			l.askOther(ctx, addr)
+			l.pollInstance(ctx, addr)
 		}
 	}
 }
@@ -43,11 +43,11 @@
 	return addrs[rand.IntN(len(addrs))]
 }
 
-func (l *Loop) askOther(ctx context.Context, addr string) {
-	call, cancel := context.WithTimeout(ctx, othersTimeout)
+func (l *Loop) pollInstance(ctx context.Context, addr string) {
+	call, cancel := context.WithTimeout(ctx, otherDomainTimeout)
 	defer cancel()
-	q := newsQuestion{Above: l.deps.Keeper.Revision()}
-	a, err := link.Call[newsQuestion, newsAnswer](call, l.deps.Links, addr, link.KindNews, q)
+	request := newerHeadRequest{Above: l.deps.Keeper.Revision()}
+	a, err := link.Call[newerHeadRequest, newerHeadResponse](call, l.deps.Links, addr, link.KindNews, request)
 	if err != nil || a.Head == nil {
 		return
 	}
@@ -56,6 +56,6 @@
 		l.deps.Stats.Counter("config_fetch_failed_total").Inc(1)
 	}
 	if changed {
-		l.post(configured{})
+		l.post(configurationChanged{})
 	}
 }
--- a/control/poll.go
+++ b/control/poll.go
@@ -17,13 +17,13 @@
 const (
 	pollPeriod  = 1200 * time.Millisecond
 	pollTimeout = 700 * time.Millisecond
-	// unreadyPeriod is how often a server that is not ready is polled.
-	unreadyPeriod = 300 * time.Millisecond
-	// pollers is the number of instances that poll one backend server.
-	pollers = 2
-	// silentPolls is the number of failed polls in a row after which a server is suspect.
-	silentPolls = 3
-	listPeriod  = 3 * time.Second
+	// notReadyPeriod is how often a server that is not ready is polled.
+	notReadyPeriod = 300 * time.Millisecond
+	// pollersPerServer is the number of instances that poll one backend server.
+	pollersPerServer = 2
+	// suspectAfterFailures is the number of failed polls in a row after which a server is suspect.
+	suspectAfterFailures = 3
+	listPeriod           = 3 * time.Second
 )
 
 // poll is the state of this instance's polling of one backend server.
@@ -42,7 +42,7 @@
 			continue
 		}
 		at := member.Position(l.members.live, name, l.self.Name)
-		if at < 0 || at >= pollers {
+		if at < 0 || at >= pollersPerServer {
 			continue
 		}
 		mine[name] = true
@@ -75,30 +75,30 @@
 	}
 }
 
-// reported states what a poll showed, when that has changed.
-func (l *Loop) reported(m reportArrived) {
+// handleReport states what a poll showed, when that has changed.
+func (l *Loop) handleReport(m reportArrived) {
 	p := l.polls[m.name]
 	if p == nil {
 		return
 	}
 	p.running = false
 	if m.err != nil || m.report.State != engine.StateReady {
-		p.due = l.deps.Clock.Now().Add(unreadyPeriod)
+		p.due = l.deps.Clock.Now().Add(notReadyPeriod)
 	}
 	next := p.last
 	if m.err != nil {
 		p.failures++
-		next.Silent = p.failures >= silentPolls || errors.Is(m.err, engine.ErrUnreachable)
+		next.Silent = p.failures >= suspectAfterFailures || errors.Is(m.err, engine.ErrUnreachable)
 	} else {
 		p.failures = 0
 		next = statusOf(m.report)
 	}
-	if next.Incarnation == 0 || next.sameFacts(p.last) {
+	if next.Incarnation == 0 || next.equalIgnoringSequence(p.last) {
 		return
 	}
 	p.last = next
 	l.table.Set(prefixBackend+m.name, encode(next))
-	l.gatherNews()
+	l.scheduleUpdate()
 }
 
 func statusOf(r engine.Report) backendStatus {
@@ -140,23 +140,23 @@
 	return lines, err
 }
 
-// listChanged keeps the list; a mark of leaving in it is kept for as long as the server's process lives.
-func (l *Loop) listChanged(lines []member.Listed) {
+// handleList keeps the list; a mark of leaving in it is kept for as long as the server's process lives.
+func (l *Loop) handleList(lines []member.Listed) {
 	l.listed = lines
-	l.meetStrangers()
+	l.exchangeWithUnknown()
 	for _, line := range lines {
 		if line.Role == member.RoleBackend && line.Leaving {
-			l.leftList[line.Name] = true
+			l.listedLeaving[line.Name] = true
 		}
 		if line.Role == member.RoleBackend && !line.Leaving {
-			delete(l.leftList, line.Name)
+			delete(l.listedLeaving, line.Name)
 		}
 	}
-	names := make([]string, 0, len(l.leftList))
-	for n := range l.leftList {
+	names := make([]string, 0, len(l.listedLeaving))
+	for n := range l.listedLeaving {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	l.table.Set(entryLeaving, encode(names))
-	l.gatherNews()
+	l.scheduleUpdate()
 }
--- a/control/relay.go
+++ b/control/relay.go
@@ -14,85 +14,85 @@
 )
 
 const (
-	watchPause = 200 * time.Millisecond
-	// checkPeriod is how often an instance that is no relay looks whether it has become one.
-	checkPeriod = time.Second
-	// longestPause bounds the pause between failed calls of a relay to the key-value service.
-	longestPause = 5 * time.Second
-	// askPeriod is how often an instance that hears of no relay asks the service itself.
-	askPeriod = 5 * time.Second
-	// relayFresh is how long a relay's last word from the service counts; a watch lasts up to nine seconds.
-	relayFresh   = 20 * time.Second
-	fetchTimeout = 3 * time.Second
+	minRetryDelay = 200 * time.Millisecond
+	// roleCheckPeriod is how often an instance that is no relay looks whether it has become one.
+	roleCheckPeriod = time.Second
+	// maxRetryDelay bounds the pause between failed calls of a relay to the key-value service.
+	maxRetryDelay = 5 * time.Second
+	// directReadPeriod is how often an instance that hears of no relay asks the service itself.
+	directReadPeriod = 5 * time.Second
+	// relayProgressLimit is how long a relay's last word from the service counts; a watch lasts up to nine seconds.
+	relayProgressLimit = 20 * time.Second
+	fetchTimeout       = 3 * time.Second
 )
 
-// watch follows the head in the key-value service while this instance is a relay, and asks now and then when no relay
+// watchHead follows the head in the key-value service while this instance is a relay, and asks now and then when no relay
 // hears the service.
-func (l *Loop) watch(ctx context.Context) {
+func (l *Loop) watchHead(ctx context.Context) {
 	var at kv.Revision
 	failures := 0
 	for ctx.Err() == nil {
 		switch {
 		case l.relay.Load() && l.deps.Keeper.Revision() > 0 && at > 0:
-			failures = l.watchOnce(ctx, &at, failures)
+			failures = l.waitHeadOnce(ctx, &at, failures)
 		case l.relay.Load() || l.deps.Keeper.Revision() == 0 && l.alone.Load():
-			failures = l.askOnce(ctx, &at, failures)
-		case l.deps.Keeper.Revision() == 0 || !l.relayHears():
-			_ = l.askOnce(ctx, &at, failures)
-			l.deps.Clock.Sleep(ctx, jittered(askPeriod))
+			failures = l.readHeadOnce(ctx, &at, failures)
+		case l.deps.Keeper.Revision() == 0 || !l.anyRelayReachesKV():
+			_ = l.readHeadOnce(ctx, &at, failures)
+			l.deps.Clock.Sleep(ctx, jittered(directReadPeriod))
 		default:
-			l.deps.Clock.Sleep(ctx, checkPeriod)
+			l.deps.Clock.Sleep(ctx, roleCheckPeriod)
 		}
 	}
 }
 
-// watchOnce waits for the next head; it returns the number of failures in a row.
-func (l *Loop) watchOnce(ctx context.Context, at *kv.Revision, failures int) int {
+// waitHeadOnce waits for the next head; it returns the number of failures in a row.
+func (l *Loop) waitHeadOnce(ctx context.Context, at *kv.Revision, failures int) int {
 	head, written, err := l.deps.Store.WaitHead(ctx, *at)
 	if err == nil {
 		*at = written
-		l.offer(ctx, head)
+		l.offerHead(ctx, head)
 	}
 	if err == nil || errors.Is(err, revision.ErrNoNews) {
-		l.hearsKV.Store(true)
-		l.post(heard{})
+		l.kvReachable.Store(true)
+		l.post(kvAnswered{})
 		return 0
 	}
-	l.hearsKV.Store(false)
-	l.deps.Clock.Sleep(ctx, pauseAfter(failures))
+	l.kvReachable.Store(false)
+	l.deps.Clock.Sleep(ctx, retryDelay(failures))
 	return failures + 1
 }
 
-// askOnce reads the head; it returns the number of failures in a row.
-func (l *Loop) askOnce(ctx context.Context, at *kv.Revision, failures int) int {
+// readHeadOnce reads the head; it returns the number of failures in a row.
+func (l *Loop) readHeadOnce(ctx context.Context, at *kv.Revision, failures int) int {
 	call, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	head, written, err := l.deps.Store.Head(call)
-	l.hearsKV.Store(err == nil)
+	l.kvReachable.Store(err == nil)
 	if err != nil {
-		l.deps.Clock.Sleep(ctx, pauseAfter(failures))
+		l.deps.Clock.Sleep(ctx, retryDelay(failures))
 		return failures + 1
 	}
-	l.post(heard{})
+	l.post(kvAnswered{})
 	*at = written
 	if head.Revision == 0 {
-		l.deps.Clock.Sleep(ctx, jittered(watchPause))
+		l.deps.Clock.Sleep(ctx, jittered(minRetryDelay))
 		return 0
 	}
-	l.offer(ctx, head)
+	l.offerHead(ctx, head)
 	return 0
 }
 
-func pauseAfter(failures int) time.Duration {
-	return jittered(retry.Doubled(watchPause, longestPause, failures))
+func retryDelay(failures int) time.Duration {
+	return jittered(retry.Doubled(minRetryDelay, maxRetryDelay, failures))
 }
 
 func jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + rand.Float64()))
 }
 
-// offer puts a head from the service in force.
-func (l *Loop) offer(ctx context.Context, head revision.Head) {
+// offerHead puts a head from the service in force.
+func (l *Loop) offerHead(ctx context.Context, head revision.Head) {
 	call, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	changed, err := l.deps.Keeper.Offer(head, func(hash string) ([]byte, error) {
@@ -103,29 +103,29 @@
 		return
 	}
 	if changed {
-		l.post(configured{})
+		l.post(configurationChanged{})
 	}
 }
 
-// relayHears reports whether some relay of the domain has lately heard the key-value service.
-func (l *Loop) relayHears() bool {
+// anyRelayReachesKV reports whether some relay of the domain has lately heard the key-value service.
+func (l *Loop) anyRelayReachesKV() bool {
 	for _, s := range l.Statuses() {
-		if s.Name != l.self.Name && s.Heard > 0 && l.heardLately(s) {
+		if s.Name != l.self.Name && s.KVAnswers > 0 && l.reachedKVLately(s) {
 			return true
 		}
 	}
 	return false
 }
 
-// heardLately reports whether the instance's count of answers has grown within relayFresh; it is used by watch alone.
-func (l *Loop) heardLately(s InstanceStatus) bool {
+// reachedKVLately reports whether the instance's count of answers has grown within relayFresh; it is used by watch alone.
+func (l *Loop) reachedKVLately(s InstanceStatus) bool {
 	now := l.deps.Clock.Now()
-	news, ok := l.relayNews[s.Name]
-	if !ok || news.heard != s.Heard {
-		l.relayNews[s.Name] = relayNews{heard: s.Heard, at: now}
+	news, ok := l.relayProgress[s.Name]
+	if !ok || news.answers != s.KVAnswers {
+		l.relayProgress[s.Name] = kvProgress{answers: s.KVAnswers, changedAt: now}
 		return true
 	}
-	return now.Sub(news.at) < relayFresh
+	return now.Sub(news.changedAt) < relayProgressLimit
 }
 
 // fetchNewer takes a newer configuration from the instance that has it.
@@ -151,13 +151,13 @@
 func (l *Loop) fetchFrom(addr string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	head, err := link.Call[none, revision.Head](ctx, l.deps.Links, addr, link.KindHead, none{})
+	head, err := link.Call[empty, revision.Head](ctx, l.deps.Links, addr, link.KindHead, empty{})
 	if err != nil {
 		return err
 	}
 	changed, err := l.deps.Keeper.Offer(head, l.segmentFrom(ctx, addr))
 	if changed {
-		l.post(configured{})
+		l.post(configurationChanged{})
 	}
 	return err
 }
--- a/control/usage.go
+++ b/control/usage.go
@@ -3,10 +3,10 @@
 import "junctioncross/admit"
 
 const (
-	// usageTotal is the number of owners whose usage the instances of one domain state together, for each model; it bounds
+	// maxOwnersPerDomain is the number of owners whose usage the instances of one domain state together, for each model; it bounds
 	// the bytes that usage costs whatever the number of instances.
-	usageTotal = 256
-	usageLeast = 4
+	maxOwnersPerDomain   = 256
+	minOwnersPerInstance = 4
 )
 
 // chargedKey names what an instance has said of one owner's use of a model.
@@ -18,9 +18,9 @@
 	account     string
 }
 
-// stateUsage states the usage of the heaviest owners of this instance.
-func (l *Loop) stateUsage() {
-	count := max(usageTotal/max(len(l.members.live), 1), usageLeast)
+// publishUsage states the usage of the heaviest owners of this instance.
+func (l *Loop) publishUsage() {
+	count := max(maxOwnersPerDomain/max(len(l.members.live), 1), minOwnersPerInstance)
 	var all []modelUsage
 	l.deps.Gates.Each(func(model string, g gate) {
 		if top := g.TakeTop(count); len(top) > 0 {
--- a/control/wire.go
+++ b/control/wire.go
@@ -24,8 +24,8 @@
 	Addr     string          `cbor:"3,keyasint" json:"addr"`
 	Revision revision.Number `cbor:"4,keyasint" json:"revision"`
 	Leaving  bool            `cbor:"5,keyasint,omitempty" json:"leaving"`
-	// Heard counts the answers of the key-value service to this instance's watch.
-	Heard uint64 `cbor:"6,keyasint,omitempty" json:"heard"`
+	// KVAnswers counts the answers of the key-value service to this instance's watch.
+	KVAnswers uint64 `cbor:"6,keyasint,omitempty" json:"heard"`
 	// Demand holds the places that would serve everything that is asked for at the instance, by model.
 	Demand map[string]float64 `cbor:"7,keyasint,omitempty" json:"demand,omitempty"`
 	Leads  bool               `cbor:"8,keyasint,omitempty" json:"leads"`
@@ -47,8 +47,8 @@
 	Silent      bool          `cbor:"8,keyasint,omitempty"`
 }
 
-// sameFacts reports whether two statements differ at most in their sequence.
-func (b backendStatus) sameFacts(o backendStatus) bool {
+// equalIgnoringSequence reports whether two statements differ at most in their sequence.
+func (b backendStatus) equalIgnoringSequence(o backendStatus) bool {
 	b.Sequence = o.Sequence
 	return b == o
 }
@@ -61,29 +61,29 @@
 	return b.Sequence > o.Sequence
 }
 
-// exchangeQuestion opens an exchange of news.
-type exchangeQuestion struct {
+// exchangeRequest opens an exchange of news.
+type exchangeRequest struct {
 	Digest gossip.Digest `cbor:"1,keyasint"`
 }
 
-// exchangeAnswer carries what the asker lacks and how far the answerer knows.
-type exchangeAnswer struct {
+// exchangeResponse carries what the asker lacks and how far the answerer knows.
+type exchangeResponse struct {
 	Updates []gossip.Update `cbor:"1,keyasint,omitempty"`
 	Digest  gossip.Digest   `cbor:"2,keyasint"`
 }
 
-// updatesQuestion closes an exchange.
-type updatesQuestion struct {
+// updatesRequest closes an exchange.
+type updatesRequest struct {
 	Updates []gossip.Update `cbor:"1,keyasint"`
 }
 
-// newsQuestion asks an instance of another domain for a configuration above a revision.
-type newsQuestion struct {
+// newerHeadRequest asks an instance of another domain for a configuration above a revision.
+type newerHeadRequest struct {
 	Above revision.Number `cbor:"1,keyasint"`
 }
 
-// newsAnswer holds the head when it is newer.
-type newsAnswer struct {
+// newerHeadResponse holds the head when it is newer.
+type newerHeadResponse struct {
 	Head *revision.Head `cbor:"1,keyasint,omitempty"`
 }
 
@@ -93,5 +93,5 @@
 	Top   []admit.Usage `cbor:"2,keyasint"`
 }
 
-// none is the empty question or answer.
-type none struct{}
+// empty is the empty question or answer.
+type empty struct{}
