--- a/control/exchange.go
+++ b/control/exchange.go
@@ -82,8 +82,8 @@
 // two groups of instances that started apart would otherwise never meet.
 func (l *Loop) startExchange() {
 	addrs := l.neighbourAddrs()
-	if strangers := l.unknownAddrs(); len(strangers) > 0 && rand.IntN(exchangesPerUnknown) == 0 {
-		addrs = strangers
+	if unknown := l.unknownAddrs(); len(unknown) > 0 && rand.IntN(exchangesPerUnknown) == 0 {
+		addrs = unknown
 	}
 	if len(addrs) > 0 {
 		l.exchange(addrs[rand.IntN(len(addrs))])
--- a/control/loop.go
+++ b/control/loop.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	// batchPeriod gathers news of backend servers before they are spread.
-	batchPeriod = 100 * time.Millisecond
-	fastPeriod  = 400 * time.Millisecond
-	slowPeriod  = time.Second
+	// collectPeriod gathers news of backend servers before they are spread.
+	collectPeriod = 100 * time.Millisecond
+	fastPeriod    = 400 * time.Millisecond
+	slowPeriod    = time.Second
 	// heartbeatTicks is the number of slow ticks from one sign of life to the next.
 	heartbeatTicks = 2
 	// mergeTicks is the number of slow ticks after which servers are looked at again although nothing was stated: what an
@@ -191,7 +191,7 @@
 // scheduleUpdate makes news be followed and spread soon, together with what else comes until then.
 func (l *Loop) scheduleUpdate() {
 	if l.updatesDue == nil {
-		l.updatesDue = l.deps.Clock.After(batchPeriod)
+		l.updatesDue = l.deps.Clock.After(collectPeriod)
 	}
 }
 
--- a/control/relay.go
+++ b/control/relay.go
@@ -120,12 +120,12 @@
 // reachedKVLately reports whether the instance's count of answers has grown within relayFresh; it is used by watch alone.
 func (l *Loop) reachedKVLately(s InstanceStatus) bool {
 	now := l.deps.Clock.Now()
-	news, ok := l.relayProgress[s.Name]
-	if !ok || news.answers != s.KVAnswers {
+	last, ok := l.relayProgress[s.Name]
+	if !ok || last.answers != s.KVAnswers {
 		l.relayProgress[s.Name] = kvProgress{answers: s.KVAnswers, changedAt: now}
 		return true
 	}
-	return now.Sub(news.changedAt) < relayProgressLimit
+	return now.Sub(last.changedAt) < relayProgressLimit
 }
 
 // fetchNewer takes a newer configuration from the instance that has it.
