--- a/timer/service.go
+++ b/timer/service.go
@@ -13,11 +13,11 @@
 // Service tells the time and delivers ticks to its subscribers. The time counts what the machine is suspended for; ticks and pauses do not.
 type Service struct {
 	clock clockwork.Clock
-	// boot tells the time since a moment before the start, with that in which the machine is suspended; nil where it never is.
-	boot func() (time.Duration, error)
-	// bootAt and steadyAt are what the two clocks told at the start.
-	bootAt   time.Duration
-	steadyAt time.Time
+	// bootClock tells the time since a moment before the start, with that in which the machine is suspended; nil where it never is.
+	bootClock func() (time.Duration, error)
+	// bootStart and steadyAt are what the two clocks told at the start.
+	bootStart      time.Duration
+	monotonicStart time.Time
 	// suspended is for how long the machine has been suspended since, in nanoseconds.
 	suspended atomic.Int64
 
@@ -31,13 +31,13 @@
 }
 
 // NewOver returns a Service over a steady clock and one that counts suspension; it returns the error of reading that.
-func NewOver(clock clockwork.Clock, boot func() (time.Duration, error)) (*Service, error) {
+func NewOver(clock clockwork.Clock, bootClock func() (time.Duration, error)) (*Service, error) {
 	s := New(clock)
-	at, err := boot()
+	at, err := bootClock()
 	if err != nil {
 		return nil, errors.Wrap(err, "timer: read the clock that counts suspension")
 	}
-	s.boot, s.bootAt, s.steadyAt = boot, at, clock.Now()
+	s.bootClock, s.bootStart, s.monotonicStart = bootClock, at, clock.Now()
 	return s, nil
 }
 
--- a/timer/service_test.go
+++ b/timer/service_test.go
@@ -11,7 +11,7 @@
 	"junctioncross/timer"
 )
 
-func TestSleepEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestSleepEndsAfterItsDurationOrWithItsContext(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	slept := make(chan bool, 1)
 	go func() { slept <- timer.New(clock).Sleep(t.Context(), time.Second) }()
--- a/timer/suspension.go
+++ b/timer/suspension.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// lookPeriod is how often the clocks are compared. A request that comes sooner after a suspension is looked at by itself.
-	lookPeriod = 100 * time.Millisecond
-	// leastGap is the shortest suspension that counts; the two clocks run at the same rate.
-	leastGap = 10 * time.Millisecond
-	// mostApart is how far apart the two readings between which the second clock is read may be: a process that was stopped between them
+	// checkPeriod is how often the clocks are compared. A request that comes sooner after a suspension is looked at by itself.
+	checkPeriod = 100 * time.Millisecond
+	// minSuspension is the shortest suspension that counts; the two clocks run at the same rate.
+	minSuspension = 10 * time.Millisecond
+	// maxReadSpan is how far apart the two readings between which the second clock is read may be: a process that was stopped between them
 	// would take that time for a suspension. After readTries readings the last one counts.
-	mostApart = time.Millisecond
-	readTries = 3
+	maxReadSpan = time.Millisecond
+	maxReads    = 3
 )
 
 // sinceBoot returns the time since the machine has started, which goes on while it is suspended.
@@ -31,40 +31,40 @@
 // Look compares the steady clock, which stands while the machine is suspended, with one that goes on, and returns for how long the machine
 // has been suspended since the last look that found it to have been. From then on Now counts that time.
 func (s *Service) Look() (time.Duration, error) {
-	if s.boot == nil {
+	if s.bootClock == nil {
 		return 0, nil
 	}
-	apart, err := s.apart()
+	difference, err := s.clockDifference()
 	if err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gap := apart - s.Suspended()
-	if gap < leastGap {
+	gap := difference - s.Suspended()
+	if gap < minSuspension {
 		return 0, nil
 	}
-	s.suspended.Store(int64(apart))
-	s.catchUpLocked()
+	s.suspended.Store(int64(difference))
+	s.resetDeadlinesLocked()
 	return gap, nil
 }
 
-// apart returns how much further the clock that counts suspension has come than the steady one since the start.
-func (s *Service) apart() (time.Duration, error) {
-	var apart time.Duration
-	for range readTries {
+// clockDifference returns how much further the clock that counts suspension has come than the steady one since the start.
+func (s *Service) clockDifference() (time.Duration, error) {
+	var difference time.Duration
+	for range maxReads {
 		before := s.clock.Now()
-		boot, err := s.boot()
+		boot, err := s.bootClock()
 		if err != nil {
 			return 0, err
 		}
 		after := s.clock.Now()
-		apart = boot - s.bootAt - after.Sub(s.steadyAt)
-		if after.Sub(before) <= mostApart {
+		difference = boot - s.bootStart - after.Sub(s.monotonicStart)
+		if after.Sub(before) <= maxReadSpan {
 			break
 		}
 	}
-	return apart, nil
+	return difference, nil
 }
 
 // Suspended returns for how long the machine has been suspended since the start, as far as looks have found.
@@ -74,14 +74,14 @@
 func (s *Service) Steady(at time.Time) time.Time { return at.Add(-s.Suspended()) }
 
 // Watch looks at the clocks until ctx ends and tells each suspension, or that the clocks cannot be read, to a function.
-func (s *Service) Watch(ctx context.Context, tell func(gap time.Duration, err error)) {
-	ticks := s.Subscribe(lookPeriod)
+func (s *Service) Watch(ctx context.Context, report func(gap time.Duration, err error)) {
+	ticks := s.Subscribe(checkPeriod)
 	defer ticks.Stop()
 	for {
 		select {
 		case <-ticks.C():
 			if gap, err := s.Look(); gap > 0 || err != nil {
-				tell(gap, err)
+				report(gap, err)
 			}
 		case <-ctx.Done():
 			return
@@ -112,8 +112,8 @@
 	}
 }
 
-// catchUpLocked brings deadlines forward by the time in which the machine was suspended; the caller holds the lock.
-func (s *Service) catchUpLocked() {
+// resetDeadlinesLocked brings deadlines forward by the time in which the machine was suspended; the caller holds the lock.
+func (s *Service) resetDeadlinesLocked() {
 	now := s.Now()
 	for d := range s.deadlines {
 		d.timer.Reset(max(d.at.Sub(now), 0))
