--- a/config/config_test.go
+++ b/config/config_test.go
@@ -18,7 +18,7 @@
 keys: {authority: ca.pem, certificate: a1.pem, key: a1-key.pem}
 `
 
-func TestDefaultsHoldWhereTheFileIsSilent(t *testing.T) {
+func TestDefaultsApplyToMissingKeys(t *testing.T) {
 	s, err := config.Parse("f", []byte(good+"limits: {queue_wait: 3s}\n"))
 	require.NoError(t, err)
 	require.Equal(t, 3*time.Second, s.Limits.QueueWait)
@@ -26,7 +26,7 @@
 	require.Equal(t, "info", s.Log.Level)
 }
 
-func TestEveryMistakeIsNamedWithItsLine(t *testing.T) {
+func TestEveryMistakeIsReportedWithItsLine(t *testing.T) {
 	_, err := config.Parse("jxd.yaml", []byte(good+"limits: {queue_wait: soon, body_bytes: 3}\nlog: {level: loud}\nlimit: {}\n"))
 	for _, want := range []string{
 		"jxd.yaml:5: limits.queue_wait: is not a duration such as 250ms or 2s",
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestThePageDescribesTheTypes(t *testing.T) {
+func TestReferencePageIsUpToDate(t *testing.T) {
 	want, err := config.Reference()
 	require.NoError(t, err)
 	got, err := os.ReadFile("../docs/CONFIGURATION.md")
@@ -51,37 +51,37 @@
 store: {addr: "127.0.0.1:4"}
 `
 
-func TestHostedDefaultsHoldWhereTheFileIsSilent(t *testing.T) {
+func TestHostedDefaultsApplyToMissingKeys(t *testing.T) {
 	s, err := config.ParseHosted("f", []byte(goodHosted+"stop: {grace: 8s}\n"))
 	require.NoError(t, err)
 	require.Equal(t, 8*time.Second, s.Stop.Grace)
 	require.Equal(t, config.DefaultHosted().Repeats, s.Repeats)
 }
 
-func TestEveryMistakeOfAHostedFileIsNamedWithItsLine(t *testing.T) {
+func TestEveryMistakeInAHostedFileIsReportedWithItsLine(t *testing.T) {
 	_, err := config.ParseHosted("f.yaml", []byte(goodHosted+"repeats: {share: 3, window: soon}\nmemory: {megabytes: 1}\nkey: {}\n"))
 	for _, want := range []string{"f.yaml:4: repeats.share", "f.yaml:4: repeats.window", "f.yaml:5: memory.megabytes", "f.yaml:6: key: unknown key"} {
 		require.ErrorContains(t, err, want)
 	}
 }
 
-// TestTheTemplateOfTheSettingsIsSoundOnceItsGapsAreFilled fills every gap of the platform's template with a plain value.
-func TestTheTemplateOfTheSettingsIsSoundOnceItsGapsAreFilled(t *testing.T) {
+// TestFilledSettingsTemplateIsValid fills every gap of the platform's template with a plain value.
+func TestFilledSettingsTemplateIsValid(t *testing.T) {
 	body, err := os.ReadFile("../deploy/settings.yaml")
 	require.NoError(t, err)
-	filled := regexp.MustCompile(`\{\{[^}]*\}\}`).ReplaceAllStringFunc(string(body), func(gap string) string {
+	filled := regexp.MustCompile(`\{\{[^}]*\}\}`).ReplaceAllStringFunc(string(body), func(placeholder string) string {
 		switch {
-		case strings.Contains(gap, "addr"):
+		case strings.Contains(placeholder, "addr"):
 			return "127.0.0.1:1"
-		case strings.Contains(gap, "node_ip"):
+		case strings.Contains(placeholder, "node_ip"):
 			return "127.0.0.1"
-		case strings.Contains(gap, "strict"):
+		case strings.Contains(placeholder, "strict"):
 			return "true"
-		case strings.Contains(gap, "ratio"):
+		case strings.Contains(placeholder, "ratio"):
 			return "0.2"
-		case strings.Contains(gap, "_ms"):
+		case strings.Contains(placeholder, "_ms"):
 			return "2000"
-		case strings.Contains(gap, "_mb"):
+		case strings.Contains(placeholder, "_mb"):
 			return "284"
 		default:
 			return "8"
