--- a/control/backends.go
+++ b/control/backends.go
@@ -18,13 +18,13 @@
 
 var backendChart = chart.MustLoad("backend")
 
-// backend is a backend server of the configuration.
+// backend is a backend server of the configuration in force.
 type backend struct {
 	spec  intent.Backend
 	kind  *intent.Kind
 	index int
 	chart *chart.Machine
-	// latest is the newest statement about the server.
+	// latest is the newest reported status of the server; known is false until there is one.
 	latest backendStatus
 	known  bool
 }
@@ -34,13 +34,14 @@
 	return b.chart.State() == "serving" && b.latest.Model == model && !b.spec.Retiring
 }
 
+// fire passes an event to the server's state machine and ignores one that its state does not accept.
 func (b *backend) fire(e chart.Event) {
 	if b.chart.Can(e) {
 		_ = b.chart.Fire(e)
 	}
 }
 
-// syncBackends adds and removes backend servers by the configuration.
+// syncBackends adds, updates and removes backend servers to match the configuration in force.
 func (l *Loop) syncBackends() {
 	d := l.index.Document()
 	keep := map[string]bool{}
@@ -64,7 +65,7 @@
 	l.assignPolls()
 }
 
-// mergeBackends joins what all instances state about the servers and reports whether any server's state changed.
+// mergeBackends combines what all instances report about the backend servers and returns whether the state of any server changed.
 func (l *Loop) mergeBackends() bool {
 	newest := map[string]backendStatus{}
 	movingNow := map[string]bool{}
@@ -97,6 +98,7 @@
 	return changed
 }
 
+// addNames adds the server names that an instance lists in an entry to set.
 func (l *Loop) addNames(set map[string]bool, o gossip.Origin, key string) {
 	names, _ := l.namesCache.get(o, key)
 	for _, n := range names {
@@ -104,6 +106,8 @@
 	}
 }
 
+// keepNewest stores the status that an instance reports for a server in newest, unless that holds a newer one. Of two equally new
+// ones, a status that marks the server as silent is replaced.
 func (l *Loop) keepNewest(newest map[string]backendStatus, name string, o gossip.Origin, key string) {
 	s, ok := l.backendCache.get(o, key)
 	if !ok {
@@ -115,7 +119,7 @@
 	}
 }
 
-// update moves the server's chart by the newest statement and reports whether anything changed.
+// update applies the newest reported status to the server's state machine and returns whether anything changed.
 func (b *backend) update(s backendStatus, listedLeaving bool) bool {
 	before, was := b.chart.State(), b.latest
 	if s.Incarnation != 0 {
@@ -143,7 +147,7 @@
 	}
 }
 
-// publishSnapshot shows the request path the servers as they are now.
+// publishSnapshot publishes the current configuration and servers to the request path.
 func (l *Loop) publishSnapshot() {
 	if l.index == nil {
 		return
@@ -155,7 +159,8 @@
 	l.deps.Board.Publish(view.NewSnapshot(l.index, graphs))
 }
 
-// graph prefers the servers of the own domain; when they hold no whole path, those of other domains join as planned.
+// graph returns the graph of a model's servers. It uses the servers of the own domain; only if these form no complete path does
+// it add those of other domains, with the layers that the configuration assigns to them.
 func (l *Loop) graph(m *intent.Model) *route.Graph {
 	nodes := make([]route.Node, 0, len(l.backends))
 	for _, b := range l.backends {
@@ -184,7 +189,7 @@
 	}
 }
 
-// domainServers lists the servers of the own domain, as planned and as seen.
+// domainServers returns the servers of the own domain as the configuration plans them and as they were last reported.
 func (l *Loop) domainServers() serversAnswer {
 	a := serversAnswer{seen: map[string]order.Seen{}}
 	if l.index == nil {
@@ -224,7 +229,7 @@
 // SetMoving implements order.Fleet.
 func (l *Loop) SetMoving(names []string) { l.post(movingChanged{names: names}) }
 
-// SetLeads tells whether this instance gives the orders of its domain.
+// SetLeads records whether this instance gives the orders in its domain.
 func (l *Loop) SetLeads(leads bool) { l.leads.Store(leads) }
 
 func (l *Loop) askServers() serversAnswer {
--- a/control/cache.go
+++ b/control/cache.go
@@ -2,11 +2,13 @@
 
 import "junctioncross/gossip"
 
+// entryKey identifies a gossip entry.
 type entryKey struct {
 	origin string
 	key    string
 }
 
+// decoded is the decoded body of one version of an entry; ok is false if it could not be decoded.
 type decoded[T any] struct {
 	version gossip.Known
 	value   T
@@ -20,7 +22,7 @@
 
 func newCache[T any]() *cache[T] { return &cache[T]{bodies: map[entryKey]decoded[T]{}} }
 
-// get returns the decoded body of an origin's entry.
+// get returns the decoded body of an origin's entry, and false if there is none or it cannot be decoded.
 func (c *cache[T]) get(o gossip.Origin, key string) (T, bool) {
 	e, ok := o.Entry(key)
 	if !ok {
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -16,15 +16,15 @@
 
 const (
 	exchangeTimeout = 1500 * time.Millisecond
-	// exchangesPerUnknown is how many exchanges there are for one with an unknown instance, while there are any.
+	// exchangesPerUnknown is the number of exchanges of which, on average, one goes to an unknown instance while there are any.
 	exchangesPerUnknown = 2
-	// maxUnknownAtOnce bounds the unknown instances that are asked when the list has been read.
+	// maxUnknownAtOnce is the maximum number of unknown instances that are contacted each time the platform's list has been read.
 	maxUnknownAtOnce = 3
 )
 
 var errOtherDomain = errors.New("control: caller stands in another domain")
 
-// Register adds the handlers of the calls that other instances make.
+// Register adds the handlers for the calls of other instances.
 func (l *Loop) Register(m *link.Mux) {
 	link.Handle(m, link.KindExchange, l.serveExchange)
 	link.Handle(m, link.KindUpdates, l.serveUpdates)
@@ -78,8 +78,8 @@
 	return body, nil
 }
 
-// startExchange exchanges news with a neighbour, or with an instance that the platform lists but nobody here has heard of:
-// two groups of instances that started apart would otherwise never meet.
+// startExchange exchanges updates with a neighbour, or with an instance that the platform lists but gossip has not made known
+// yet: otherwise two groups of instances that started separately would never learn of each other.
 func (l *Loop) startExchange() {
 	addrs := l.neighbourAddrs()
 	if unknown := l.unknownAddrs(); len(unknown) > 0 && rand.IntN(exchangesPerUnknown) == 0 {
@@ -90,7 +90,7 @@
 	}
 }
 
-// exchangeWithUnknown exchanges news at once with some listed instances that are not known yet.
+// exchangeWithUnknown exchanges updates with some unknown instances immediately.
 func (l *Loop) exchangeWithUnknown() {
 	addrs := l.unknownAddrs()
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
@@ -99,7 +99,8 @@
 	}
 }
 
-// unknownAddrs returns the listed instances of the domain that are not among the known ones.
+// unknownAddrs returns the addresses of unknown instances of the domain: the platform lists them, but no status of them has
+// arrived.
 func (l *Loop) unknownAddrs() []string {
 	var out []string
 	for _, line := range l.listed {
@@ -111,14 +112,14 @@
 	return out
 }
 
-// exchangeWithAll spreads news at once instead of at the next ticks.
+// exchangeWithAll exchanges updates with all neighbours immediately instead of at the next ticks.
 func (l *Loop) exchangeWithAll() {
 	for _, addr := range l.neighbourAddrs() {
 		l.exchange(addr)
 	}
 }
 
-// neighbourAddrs returns the addresses to exchange news with; an instance that knows no other asks its seeds.
+// neighbourAddrs returns the addresses of the neighbours, or one seed address if this instance knows no other instance.
 func (l *Loop) neighbourAddrs() []string {
 	var out []string
 	for _, n := range l.members.neighbours {
@@ -132,7 +133,7 @@
 	return l.seedAddr()
 }
 
-// seedAddr returns one address from the settings or the platform's list.
+// seedAddr returns a random address from the settings and the platform's list, as a slice of at most one element.
 func (l *Loop) seedAddr() []string {
 	out := l.unknownAddrs()
 	for _, addr := range l.self.Seeds {
@@ -146,7 +147,7 @@
 	return []string{out[rand.IntN(len(out))]}
 }
 
-// exchange asks one instance for news and then tells it what it lacks.
+// exchange requests updates from one instance and then sends it those that it lacks.
 func (l *Loop) exchange(addr string) {
 	digest := l.table.Digest()
 	go func() {
@@ -164,7 +165,7 @@
 	}()
 }
 
-// push sends what the holder of a digest lacks.
+// push sends an instance the updates that its digest shows to be missing.
 func (l *Loop) push(ctx context.Context, addr string, theirs gossip.Digest) {
 	updates := ask(l, func(answer chan []gossip.Update) message { return deltaAsked{digest: theirs, answer: answer} })
 	if len(updates) == 0 {
--- a/control/limits.go
+++ b/control/limits.go
@@ -8,11 +8,11 @@
 
 type gate = *admit.Gate
 
-// gapTarget is the mean time between tokens that admission aims at; 95 in 100 are to stay within 67 ms.
+// gapTarget is the mean time between tokens that admission aims at, so that 95 in 100 gaps between tokens stay within 67 ms.
 const gapTarget = 56 * time.Millisecond
 
-// setLimits divides the places of each model among the live instances of the domain by what is asked for at each. While all
-// of it has room, an instance may use what the others leave.
+// setLimits divides the slots of each model among the live instances of the domain in proportion to their demand. While the total
+// demand is below the number of slots, an instance may also use the slots that the others do not need.
 func (l *Loop) setLimits() {
 	if l.index == nil {
 		return
@@ -26,6 +26,7 @@
 	}
 }
 
+// othersDemand returns the total demand at the other live instances, by model.
 func (l *Loop) othersDemand() map[string]float64 {
 	out := map[string]float64{}
 	for _, name := range l.members.live {
@@ -39,9 +40,9 @@
 	return out
 }
 
-// slots returns the sequences that the model's lanes should carry at once. While a batch is in a step of each server, one
-// more has to wait for the next step, or servers start with batches that are not full; but a token must not take longer
-// than gapTarget.
+// slots returns the number of sequences that the model's lanes should run concurrently. Besides the batch that is in a step at
+// each server of a lane, one more batch has to wait for its next step; otherwise servers start steps with batches that are not
+// full. The time for a token is limited to gapTarget.
 func (l *Loop) slots(model string) int {
 	total := 0.0
 	for _, lane := range l.deps.Board.Current().Graph(model).Lanes() {
--- a/control/loop.go
+++ b/control/loop.go
@@ -22,39 +22,40 @@
 )
 
 const (
-	// collectPeriod gathers news of backend servers before they are spread.
+	// collectPeriod is how long updates are collected before they are applied and passed on together.
 	collectPeriod = 100 * time.Millisecond
 	fastPeriod    = 400 * time.Millisecond
 	slowPeriod    = time.Second
-	// heartbeatTicks is the number of slow ticks from one sign of life to the next.
+	// heartbeatTicks is the number of slow ticks between two heartbeats.
 	heartbeatTicks = 2
-	// mergeTicks is the number of slow ticks after which servers are looked at again although nothing was stated: what an
-	// instance said that has gone silent no longer counts.
+	// mergeTicks is the number of slow ticks after which the states of the servers are merged again even without updates: the
+	// lists of moving and leaving servers that an instance published stop counting when it has been silent for silentLimit.
 	mergeTicks    = 5
 	inboxCapacity = 1024
-	// exchangeTicks is the number of fast ticks from one exchange to the next when there is no news.
+	// exchangeTicks is the number of fast ticks between two exchanges when there are no updates.
 	exchangeTicks = 3
-	// silentLimit is the time without news after which an instance is not counted on.
+	// silentLimit is the time without updates from an instance after which it no longer counts as live.
 	silentLimit = 12 * time.Second
+	// forgetAfter is the time without updates from an instance after which its entries are deleted.
 	forgetAfter = 5 * time.Minute
 )
 
-// Self says who this instance is.
+// Self identifies this instance.
 type Self struct {
 	Name        string
 	Domain      string
 	PeerAddr    string
 	Incarnation uint64
-	// Seeds are addresses of instances to ask first.
+	// Seeds are the addresses of instances that are contacted while no other instance is known.
 	Seeds []string
 	// ListAddr is the address of the platform's instance list.
 	ListAddr string
 }
 
-// Process names this start of the instance, for records that must tell one start from the next.
+// Process returns a name for this incarnation of the instance, for records that have to distinguish one start from the next.
 func (s Self) Process() string { return fmt.Sprintf("%s/%d", s.Name, s.Incarnation) }
 
-// Deps are the parts that the control loop works with.
+// Deps are the dependencies of the control loop.
 type Deps struct {
 	Store  *revision.Store
 	Keeper *revision.Keeper
@@ -68,7 +69,7 @@
 	Log    *logrus.Logger
 }
 
-// Loop is the control goroutine and its helpers.
+// Loop is the control goroutine and its helper goroutines.
 type Loop struct {
 	self  Self
 	deps  Deps
@@ -77,20 +78,23 @@
 
 	stopped chan struct{}
 
-	// What helpers and other goroutines read.
-	relay    atomic.Bool
+	// The fields below are shared with helper and other goroutines.
+	relay atomic.Bool
+	// chosen is true while this instance ranks first for the leadership of its domain, and leads while it holds that.
 	chosen   atomic.Bool
 	fetching atomic.Bool
-	alone    atomic.Bool
-	leads    atomic.Bool
+	// alone is true while no other live instance of the domain is known.
+	alone atomic.Bool
+	leads atomic.Bool
 	// kvReachable is false while the last call to the key-value service failed.
 	kvReachable atomic.Bool
 	directory   atomic.Pointer[directory]
 
-	// relayProgress is when each relay was last heard to hear the service; it belongs to watch.
+	// relayProgress holds, by relay, its last known number of answers from the key-value service; only the goroutine of watchHead
+	// uses it.
 	relayProgress map[string]kvProgress
 
-	// The fields below belong to the control goroutine.
+	// Only the control goroutine uses the fields below.
 	table         *gossip.Table
 	members       members
 	statusCache   *cache[InstanceStatus]
@@ -106,12 +110,14 @@
 	leaving       bool
 	fastTicks     int
 	slowTicks     int
-	// updatesDue delivers when news that were gathered are to be followed and spread; it is nil while there are none.
+	// updatesDue delivers when the collected updates have to be applied and passed on; it is nil while there are none.
 	updatesDue <-chan time.Time
 	polls      map[string]*poll
-	charged    map[chargedKey]float64
+	// charged holds the cumulative usage on other instances that has already been charged to the gates.
+	charged map[chargedKey]float64
 }
 
+// kvProgress is the number of answers that a relay has received from the key-value service and when this number last changed.
 type kvProgress struct {
 	answers   uint64
 	changedAt time.Time
@@ -135,7 +141,7 @@
 		charged:       map[chargedKey]float64{},
 		relayProgress: map[string]kvProgress{},
 	}
-	// The helpers start with this instance's roles, which it has alone until it hears of others.
+	// The helpers need this instance's roles when they start; it has all of them until it learns of other instances.
 	l.refreshMembers()
 	go func() { l.run(ctx) }()
 	go func() { l.watchHead(ctx) }()
@@ -144,7 +150,7 @@
 	return l
 }
 
-// post hands a message to the control goroutine; once that has stopped, the message is dropped.
+// post sends a message to the control goroutine; it drops the message if that has stopped.
 func (l *Loop) post(m message) {
 	select {
 	case l.inbox <- m:
@@ -152,7 +158,7 @@
 	}
 }
 
-// ask posts a message that carries a channel for its answer and waits for it; the zero answer means that the control
+// ask posts a message that carries a channel for the answer and waits for the answer. It returns the zero value if the control
 // goroutine has stopped.
 func ask[A any](l *Loop, build func(answer chan A) message) A {
 	answer := make(chan A, 1)
@@ -188,15 +194,16 @@
 	}
 }
 
-// scheduleUpdate makes news be followed and spread soon, together with what else comes until then.
+// scheduleUpdate has the updates of the next collectPeriod applied and passed on together at its end.
 func (l *Loop) scheduleUpdate() {
 	if l.updatesDue == nil {
 		l.updatesDue = l.deps.Clock.After(collectPeriod)
 	}
 }
 
-// applyUpdates follows the gathered news and passes them on to one neighbour, as that will to one of its own: they reach all
-// in a number of periods that grows with the logarithm of their number, at a cost that does not grow with the news.
+// applyUpdates applies the collected updates and passes them on to one neighbour, which does the same. Updates thus reach all
+// instances in a number of periods that grows with the logarithm of the number of instances, and the number of exchanges does not
+// grow with the number of updates.
 func (l *Loop) applyUpdates() {
 	l.updatesDue = nil
 	if l.mergeBackends() {
@@ -259,7 +266,7 @@
 	}
 }
 
-// mergeUpdates takes statements of other instances in.
+// mergeUpdates merges updates from other instances into the table.
 func (l *Loop) mergeUpdates(updates []gossip.Update) {
 	if !l.table.Merge(updates, l.deps.Clock.Now()) {
 		return
@@ -270,7 +277,7 @@
 	l.fetchNewer()
 }
 
-// applyConfiguration follows a configuration that has just come into force.
+// applyConfiguration applies a configuration that has just come into force.
 func (l *Loop) applyConfiguration() {
 	f := l.deps.Keeper.InForce()
 	if f == nil || l.index != nil && l.index.Revision() >= f.Head().Revision {
@@ -286,6 +293,7 @@
 	l.exchangeWithAll()
 }
 
+// announceLeave publishes that this instance is stopping.
 func (l *Loop) announceLeave(m leaveRequested) {
 	l.leaving = true
 	l.publishStatus()
@@ -294,17 +302,17 @@
 	close(m.done)
 }
 
-// Leave tells the other instances that this one stops.
+// Leave notifies the other instances that this one is stopping.
 func (l *Loop) Leave() {
 	ask(l, func(done chan struct{}) message { return leaveRequested{done: done} })
 }
 
-// Statuses returns what is known of the domain's instances.
+// Statuses returns what is known about the instances of the domain.
 func (l *Loop) Statuses() []InstanceStatus {
 	return ask(l, func(answer chan []InstanceStatus) message { return statusAsked{answer: answer} })
 }
 
-// Listed returns the platform's instance list as this instance last read it.
+// Listed returns the platform's instance list as it was last read.
 func (l *Loop) Listed() []member.Listed {
 	return ask(l, func(answer chan []member.Listed) message { return listAsked{answer: answer} })
 }
--- a/control/members.go
+++ b/control/members.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// relayCount is the number of instances of a domain that watch the key-value service.
+	// relayCount is the number of instances of a domain that watch the key-value service for the others.
 	relayCount   = 2
 	subjectRelay = "relay"
 	subjectLead  = "lead"
@@ -33,17 +33,17 @@
 	return value, err == nil
 }
 
-// members is what this instance knows of the instances of its domain; it is replaced when that changes.
+// members is what this instance knows about the instances of its domain; it is replaced as a whole at each refresh.
 type members struct {
-	// live holds the names of the instances that can be counted on, this one included unless it leaves.
+	// live holds the names of the instances that have been heard from within silentLimit and are not leaving, this one included.
 	live []string
-	// statuses holds what the instances say about themselves, by name.
+	// statuses holds the status that each instance publishes about itself, by name.
 	statuses map[string]InstanceStatus
-	// neighbours holds the names of the instances to exchange news with.
+	// neighbours holds the names of the instances to exchange updates with.
 	neighbours []string
 }
 
-// refreshMembers derives the live instances, and this one's roles among them, from the table.
+// refreshMembers derives the live instances from the table and, if they have changed, this instance's roles among them.
 func (l *Loop) refreshMembers() {
 	m := members{statuses: map[string]InstanceStatus{}}
 	for _, o := range l.table.Origins(l.deps.Clock.Now()) {
@@ -69,7 +69,8 @@
 	}
 }
 
-// assignRoles follows a change of the live instances.
+// assignRoles derives the roles of this instance from the live instances: relay, leader candidate, neighbours and the servers to
+// poll.
 func (l *Loop) assignRoles() {
 	names := l.members.live
 	at := member.Position(names, subjectRelay, l.self.Name)
@@ -81,7 +82,7 @@
 	l.assignPolls()
 }
 
-// publishStatus states what is true of this instance.
+// publishStatus publishes this instance's status.
 func (l *Loop) publishStatus() {
 	s := InstanceStatus{
 		Name: l.self.Name, Domain: l.self.Domain, Addr: l.self.PeerAddr,
@@ -91,7 +92,7 @@
 	l.table.Set(entryStatus, encode(s))
 }
 
-// publishDemand measures the demand at this instance, for its own limits and those of the others.
+// publishDemand measures and publishes the demand at this instance; all instances derive their admission limits from it.
 func (l *Loop) publishDemand() {
 	l.demand = map[string]float64{}
 	l.deps.Gates.Each(func(model string, g gate) {
@@ -102,7 +103,7 @@
 	l.publishStatus()
 }
 
-// statuses lists the instances of the domain.
+// statuses returns the current status of each known instance of the domain.
 func (l *Loop) statuses() []InstanceStatus {
 	l.publishStatus()
 	l.refreshMembers()
--- a/control/messages.go
+++ b/control/messages.go
@@ -7,58 +7,59 @@
 	"junctioncross/order"
 )
 
-// message is what the control goroutine receives; the types below are its only implementations.
+// message is a message to the control goroutine; the types below are its only implementations.
 type message interface{ message() }
 
-// exchangeAsked is a peer's digest; the answer holds what the peer lacks.
+// exchangeAsked holds another instance's digest; the answer holds the updates that it lacks.
 type exchangeAsked struct {
 	digest gossip.Digest
 	answer chan exchangeResponse
 }
 
-// updatesArrived holds statements of other instances.
+// updatesArrived holds updates from other instances.
 type updatesArrived struct{ updates []gossip.Update }
 
-// deltaAsked asks for what the holder of a digest lacks.
+// deltaAsked asks for the updates that the owner of a digest lacks.
 type deltaAsked struct {
 	digest gossip.Digest
 	answer chan []gossip.Update
 }
 
-// reportArrived is a backend server's report, or the error of asking for it.
+// reportArrived is a backend server's report, or the error of requesting it.
 type reportArrived struct {
 	name   string
 	report engine.Report
 	err    error
 }
 
-// listArrived is the platform's instance list.
+// listArrived holds the platform's instance list.
 type listArrived struct{ lines []member.Listed }
 
-// configurationChanged says that a newer configuration is in force.
+// configurationChanged notifies that a newer configuration is in force.
 type configurationChanged struct{}
 
-// kvAnswered says that the key-value service answered a watch.
+// kvAnswered notifies that the key-value service answered a read or a watch.
 type kvAnswered struct{}
 
-// movingChanged names the servers that are drained for an order.
+// movingChanged holds the names of all servers that are being drained before they get an order.
 type movingChanged struct{ names []string }
 
-// statusAsked asks for the instances of the domain.
+// statusAsked asks for the statuses of the instances of the domain.
 type statusAsked struct{ answer chan []InstanceStatus }
 
-// listAsked asks for the platform's instance list as last read.
+// listAsked asks for the platform's instance list as it was last read.
 type listAsked struct{ answer chan []member.Listed }
 
-// serversAsked asks for the servers of the domain, as planned and as seen.
+// serversAsked asks for the servers of the domain as planned and as last reported.
 type serversAsked struct{ answer chan serversAnswer }
 
+// serversAnswer holds what the servers of the domain should hold and, by name, what they were last reported to hold.
 type serversAnswer struct {
 	targets []order.Target
 	seen    map[string]order.Seen
 }
 
-// leaveRequested says that this instance stops.
+// leaveRequested asks to publish that this instance is stopping; done is closed afterwards.
 type leaveRequested struct{ done chan struct{} }
 
 func (exchangeAsked) message()        {}
--- a/control/others.go
+++ b/control/others.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// otherDomainPeriod is how often a relay that does not hear the key-value service asks another domain.
+	// otherDomainPeriod is the mean interval at which a relay that cannot reach the key-value service polls another domain.
 	otherDomainPeriod  = 500 * time.Millisecond
 	otherDomainTimeout = 700 * time.Millisecond
 )
 
-// pollOtherDomains carries configurations past a cut between this domain and the key-value service: its relays ask instances of
-// other domains, one at a time.
+// pollOtherDomains gets new configurations while this domain is partitioned from the key-value service: its relays poll instances
+// of other domains, one at a time.
 func (l *Loop) pollOtherDomains(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.deps.Clock.Sleep(ctx, jittered(otherDomainPeriod))
@@ -29,7 +29,7 @@
 	}
 }
 
-// otherDomainAddr returns the address of a random instance of another domain, from the list as it was last read.
+// otherDomainAddr returns the address of a random instance of another domain from the platform's list as it was last read.
 func (l *Loop) otherDomainAddr() string {
 	var addrs []string
 	for _, line := range l.Listed() {
@@ -43,6 +43,7 @@
 	return addrs[rand.IntN(len(addrs))]
 }
 
+// pollInstance requests the head from an instance and puts it in force if it is newer than the own one.
 func (l *Loop) pollInstance(ctx context.Context, addr string) {
 	call, cancel := context.WithTimeout(ctx, otherDomainTimeout)
 	defer cancel()
--- a/control/poll.go
+++ b/control/poll.go
@@ -17,24 +17,26 @@
 const (
 	pollPeriod  = 1200 * time.Millisecond
 	pollTimeout = 700 * time.Millisecond
-	// notReadyPeriod is how often a server that is not ready is polled.
+	// notReadyPeriod is the interval for servers whose last poll failed or that were not ready.
 	notReadyPeriod = 300 * time.Millisecond
-	// pollersPerServer is the number of instances that poll one backend server.
+	// pollersPerServer is the number of instances that poll each backend server.
 	pollersPerServer = 2
-	// suspectAfterFailures is the number of failed polls in a row after which a server is suspect.
+	// suspectAfterFailures is the number of consecutive failed polls after which a server is suspect.
 	suspectAfterFailures = 3
 	listPeriod           = 3 * time.Second
 )
 
 // poll is the state of this instance's polling of one backend server.
 type poll struct {
-	due      time.Time
-	running  bool
+	due     time.Time
+	running bool
+	// failures is the number of consecutive failed polls.
 	failures int
-	last     backendStatus
+	// last is the status that was published last.
+	last backendStatus
 }
 
-// assignPolls decides which servers of the domain this instance polls.
+// assignPolls selects the servers of the domain that this instance polls.
 func (l *Loop) assignPolls() {
 	mine := map[string]bool{}
 	for name, b := range l.backends {
@@ -58,7 +60,7 @@
 	}
 }
 
-// startPolls asks the servers whose time has come.
+// startPolls requests reports from the servers whose polls are due.
 func (l *Loop) startPolls() {
 	now := l.deps.Clock.Now()
 	for name, p := range l.polls {
@@ -75,7 +77,7 @@
 	}
 }
 
-// handleReport states what a poll showed, when that has changed.
+// handleReport publishes the result of a poll if it differs from the last published one.
 func (l *Loop) handleReport(m reportArrived) {
 	p := l.polls[m.name]
 	if p == nil {
@@ -108,7 +110,8 @@
 	}
 }
 
-// pollList reads the platform's instance list: once at the start, then on relays and on instances that know no others.
+// pollList reads the platform's instance list once at the start, and then periodically on relays and on instances that know no
+// others.
 func (l *Loop) pollList(ctx context.Context) {
 	for first := true; ; first = false {
 		if first || l.relay.Load() || l.alone.Load() {
@@ -140,7 +143,8 @@
 	return lines, err
 }
 
-// handleList keeps the list; a mark of leaving in it is kept for as long as the server's process lives.
+// handleList stores the platform's list and publishes the servers that it marks as leaving. A server stays marked, even without a
+// line in the list, until the list shows it as not leaving: the mark holds as long as the server's process lives.
 func (l *Loop) handleList(lines []member.Listed) {
 	l.listed = lines
 	l.exchangeWithUnknown()
--- a/control/relay.go
+++ b/control/relay.go
@@ -14,20 +14,23 @@
 )
 
 const (
+	// minRetryDelay is the delay after the first failed call to the key-value service, and before the next read while the
+	// service holds no head.
 	minRetryDelay = 200 * time.Millisecond
-	// roleCheckPeriod is how often an instance that is no relay looks whether it has become one.
+	// roleCheckPeriod is how often an instance that is not a relay checks whether it has become one.
 	roleCheckPeriod = time.Second
-	// maxRetryDelay bounds the pause between failed calls of a relay to the key-value service.
+	// maxRetryDelay limits the delay between failed calls to the key-value service.
 	maxRetryDelay = 5 * time.Second
-	// directReadPeriod is how often an instance that hears of no relay asks the service itself.
+	// directReadPeriod is the mean interval at which an instance reads the key-value service itself when no relay reaches it.
 	directReadPeriod = 5 * time.Second
-	// relayProgressLimit is how long a relay's last word from the service counts; a watch lasts up to nine seconds.
+	// relayProgressLimit is how long a relay counts as reaching the key-value service after its last answer from it. A watch
+	// lasts up to nine seconds without an answer.
 	relayProgressLimit = 20 * time.Second
 	fetchTimeout       = 3 * time.Second
 )
 
-// watchHead follows the head in the key-value service while this instance is a relay, and asks now and then when no relay
-// hears the service.
+// watchHead follows the head in the key-value service while this instance is a relay. Otherwise it reads the head occasionally
+// when this instance has no configuration or no relay reaches the service.
 func (l *Loop) watchHead(ctx context.Context) {
 	var at kv.Revision
 	failures := 0
@@ -46,7 +49,7 @@
 	}
 }
 
-// waitHeadOnce waits for the next head; it returns the number of failures in a row.
+// waitHeadOnce waits for a head after the revision at; it returns the number of consecutive failures.
 func (l *Loop) waitHeadOnce(ctx context.Context, at *kv.Revision, failures int) int {
 	head, written, err := l.deps.Store.WaitHead(ctx, *at)
 	if err == nil {
@@ -63,7 +66,7 @@
 	return failures + 1
 }
 
-// readHeadOnce reads the head; it returns the number of failures in a row.
+// readHeadOnce reads the head and stores its revision in at; it returns the number of consecutive failures.
 func (l *Loop) readHeadOnce(ctx context.Context, at *kv.Revision, failures int) int {
 	call, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -91,7 +94,7 @@
 	return time.Duration(float64(d) * (0.5 + rand.Float64()))
 }
 
-// offerHead puts a head from the service in force.
+// offerHead puts a head from the key-value service in force if it is newer.
 func (l *Loop) offerHead(ctx context.Context, head revision.Head) {
 	call, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -107,7 +110,7 @@
 	}
 }
 
-// anyRelayReachesKV reports whether some relay of the domain has lately heard the key-value service.
+// anyRelayReachesKV reports whether another instance of the domain has recently received an answer from the key-value service.
 func (l *Loop) anyRelayReachesKV() bool {
 	for _, s := range l.Statuses() {
 		if s.Name != l.self.Name && s.KVAnswers > 0 && l.reachedKVLately(s) {
@@ -117,7 +120,8 @@
 	return false
 }
 
-// reachedKVLately reports whether the instance's count of answers has grown within relayFresh; it is used by watch alone.
+// reachedKVLately reports whether the number of answers to the instance has changed within relayProgressLimit; only watchHead
+// uses it.
 func (l *Loop) reachedKVLately(s InstanceStatus) bool {
 	now := l.deps.Clock.Now()
 	last, ok := l.relayProgress[s.Name]
@@ -128,7 +132,7 @@
 	return now.Sub(last.changedAt) < relayProgressLimit
 }
 
-// fetchNewer takes a newer configuration from the instance that has it.
+// fetchNewer fetches the configuration from the instance with the highest revision, if that is newer than the own one.
 func (l *Loop) fetchNewer() {
 	best := InstanceStatus{Revision: l.deps.Keeper.Revision()}
 	for name, s := range l.members.statuses {
@@ -162,7 +166,8 @@
 	return err
 }
 
-// segmentFrom returns a function that fetches segments from an instance, or from the service when that has none.
+// segmentFrom returns a function that fetches segments from an instance, or from the key-value service if the instance cannot be
+// reached or does not have them.
 func (l *Loop) segmentFrom(ctx context.Context, addr string) func(hash string) ([]byte, error) {
 	return func(hash string) ([]byte, error) {
 		body, err := link.Call[string, []byte](ctx, l.deps.Links, addr, link.KindSegment, hash)
--- a/control/usage.go
+++ b/control/usage.go
@@ -3,13 +3,14 @@
 import "junctioncross/admit"
 
 const (
-	// maxOwnersPerDomain is the number of owners whose usage the instances of one domain state together, for each model; it bounds
-	// the bytes that usage costs whatever the number of instances.
-	maxOwnersPerDomain   = 256
+	// maxOwnersPerDomain is the number of owners for each model whose usage the instances of a domain publish in total. It limits
+	// the gossip traffic for usage, however many instances there are.
+	maxOwnersPerDomain = 256
+	// minOwnersPerInstance is the number of owners that each instance may publish in any case.
 	minOwnersPerInstance = 4
 )
 
-// chargedKey names what an instance has said of one owner's use of a model.
+// chargedKey identifies the usage of a model by one owner on one incarnation of an instance.
 type chargedKey struct {
 	origin      string
 	incarnation uint64
@@ -18,7 +19,7 @@
 	account     string
 }
 
-// publishUsage states the usage of the heaviest owners of this instance.
+// publishUsage publishes the usage of the owners that have used most on this instance since the last time.
 func (l *Loop) publishUsage() {
 	count := max(maxOwnersPerDomain/max(len(l.members.live), 1), minOwnersPerInstance)
 	var all []modelUsage
@@ -32,7 +33,7 @@
 	}
 }
 
-// chargeRemote charges what other instances have said since the last time.
+// chargeRemote charges the usage that other instances have published since the last time.
 func (l *Loop) chargeRemote() {
 	for _, o := range l.table.Origins(l.deps.Clock.Now()) {
 		if o.Name == l.self.Name {
@@ -49,6 +50,7 @@
 	}
 }
 
+// chargeOne charges what an owner's cumulative usage on an instance has grown by.
 func (l *Loop) chargeOne(g gate, key chargedKey, u admit.Usage) {
 	if delta := u.Cost - l.charged[key]; delta > 0 {
 		g.ChargeRemote(u.Owner, delta)
--- a/control/writers.go
+++ b/control/writers.go
@@ -8,13 +8,13 @@
 
 const subjectClaim = "claim/"
 
-// directory is what other goroutines may know of the live instances of the domain.
+// directory holds the live instances of the domain for other goroutines, with their addresses by name.
 type directory struct {
 	live  []string
 	addrs map[string]string
 }
 
-// publishDirectory shows the live instances to other goroutines.
+// publishDirectory makes the live instances available to other goroutines.
 func (l *Loop) publishDirectory() {
 	d := &directory{live: l.members.live, addrs: map[string]string{}}
 	for _, n := range l.members.live {
@@ -23,7 +23,7 @@
 	l.directory.Store(d)
 }
 
-// Writer implements claim.Writers: the writer is the first of the live instances in the rank for the partition.
+// Writer implements claim.Writers: the writer of a partition is the live instance that ranks first for it.
 func (l *Loop) Writer(partition int) (addr string, local bool) {
 	d := l.directory.Load()
 	if d == nil || len(d.live) == 0 {
