--- a/timer/service.go
+++ b/timer/service.go
@@ -10,53 +10,58 @@
 	"github.com/pkg/errors"
 )
 
-// Service tells the time and delivers ticks to its subscribers. The time counts what the machine is suspended for; ticks and pauses do not.
+// Service provides the time, ticks, sleeps and deadlines. The time and the contexts of WithDeadline include the time for which
+// the machine was suspended; After, Sleep, WithTimeout and ticks do not.
 type Service struct {
 	clock clockwork.Clock
-	// bootClock tells the time since a moment before the start, with that in which the machine is suspended; nil where it never is.
+	// bootClock returns the time since a moment before the start, including suspension; it is nil on a machine that is never
+	// suspended.
 	bootClock func() (time.Duration, error)
-	// bootStart and steadyAt are what the two clocks told at the start.
+	// bootStart and monotonicStart are the readings of the boot clock and of the monotonic clock at the start.
 	bootStart      time.Duration
 	monotonicStart time.Time
-	// suspended is for how long the machine has been suspended since, in nanoseconds.
+	// suspended is the total time for which the machine has been found suspended since the start, in nanoseconds.
 	suspended atomic.Int64
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// deadlines holds the pending deadlines of WithDeadline.
 	deadlines map[*deadline]struct{}
 }
 
-// New returns a Service over the given clock, on a machine that is never suspended.
+// New returns a Service on the given clock for a machine that is never suspended.
 func New(clock clockwork.Clock) *Service {
 	return &Service{clock: clock, deadlines: map[*deadline]struct{}{}}
 }
 
-// NewOver returns a Service over a steady clock and one that counts suspension; it returns the error of reading that.
+// NewOver returns a Service on a monotonic clock, which stops while the machine is suspended, and on a boot clock, which does
+// not. It returns the error of reading the boot clock.
 func NewOver(clock clockwork.Clock, bootClock func() (time.Duration, error)) (*Service, error) {
 	s := New(clock)
 	at, err := bootClock()
 	if err != nil {
-		return nil, errors.Wrap(err, "timer: read the clock that counts suspension")
+		return nil, errors.Wrap(err, "timer: read the boot clock")
 	}
 	s.bootClock, s.bootStart, s.monotonicStart = bootClock, at, clock.Now()
 	return s, nil
 }
 
-// NewReal returns a Service over the machine's steady clock.
+// NewReal returns a Service on the machine's monotonic clock.
 func NewReal() *Service { return New(clockwork.NewRealClock()) }
 
-// NewSuspendable returns a Service over the machine's clocks; it returns the error of reading them.
+// NewSuspendable returns a Service on the machine's monotonic and boot clocks, for a machine that may be suspended. It returns
+// the error of reading the boot clock.
 func NewSuspendable() (*Service, error) { return NewOver(clockwork.NewRealClock(), sinceBoot) }
 
-// Now returns the current time.
+// Now returns the current time, including the suspensions that have been found so far.
 func (s *Service) Now() time.Time { return s.clock.Now().Add(s.Suspended()) }
 
 // Since returns the time that has passed since t.
 func (s *Service) Since(t time.Time) time.Duration { return s.Now().Sub(t) }
 
-// After delivers the time once, when d has passed.
+// After returns a channel that delivers the time once, when d has passed.
 func (s *Service) After(d time.Duration) <-chan time.Time { return s.clock.After(d) }
 
-// Sleep waits until d has passed and reports true, or false when ctx ends first.
+// Sleep waits until d has passed and returns true; it returns false if ctx ends first.
 func (s *Service) Sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-s.clock.After(d):
@@ -66,12 +71,12 @@
 	}
 }
 
-// WithTimeout returns a context that ends with its parent, when d has passed or when it is cancelled.
+// WithTimeout returns a context that ends when its parent ends, when d has passed or when it is cancelled.
 func (s *Service) WithTimeout(parent context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	return clockwork.WithTimeout(parent, s.clock, d)
 }
 
-// Subscribe delivers the time every period until the subscription is stopped.
+// Subscribe returns a Subscription that delivers the time every period until it is stopped.
 func (s *Service) Subscribe(period time.Duration) *Subscription {
 	return &Subscription{ticker: s.clock.NewTicker(period)}
 }
--- a/timer/suspension.go
+++ b/timer/suspension.go
@@ -9,17 +9,20 @@
 )
 
 const (
-	// checkPeriod is how often the clocks are compared. A request that comes sooner after a suspension is looked at by itself.
+	// checkPeriod is how often the clocks are compared in the background. Code that cannot wait for the next comparison, such as
+	// the handling of a new request, has them compared itself.
 	checkPeriod = 100 * time.Millisecond
-	// minSuspension is the shortest suspension that counts; the two clocks run at the same rate.
+	// minSuspension is the shortest suspension that counts; the two clocks run at the same rate, so only suspension makes them
+	// differ.
 	minSuspension = 10 * time.Millisecond
-	// maxReadSpan is how far apart the two readings between which the second clock is read may be: a process that was stopped between them
-	// would take that time for a suspension. After readTries readings the last one counts.
+	// maxReadSpan is the maximum time between the two readings of the monotonic clock around a reading of the boot clock. If the
+	// process were stopped between the readings, it would take that time for a suspension. After maxReads attempts the last one
+	// counts anyway.
 	maxReadSpan = time.Millisecond
 	maxReads    = 3
 )
 
-// sinceBoot returns the time since the machine has started, which goes on while it is suspended.
+// sinceBoot returns the time since the machine was booted, including the time for which it was suspended.
 func sinceBoot() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -28,8 +31,9 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// Look compares the steady clock, which stands while the machine is suspended, with one that goes on, and returns for how long the machine
-// has been suspended since the last look that found it to have been. From then on Now counts that time.
+// Look compares the monotonic clock, which stops while the machine is suspended, with the boot clock, which does not. It returns
+// for how long the machine has been suspended since the last call that returned a suspension. From then on Now includes that
+// time.
 func (s *Service) Look() (time.Duration, error) {
 	if s.bootClock == nil {
 		return 0, nil
@@ -49,7 +53,7 @@
 	return gap, nil
 }
 
-// clockDifference returns how much further the clock that counts suspension has come than the steady one since the start.
+// clockDifference returns by how much the boot clock has advanced further than the monotonic clock since the start.
 func (s *Service) clockDifference() (time.Duration, error) {
 	var difference time.Duration
 	for range maxReads {
@@ -67,13 +71,15 @@
 	return difference, nil
 }
 
-// Suspended returns for how long the machine has been suspended since the start, as far as looks have found.
+// Suspended returns the total time for which the machine has been found suspended since the start.
 func (s *Service) Suspended() time.Duration { return time.Duration(s.suspended.Load()) }
 
-// Steady returns a moment in the time that the runtime's own deadlines go by, which stand still while the machine is suspended.
+// Steady converts a time of Now into the monotonic time that the runtime's own deadlines use, which stops while the machine is
+// suspended.
 func (s *Service) Steady(at time.Time) time.Time { return at.Add(-s.Suspended()) }
 
-// Watch looks at the clocks until ctx ends and tells each suspension, or that the clocks cannot be read, to a function.
+// Watch compares the clocks periodically until ctx ends and passes each suspension, or the error of reading the boot clock, to
+// report.
 func (s *Service) Watch(ctx context.Context, report func(gap time.Duration, err error)) {
 	ticks := s.Subscribe(checkPeriod)
 	defer ticks.Stop()
@@ -89,14 +95,14 @@
 	}
 }
 
-// deadline ends a context at a moment.
+// deadline cancels a context at a given time.
 type deadline struct {
 	at    time.Time
 	timer clockwork.Timer
 }
 
-// WithDeadline returns a context that is cancelled with its parent, at a moment or by the function that it returns. Time in which the machine
-// is suspended counts.
+// WithDeadline returns a context that is cancelled when its parent ends, at the given time or by the returned function. The time
+// for which the machine is suspended counts.
 func (s *Service) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	d := &deadline{at: at, timer: s.clock.AfterFunc(at.Sub(s.Now()), cancel)}
@@ -112,7 +118,7 @@
 	}
 }
 
-// resetDeadlinesLocked brings deadlines forward by the time in which the machine was suspended; the caller holds the lock.
+// resetDeadlinesLocked brings the deadlines forward by the time for which the machine was suspended; the caller holds the lock.
 func (s *Service) resetDeadlinesLocked() {
 	now := s.Now()
 	for d := range s.deadlines {
--- a/timer/suspension_test.go
+++ b/timer/suspension_test.go
@@ -12,7 +12,8 @@
 	"junctioncross/timer"
 )
 
-// suspendableMachine is a suspendableMachine that can be suspended: its steady clock stands then, while the other goes on.
+// suspendableMachine simulates a machine that can be suspended: its monotonic clock, the FakeClock, stops then; its boot clock
+// does not.
 type suspendableMachine struct {
 	*clockwork.FakeClock
 	start      time.Time
@@ -51,7 +52,7 @@
 	require.Equal(t, before.Add(time.Second), s.Steady(s.Now()))
 	gap, err = s.Look()
 	require.NoError(t, err)
-	require.Zero(t, gap, "it is told once")
+	require.Zero(t, gap, "a suspension is returned once")
 	m.suspended += time.Second
 	gap, err = s.Look()
 	require.NoError(t, err)
@@ -68,7 +69,8 @@
 	require.Error(t, err)
 }
 
-// TestDeadlinesPassWhileTheMachineIsSuspended lets one of two deadlines pass in a suspension and the other one come sooner by it.
+// TestDeadlinesPassWhileTheMachineIsSuspended lets one of two deadlines pass during a suspension; the other one comes sooner by
+// its length.
 func TestDeadlinesPassWhileTheMachineIsSuspended(t *testing.T) {
 	m, s := newSuspendableMachine(t)
 	passed, stopPassed := s.WithDeadline(t.Context(), s.Now().Add(5*time.Second))
@@ -105,7 +107,8 @@
 	require.NoError(t, err)
 }
 
-// BenchmarkSuspensionCheck is what each request pays for not taking old keys for new ones after a suspension: 0.3 us with one call of the system.
+// BenchmarkSuspensionCheck measures what the check before each request costs: 0.3 us with one system call. The check keeps a
+// request after a suspension from being judged by keys that are older than they seem.
 func BenchmarkSuspensionCheck(b *testing.B) {
 	s, err := timer.NewSuspendable()
 	require.NoError(b, err)
