--- a/config/config_test.go
+++ b/config/config_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestFilledSettingsTemplateIsValid fills every gap of the platform's template with a plain value.
+// TestFilledSettingsTemplateIsValid fills every placeholder of the platform's template with a typical value.
 func TestFilledSettingsTemplateIsValid(t *testing.T) {
 	body, err := os.ReadFile("../deploy/settings.yaml")
 	require.NoError(t, err)
--- a/config/drain.go
+++ b/config/drain.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Drain says how the instance stops.
+// Drain defines how the instance shuts down.
 type Drain struct {
-	// Notice is how long the instance goes on taking requests after its health check fails, for the balancer to see it.
+	// Notice is how long the instance keeps accepting requests after its health check starts to fail, so that the load balancer
+	// notices.
 	Notice time.Duration `yaml:"notice" validate:"min=0s,max=1m"`
-	// Limit is how long it waits for requests under way after that.
+	// Limit is how long the instance then waits for running requests to finish.
 	Limit time.Duration `yaml:"limit" validate:"min=1s,max=1h"`
 }
 
--- a/config/hosted.go
+++ b/config/hosted.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Hosted is the settings file of jxd serve, which runs in front of a platform's backend servers.
+// Hosted is the content of the settings file of jxd serve, which runs in front of a platform's backend servers.
 type Hosted struct {
 	Instance HostedInstance `yaml:"instance"`
 	Listen   HostedListen   `yaml:"listen"`
@@ -14,109 +14,113 @@
 	Engines  HostedEngines  `yaml:"engines"`
 	Servers  HostedServers  `yaml:"servers"`
 	Relays   HostedRelays   `yaml:"relays"`
-	// Quarantine keeps requests from servers that have ended under them.
+	// Quarantine defines when a request is no longer sent to any server, because servers have terminated while they ran it.
 	Quarantine HostedQuarantine `yaml:"quarantine"`
 	Log        Log              `yaml:"log"`
 }
 
-// HostedInstance says which entry instance this process is.
+// HostedInstance identifies the entry instance that this process is.
 type HostedInstance struct {
-	// Name is unique in the fleet.
+	// Name is the name of the instance, unique in the fleet.
 	Name string `yaml:"name" validate:"required"`
-	// Domain is the failure domain that the instance stands in.
+	// Domain is the failure domain that the instance belongs to.
 	Domain string `yaml:"domain" validate:"required"`
-	// Power is the processor power of the instance against that of others; the most powerful of a domain is its relay.
+	// Power is the processing power of the instance relative to other instances; the most powerful instance of a domain is its
+	// relay.
 	Power float64 `yaml:"power" validate:"min=0"`
 }
 
-// HostedListen holds the addresses that the instance answers on.
+// HostedListen holds the addresses that the instance listens on.
 type HostedListen struct {
-	// Callers is the IP number and port for callers.
+	// Callers is the IP address and port for callers.
 	Callers string `yaml:"callers" validate:"ipport"`
-	// Readiness is the IP number and port of the balancer's check.
+	// Readiness is the IP address and port of the load balancer's readiness check.
 	Readiness string `yaml:"readiness" validate:"ipport"`
-	// Metrics is the IP number and port of counters, distributions and profiles.
+	// Metrics is the IP address and port of counters, histograms and profiles.
 	Metrics string `yaml:"metrics" validate:"ipport"`
-	// Peers is the IP number and UDP port for other instances; without one there are no relays.
+	// Peers is the IP address and UDP port for other instances; without it no relays are used.
 	Peers string `yaml:"peers" validate:"omitempty,ipport"`
-	// ReadyPath is the path of the balancer's check.
+	// ReadyPath is the path of the load balancer's readiness check.
 	ReadyPath string `yaml:"ready_path" validate:"required"`
 }
 
-// HostedStore says where the platform's store is.
+// HostedStore holds the address of the platform's store.
 type HostedStore struct {
-	// Addr is the IP number and port of the store.
+	// Addr is the IP address and port of the store.
 	Addr string `yaml:"addr" validate:"ipport"`
 }
 
-// HostedMemory bounds the process.
+// HostedMemory limits the memory of the process.
 type HostedMemory struct {
-	// Megabytes is the memory that the process may use; the runtime collects garbage harder as it comes near.
+	// Megabytes is the memory that the process may use, in megabytes; near this limit the runtime collects garbage more often.
 	Megabytes int `yaml:"megabytes" validate:"min=32"`
 }
 
-// HostedKeys says how strictly keys that were taken away are refused.
+// HostedKeys defines how strictly revoked keys are refused.
 type HostedKeys struct {
-	// Strict makes an instance that cannot confirm the keys refuse requests that need one.
+	// Strict makes an instance that cannot confirm that its keys are up to date refuse the requests that need a key.
 	Strict bool `yaml:"strict"`
-	// RevokeTime is how long after its removal a key may still be accepted.
+	// RevokeTime is how long a key may still be accepted after its removal.
 	RevokeTime time.Duration `yaml:"revoke_time" validate:"min=0s,max=10m"`
 }
 
-// HostedRepeats is the limit on sending requests again, which all instances share.
+// HostedRepeats limits the retries (repeats) of requests; the limit holds for all instances together.
 type HostedRepeats struct {
-	// Window is the time over which requests and repeats are counted.
+	// Window is the length of the sliding window in which requests and retries are counted.
 	Window time.Duration `yaml:"window" validate:"min=1s,max=10m"`
-	// Share is the number of repeats for each request.
+	// Share is the number of retries that are allowed per request.
 	Share float64 `yaml:"share" validate:"min=0,max=1"`
-	// Slack is the number of repeats that are allowed besides.
+	// Slack is the number of retries that are allowed in a window in addition to Share.
 	Slack float64 `yaml:"slack" validate:"min=0"`
 }
 
-// HostedStop says how the instance stops.
+// HostedStop defines how the instance shuts down.
 type HostedStop struct {
-	// Grace is the time from the signal to the end of the process.
+	// Grace is the time from the stop signal to the end of the process.
 	Grace time.Duration `yaml:"grace" validate:"min=1s,max=1h"`
 }
 
-// HostedEngines says how chained engines behave.
+// HostedEngines describes the behaviour of chained engines, which the instance relies on.
 type HostedEngines struct {
-	// StallTime is how long a path stands still for a part that is gone before it is cut.
+	// StallTime is how long a path stalls, because one of its servers is gone, before it is cut.
 	StallTime time.Duration `yaml:"stall_time" validate:"min=100ms,max=1m"`
-	// DrainTime is how long a server that leaves goes on with what passes it.
+	// DrainTime is how long a leaving server keeps running the streams that pass through it.
 	DrainTime time.Duration `yaml:"drain_time" validate:"min=0s,max=1h"`
 }
 
-// HostedServers says what backend servers of all kinds may ask of an instance.
+// HostedServers limits what backend servers of all kinds may demand of an instance.
 type HostedServers struct {
-	// LongestBackOff bounds the time for which a server that turns a request away may want nothing from the instance. The platform's pages
-	// name no bound; this one keeps a server that names an absurd time from being left out for good.
+	// LongestBackOff is the maximum time for which a server that refuses a request may ask for no new requests (back-off). The
+	// platform's documentation specifies no maximum; this one keeps a server that names an absurdly long time from being excluded
+	// for good.
 	LongestBackOff time.Duration `yaml:"longest_back_off" validate:"min=1s,max=24h"`
 }
 
-// HostedRelays says when one instance of each domain watches the store for the others.
+// HostedRelays defines when one instance of each domain, the relay, watches the store for the others.
 type HostedRelays struct {
-	// From is the number of instances from which relays are used; with fewer, each watches the store itself. A domain keeps at most as many
-	// records of instances in the store, and room for 24 in any case.
+	// From is the number of instances from which on relays are used; with fewer, each instance watches the store itself. A domain
+	// keeps at most this many registration records in the store, and at least 24 slots for records in any case.
 	From int `yaml:"from" validate:"min=2"`
-	// ApplyTime is how long after its acceptance a configuration may not be in force yet; below 3s no relays are used.
+	// ApplyTime is how long after its acceptance a configuration may take to be in force; below 3s no relays are used.
 	ApplyTime time.Duration `yaml:"apply_time" validate:"min=1s,max=1m"`
 }
 
-// HostedQuarantine says which requests are sent to no server any more.
+// HostedQuarantine defines which requests are quarantined, that is, no longer sent to any server.
 type HostedQuarantine struct {
-	// Ends is the number of servers that must have ended under a request, which its caller has sent several times.
+	// Ends is the number of servers that must have terminated while they ran a request for it to be quarantined, if its caller
+	// has sent it several times.
 	Ends int `yaml:"ends" validate:"min=2,max=100"`
-	// EndsOfOne is the same for a request that came once. What a server ran when it ended goes on at the next one together, so that
-	// many share some ends with the request that caused them.
+	// EndsOfOne is the same for a request that was sent once. The requests that a server ran when it terminated continue together
+	// on the next server, so many of them share some ends with the request that caused them.
 	EndsOfOne int `yaml:"ends_of_one" validate:"min=2,max=100"`
-	// Keep is how long such an end counts; it counts for half of that at least. The platform's store keeps nothing for longer than 10m.
+	// Keep is how long such an end counts at most; it counts for at least half of that. The platform's store keeps no entry for
+	// longer than 10m.
 	Keep time.Duration `yaml:"keep" validate:"min=10s,max=10m"`
-	// Most is the number of requests of which ends are kept; those with the fewest ends are forgotten first.
+	// Most is the maximum number of requests whose ends are kept; those with the fewest ends are dropped first.
 	Most int `yaml:"most" validate:"min=16,max=1000000"`
 }
 
-// DefaultHosted returns the settings that hold where the file is silent.
+// DefaultHosted returns the defaults for settings that are missing in the file.
 func DefaultHosted() Hosted {
 	return Hosted{
 		Instance:   HostedInstance{Power: 1},
@@ -133,10 +137,11 @@
 	}
 }
 
-// LoadHosted reads the settings file of jxd serve; the error lists every mistake with file, line, key and what is accepted.
+// LoadHosted reads and checks the settings file of jxd serve. The error lists all mistakes, each with file, line, key and the
+// accepted values.
 func LoadHosted(path string) (*Hosted, error) { return load(path, ParseHosted) }
 
-// ParseHosted reads the settings of jxd serve from YAML; name stands for the file in errors.
+// ParseHosted reads and checks settings of jxd serve in YAML; errors show name as the file name.
 func ParseHosted(name string, body []byte) (*Hosted, error) {
 	return decode(name, body, DefaultHosted())
 }
--- a/config/instance.go
+++ b/config/instance.go
@@ -1,9 +1,9 @@
 package config
 
-// Instance says which entry instance this process is.
+// Instance identifies the entry instance that this process is.
 type Instance struct {
-	// Name is unique in the fleet.
+	// Name is the name of the instance, unique in the fleet.
 	Name string `yaml:"name" validate:"required"`
-	// Domain is the failure domain that the instance stands in.
+	// Domain is the failure domain that the instance belongs to.
 	Domain string `yaml:"domain" validate:"required"`
 }
--- a/config/log.go
+++ b/config/log.go
@@ -1,8 +1,8 @@
 package config
 
-// Log says what is logged.
+// Log defines what is logged.
 type Log struct {
-	// Level is the least severe level that is written.
+	// Level is the lowest severity that is logged.
 	Level string `yaml:"level" validate:"oneof=debug info warn error"`
 }
 
--- a/config/settings.go
+++ b/config/settings.go
@@ -8,12 +8,13 @@
 	"junctioncross/strict"
 )
 
-// Settings is the whole settings file of jxd.
+// Settings is the content of the settings file of jxd.
 type Settings struct {
 	Instance Instance `yaml:"instance"`
 	Listen   Listen   `yaml:"listen"`
 	Platform Platform `yaml:"platform"`
-	// Peers holds addresses of instances to ask first, beside those of the platform's list.
+	// Peers holds the addresses of instances to contact while no other instance is known, in addition to those in the platform's
+	// list.
 	Peers  []string `yaml:"peers" validate:"dive,ipport"`
 	Keys   Keys     `yaml:"keys"`
 	Limits Limits   `yaml:"limits"`
@@ -21,12 +22,12 @@
 	Log    Log      `yaml:"log"`
 }
 
-// Default returns the settings that hold where the file is silent.
+// Default returns the defaults for settings that are missing in the file.
 func Default() Settings {
 	return Settings{Limits: defaultLimits(), Drain: defaultDrain(), Log: defaultLog()}
 }
 
-// Load reads a file; the error lists every mistake with file, line, key and what is accepted.
+// Load reads and checks a settings file. The error lists all mistakes, each with file, line, key and the accepted values.
 func Load(path string) (*Settings, error) { return load(path, Parse) }
 
 // load reads a file and parses it.
@@ -38,12 +39,12 @@
 	return parse(path, body)
 }
 
-// Parse reads settings from YAML; name stands for the file in errors.
+// Parse reads and checks settings in YAML; errors show name as the file name.
 func Parse(name string, body []byte) (*Settings, error) {
 	return decode(name, body, Default())
 }
 
-// decode reads settings from YAML over those that hold where the file is silent.
+// decode reads settings in YAML; settings holds the defaults.
 func decode[T any](name string, body []byte, settings T) (*T, error) {
 	if err := strict.Decode(name, body, &settings); err != nil {
 		return nil, err
