--- a/revision/gather.go
+++ b/revision/gather.go
@@ -6,27 +6,27 @@
 	"github.com/pkg/errors"
 )
 
-// fetchesAtOnce bounds the fetches of segments that run at the same time.
-const fetchesAtOnce = 8
+// maxConcurrentFetches bounds the fetches of segments that run at the same time.
+const maxConcurrentFetches = 8
 
-// gather returns the bodies of a head's segments by name: those that are held, and the others fetched, several at a time.
-func gather(head Head, held func(hash string) ([]byte, bool), fetch func(hash string) ([]byte, error)) (map[string][]byte, error) {
+// collectBodies returns the bodies of a head's segments by name: those that are held, and the others fetched, several at a time.
+func collectBodies(head Head, cached func(hash string) ([]byte, bool), fetch func(hash string) ([]byte, error)) (map[string][]byte, error) {
 	bodies := make(map[string][]byte, len(head.Segments))
 	missing := map[string]string{}
 	for name, hash := range head.Segments {
-		if body, ok := held(hash); ok {
+		if body, ok := cached(hash); ok {
 			bodies[name] = body
 			continue
 		}
 		missing[name] = hash
 	}
 	var mu sync.Mutex
-	var failed error
-	var all sync.WaitGroup
-	slots := make(chan struct{}, fetchesAtOnce)
+	var fetchErr error
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentFetches)
 	for name, hash := range missing {
 		slots <- struct{}{}
-		all.Go(func() {
+		wg.Go(func() {
 			defer func() { <-slots }()
 			body, err := fetch(hash)
 			if err == nil && HashOf(body) != hash {
@@ -35,12 +35,12 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				failed = err
+				fetchErr = err
 				return
 			}
 			bodies[name] = body
 		})
 	}
-	all.Wait()
-	return bodies, failed
+	wg.Wait()
+	return bodies, fetchErr
 }
--- a/revision/head.go
+++ b/revision/head.go
@@ -36,8 +36,8 @@
 	Recent []Entry `json:"recent"`
 }
 
-// accepted returns the entry that the plan has in the head's list.
-func (h *Head) accepted(plan string) (Entry, bool) {
+// confirmationOf returns the entry that the plan has in the head's list.
+func (h *Head) confirmationOf(plan string) (Entry, bool) {
 	for _, e := range h.Recent {
 		if e.Plan == plan {
 			return e, true
@@ -46,8 +46,8 @@
 	return Entry{}, false
 }
 
-// since returns the confirmations after a revision.
-func (h *Head) since(base Number) []Entry {
+// entriesAfter returns the confirmations after a revision.
+func (h *Head) entriesAfter(base Number) []Entry {
 	var out []Entry
 	for _, e := range h.Recent {
 		if e.Revision > base {
--- a/revision/keeper.go
+++ b/revision/keeper.go
@@ -21,8 +21,8 @@
 
 // Keeper holds the configuration in force and never goes back to a lower revision.
 type Keeper struct {
-	mu  sync.Mutex
-	now *InForce
+	mu      sync.Mutex
+	current *InForce
 }
 
 // NewKeeper returns a Keeper without a configuration.
@@ -32,7 +32,7 @@
 func (k *Keeper) InForce() *InForce {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.now
+	return k.current
 }
 
 // Revision returns the number in force, zero for none.
@@ -58,7 +58,7 @@
 	if head.Revision <= k.Revision() {
 		return false, nil
 	}
-	byName, err := gather(head, k.Body, fetch)
+	byName, err := collectBodies(head, k.Body, fetch)
 	if err != nil {
 		return false, err
 	}
@@ -70,16 +70,16 @@
 	for name, hash := range head.Segments {
 		byHash[hash] = byName[name]
 	}
-	return k.put(&InForce{head: head, document: document, bodies: byHash}), nil
+	return k.putIfNewer(&InForce{head: head, document: document, bodies: byHash}), nil
 }
 
-// put compares again under the lock, because two offers may run at once.
-func (k *Keeper) put(next *InForce) bool {
+// putIfNewer compares again under the lock, because two offers may run at once.
+func (k *Keeper) putIfNewer(next *InForce) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.now != nil && k.now.head.Revision >= next.head.Revision {
+	if k.current != nil && k.current.head.Revision >= next.head.Revision {
 		return false
 	}
-	k.now = next
+	k.current = next
 	return true
 }
--- a/revision/revision_test.go
+++ b/revision/revision_test.go
@@ -31,7 +31,7 @@
 	return d
 }
 
-func TestSegmentsOfTheDesignSizeFitTheServiceAndJoinAgain(t *testing.T) {
+func TestSegmentsOf20000AccountsFitTheServiceAndJoinAgain(t *testing.T) {
 	const megabyte = 1 << 20
 	d := document(20_000, 1)
 	segments, err := revision.Split(d)
@@ -63,7 +63,7 @@
 	return out, bodies
 }
 
-func TestKeeperNeverGoesBack(t *testing.T) {
+func TestKeeperNeverReturnsToALowerRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all, bodies := heads(t, 1, 2, 3, 4, 5)
 		k := revision.NewKeeper()
@@ -147,16 +147,16 @@
 func TestConfirmationsUnderLostAnswersAreLinearizable(t *testing.T) {
 	for seed := range uint64(20) {
 		keys := standin.NewKeys(time.Now)
-		sound := revision.NewStore(standin.NewLocal(keys, seed, 0, 0), timer.NewReal())
+		reliable := revision.NewStore(standin.NewLocal(keys, seed, 0, 0), timer.NewReal())
 		faulty := standin.NewLocal(keys, seed, 0.2, 0.3)
 		clock := clockwork.NewFakeClock()
 		store := revision.NewStore(faulty, timer.New(clock))
 		var history []porcupine.Event
 		id := 0
 		for round := range 3 {
-			head, _, err := sound.Head(t.Context())
+			head, _, err := reliable.Head(t.Context())
 			require.NoError(t, err)
-			plans := addPlans(t, sound, head, round)
+			plans := addPlans(t, reliable, head, round)
 			history, id = confirmAll(store, clock, plans, history, id)
 		}
 		require.True(t, porcupine.CheckEvents(headModel.ToModel(), history), "seed %d", seed)
@@ -177,7 +177,7 @@
 // confirmAll confirms every plan twice, all at once, and appends what was asked and answered to the history.
 func confirmAll(store *revision.Store, clock *clockwork.FakeClock, plans []revision.Plan, history []porcupine.Event, id int) ([]porcupine.Event, int) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	record := func(e porcupine.Event) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -188,7 +188,7 @@
 		call := id
 		id++
 		record(porcupine.Event{ClientId: call, Kind: porcupine.CallEvent, Id: call, Value: confirmInput{plan: p.ID, base: p.Base}})
-		all.Go(func() {
+		wg.Go(func() {
 			_, err := store.Confirm(context.Background(), p.ID, "op")
 			var conflict *revision.ConflictError
 			out := confirmOutput{
@@ -199,7 +199,7 @@
 	}
 	done := make(chan struct{})
 	go func() {
-		all.Wait()
+		wg.Wait()
 		close(done)
 	}()
 	for {
--- a/revision/store.go
+++ b/revision/store.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	confirmTries = 6
-	confirmPause = 150 * time.Millisecond
+	maxConfirmAttempts = 6
+	confirmRetryDelay  = 150 * time.Millisecond
 )
 
 // Store reads and moves the configuration in the key-value service.
@@ -76,8 +76,8 @@
 }
 
 // Document returns the document that a head names; segments that held has are not read from the service.
-func (s *Store) Document(ctx context.Context, head Head, held func(hash string) ([]byte, bool)) (*intent.Document, error) {
-	bodies, err := gather(head, held, func(hash string) ([]byte, error) { return s.Segment(ctx, hash) })
+func (s *Store) Document(ctx context.Context, head Head, cached func(hash string) ([]byte, bool)) (*intent.Document, error) {
+	bodies, err := collectBodies(head, cached, func(hash string) ([]byte, error) { return s.Segment(ctx, hash) })
 	if err != nil {
 		return nil, err
 	}
@@ -145,59 +145,59 @@
 	if err != nil {
 		return Entry{}, err
 	}
-	written := false
-	for range confirmTries {
+	maybeWritten := false
+	for range maxConfirmAttempts {
 		entry, err := s.tryConfirm(ctx, plan, who)
-		if err == nil || !retryConfirm(err) {
+		if err == nil || !isRetryable(err) {
 			return entry, err
 		}
-		written = written || errors.Is(err, ErrUnsure)
-		if !s.clock.Sleep(ctx, confirmPause) {
+		maybeWritten = maybeWritten || errors.Is(err, ErrUnsure)
+		if !s.clock.Sleep(ctx, confirmRetryDelay) {
 			break
 		}
 	}
-	return Entry{}, outcome(written)
+	return Entry{}, confirmError(maybeWritten)
 }
 
-func retryConfirm(err error) bool {
+func isRetryable(err error) bool {
 	return errors.Is(err, ErrUnsure) || errors.Is(err, ErrUnavailable)
 }
 
-func outcome(written bool) error {
-	if written {
+func confirmError(maybeWritten bool) error {
+	if maybeWritten {
 		return ErrUnsure
 	}
 	return ErrUnavailable
 }
 
 func (s *Store) tryConfirm(ctx context.Context, plan Plan, who string) (Entry, error) {
-	head, at, err := s.Head(ctx)
+	head, kvRevision, err := s.Head(ctx)
 	if err != nil {
 		return Entry{}, err
 	}
-	if entry, ok := head.accepted(plan.ID); ok {
+	if entry, ok := head.confirmationOf(plan.ID); ok {
 		return entry, nil
 	}
 	if head.Revision != plan.Base {
-		if entry, ok := s.inHistory(ctx, plan); ok {
+		if entry, ok := s.archivedEntry(ctx, plan); ok {
 			return entry, nil
 		}
-		return Entry{}, &ConflictError{base: plan.Base, head: head.Revision, meantime: head.since(plan.Base)}
+		return Entry{}, &ConflictError{base: plan.Base, head: head.Revision, meantime: head.entriesAfter(plan.Base)}
 	}
 	entry := Entry{
 		Revision: head.Revision + 1, Plan: plan.ID, Who: who, When: s.clock.Now().UTC(),
 		Why: plan.Why, Changes: plan.Changes,
 	}
-	return entry, s.move(ctx, head, at, plan, entry)
+	return entry, s.replaceHead(ctx, head, kvRevision, plan, entry)
 }
 
-// inHistory looks for the plan's confirmation behind the head's own list.
-func (s *Store) inHistory(ctx context.Context, plan Plan) (Entry, bool) {
+// archivedEntry looks for the plan's confirmation behind the head's own list.
+func (s *Store) archivedEntry(ctx context.Context, plan Plan) (Entry, bool) {
 	entry, err := load[Entry](ctx, s.kv, historyKey(plan.Base+1), ErrNoPlan)
 	return entry, err == nil && entry.Plan == plan.ID
 }
 
-func (s *Store) move(ctx context.Context, head Head, at kv.Revision, plan Plan, entry Entry) error {
+func (s *Store) replaceHead(ctx context.Context, head Head, kvRevision kv.Revision, plan Plan, entry Entry) error {
 	next := Head{Revision: entry.Revision, Segments: plan.Segments, Recent: append(head.Recent, entry)}
 	if len(next.Recent) > recentEntries {
 		if err := s.archive(ctx, next.Recent[0]); err != nil {
@@ -209,7 +209,7 @@
 	if err != nil {
 		return errors.Wrap(err, "revision: encode head")
 	}
-	_, err = s.kv.Write(ctx, kv.Put{Key: KeyHead, Value: body, Expect: at})
+	_, err = s.kv.Write(ctx, kv.Put{Key: KeyHead, Value: body, Expect: kvRevision})
 	switch {
 	case err == nil:
 		return nil
