--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -61,8 +61,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestOneRequestAtMostHoldsAKey lets several writers claim the same keys while the service loses calls and answers.
-func TestOneRequestAtMostHoldsAKey(t *testing.T) {
+// TestAtMostOneRequestHoldsAKey lets several writers claim the same keys while the service loses calls and answers.
+func TestAtMostOneRequestHoldsAKey(t *testing.T) {
 	for seed := range uint64(8) {
 		keys := standin.NewKeys(time.Now)
 		faulty := standin.NewLocal(keys, seed, 0.15, 0.25)
@@ -71,19 +71,19 @@
 		for w := range keepers {
 			keepers[w] = claim.NewKeeper(faulty, timer.NewReal(), metrics.New(), fmt.Sprint("w", w), 2)
 		}
-		history := race(keepers, perWriter)
+		history := claimConcurrently(keepers, perWriter)
 		faulty.Heal()
 		requireOneHolder(t, keepers, history)
-		require.True(t, porcupine.CheckOperations(keyModel, settled(history)), "seed %d", seed)
+		require.True(t, porcupine.CheckOperations(keyModel, withKnownOutcome(history)), "seed %d", seed)
 	}
 }
 
-func race(keepers []*claim.Keeper, perWriter int) []porcupine.Operation {
+func claimConcurrently(keepers []*claim.Keeper, perWriter int) []porcupine.Operation {
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for w, k := range keepers {
-		all.Go(func() {
+		wg.Go(func() {
 			for i := range perWriter {
 				in := input{key: fmt.Sprint("key", i%10), request: fmt.Sprintf("w%d-%d", w, i)}
 				start := time.Now().UnixNano()
@@ -101,12 +101,12 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return history
 }
 
-// settled drops the claims of unknown outcome that no later answer refers to: they may never have been kept.
-func settled(history []porcupine.Operation) []porcupine.Operation {
+// withKnownOutcome drops the claims of unknown outcome that no later answer refers to: they may never have been kept.
+func withKnownOutcome(history []porcupine.Operation) []porcupine.Operation {
 	holder := map[string]string{}
 	for _, op := range history {
 		if op.Output.(int) == granted {
@@ -151,7 +151,7 @@
 	return v
 }
 
-func TestOutcomesAreToldToRepeatsOnOtherInstances(t *testing.T) {
+func TestRetriesOnOtherInstancesLearnTheOutcome(t *testing.T) {
 	keys := standin.NewKeys(time.Now)
 	a := newKeeper(keys, "a")
 	first := claim.Claim{Key: "k", Body: 7, Request: "r1"}
@@ -172,7 +172,7 @@
 	require.Equal(t, claim.Granted{}, ask(t, newKeeper(keys, "b"), claim.Claim{Key: "k", Request: "r2"}))
 }
 
-func TestAServiceThatIsDownRefusesClaims(t *testing.T) {
+func TestClaimsFailWhileTheServiceIsDown(t *testing.T) {
 	down := standin.NewLocal(standin.NewKeys(time.Now), 1, 1, 0)
 	k := claim.NewKeeper(down, timer.NewReal(), metrics.New(), "a", 1)
 	_, err := k.Ask(t.Context(), claim.Claim{Key: "k", Request: "r"})
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -17,27 +17,27 @@
 
 // Keeper writes the claims of every partition from this process.
 type Keeper struct {
-	store  kv.Store
-	clock  *timer.Service
-	stats  *metrics.Registry
-	writer string
-	count  int
+	store      kv.Store
+	clock      *timer.Service
+	stats      *metrics.Registry
+	writer     string
+	partitions int
 
 	mu   sync.Mutex
 	logs map[int]*Log
 }
 
 // NewKeeper returns a Keeper over that number of partitions; every process must use the same number.
-func NewKeeper(store kv.Store, clock *timer.Service, stats *metrics.Registry, writer string, count int) *Keeper {
-	return &Keeper{store: store, clock: clock, stats: stats, writer: writer, count: count, logs: map[int]*Log{}}
+func NewKeeper(store kv.Store, clock *timer.Service, stats *metrics.Registry, writer string, partitions int) *Keeper {
+	return &Keeper{store: store, clock: clock, stats: stats, writer: writer, partitions: partitions, logs: map[int]*Log{}}
 }
 
 // Ask implements Asker.
 func (k *Keeper) Ask(ctx context.Context, c Claim) (Verdict, error) {
-	return k.log(Partition(c.Key, k.count)).Ask(ctx, c)
+	return k.partitionLog(Partition(c.Key, k.partitions)).Ask(ctx, c)
 }
 
-func (k *Keeper) log(partition int) *Log {
+func (k *Keeper) partitionLog(partition int) *Log {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := k.logs[partition]
--- a/claim/log.go
+++ b/claim/log.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// collectTime is how long a writer gathers claims for one record.
-	collectTime = 10 * time.Millisecond
-	maxPerWrite = 256
-	appendTries = 8
-	queueLength = 1024
+	// batchDelay is how long a writer gathers claims for one record.
+	batchDelay        = 10 * time.Millisecond
+	maxBatch          = 256
+	maxAppendAttempts = 8
+	queueLength       = 1024
 )
 
 // record is one entry of a partition's log.
@@ -30,12 +30,12 @@
 	Claims []Claim `json:"c"`
 }
 
-type asked struct {
+type pendingClaim struct {
 	claim  Claim
-	answer chan answered
+	result chan claimResult
 }
 
-type answered struct {
+type claimResult struct {
 	verdict Verdict
 	err     error
 }
@@ -47,36 +47,36 @@
 	stats  *metrics.Registry
 	prefix string
 	writer string
-	asks   chan asked
+	queue  chan pendingClaim
 	stop   chan struct{}
 
 	// The fields below belong to the writer's goroutine.
-	table  *table
-	next   uint64
-	nonce  uint64
-	loaded bool
+	table        *table
+	nextSequence uint64
+	nonce        uint64
+	loaded       bool
 }
 
 // NewLog returns the partition's log and starts its writer; writer names this process and incarnation.
 func NewLog(store kv.Store, clock *timer.Service, stats *metrics.Registry, partition int, writer string) *Log {
 	l := &Log{
 		store: store, clock: clock, stats: stats, prefix: partitionPrefix(partition), writer: writer,
-		asks: make(chan asked, queueLength), stop: make(chan struct{}), table: newTable(), next: 1,
+		queue: make(chan pendingClaim, queueLength), stop: make(chan struct{}), table: newTable(), nextSequence: 1,
 	}
-	go func() { l.write() }()
+	go func() { l.run() }()
 	return l
 }
 
 // Ask claims a key, or records an outcome; it returns when the log says who holds the key.
 func (l *Log) Ask(ctx context.Context, c Claim) (Verdict, error) {
-	a := asked{claim: c, answer: make(chan answered, 1)}
+	a := pendingClaim{claim: c, result: make(chan claimResult, 1)}
 	select {
-	case l.asks <- a:
+	case l.queue <- a:
 	case <-ctx.Done():
 		return nil, ErrUnavailable
 	}
 	select {
-	case got := <-a.answer:
+	case got := <-a.result:
 		return got.verdict, got.err
 	case <-ctx.Done():
 		return nil, ErrUnsure
@@ -86,33 +86,33 @@
 // Close ends the writer.
 func (l *Log) Close() { close(l.stop) }
 
-func (l *Log) write() {
+func (l *Log) run() {
 	for {
-		batch := l.collect()
+		batch := l.collectBatch()
 		if batch == nil {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), callTime)
-		l.serve(ctx, batch)
+		ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
+		l.processBatch(ctx, batch)
 		cancel()
 	}
 }
 
-const callTime = 3 * time.Second
+const batchTimeout = 3 * time.Second
 
-// collect waits for a claim and gathers those that follow within collectTime.
-func (l *Log) collect() []asked {
-	var batch []asked
+// collectBatch waits for a claim and gathers those that follow within collectTime.
+func (l *Log) collectBatch() []pendingClaim {
+	var batch []pendingClaim
 	select {
-	case a := <-l.asks:
+	case a := <-l.queue:
 		batch = append(batch, a)
 	case <-l.stop:
 		return nil
 	}
-	end := l.clock.After(collectTime)
-	for len(batch) < maxPerWrite {
+	end := l.clock.After(batchDelay)
+	for len(batch) < maxBatch {
 		select {
-		case a := <-l.asks:
+		case a := <-l.queue:
 			batch = append(batch, a)
 		case <-end:
 			return batch
@@ -121,18 +121,18 @@
 	return batch
 }
 
-// serve answers a batch: what the table does not settle is appended, and settled by what the log then says.
-func (l *Log) serve(ctx context.Context, batch []asked) {
+// processBatch answers a batch: what the table does not settle is appended, and settled by what the log then says.
+func (l *Log) processBatch(ctx context.Context, batch []pendingClaim) {
 	unsure := false
 	stale := !l.loaded
-	for range appendTries {
+	for range maxAppendAttempts {
 		if stale {
 			if err := l.catchUp(ctx); err != nil {
-				answerAll(batch, failure(unsure, err))
+				failAll(batch, batchError(unsure, err))
 				return
 			}
 		}
-		batch = l.settle(batch)
+		batch = l.answerDecided(batch)
 		if len(batch) == 0 {
 			return
 		}
@@ -143,53 +143,53 @@
 		case errors.Is(err, kv.ErrUnsure):
 			unsure = true
 		default:
-			answerAll(batch, failure(unsure, err))
+			failAll(batch, batchError(unsure, err))
 			return
 		}
 	}
-	answerAll(batch, failure(unsure, errors.New("too many writers")))
+	failAll(batch, batchError(unsure, errors.New("too many writers")))
 }
 
-func failure(unsure bool, cause error) error {
+func batchError(unsure bool, cause error) error {
 	if unsure {
 		return errors.Wrap(ErrUnsure, cause.Error())
 	}
 	return errors.Wrap(ErrUnavailable, cause.Error())
 }
 
-func answerAll(batch []asked, err error) {
+func failAll(batch []pendingClaim, err error) {
 	for _, a := range batch {
-		a.answer <- answered{err: err}
+		a.result <- claimResult{err: err}
 	}
 }
 
-// settle answers what the table decides and returns the rest.
-func (l *Log) settle(batch []asked) []asked {
-	rest := batch[:0]
+// answerDecided answers what the table decides and returns the rest.
+func (l *Log) answerDecided(batch []pendingClaim) []pendingClaim {
+	undecided := batch[:0]
 	for _, a := range batch {
 		if v := l.decide(a.claim); v != nil {
-			a.answer <- answered{verdict: v}
+			a.result <- claimResult{verdict: v}
 			continue
 		}
-		rest = append(rest, a)
+		undecided = append(undecided, a)
 	}
-	return rest
+	return undecided
 }
 
 // decide returns the verdict on a claim or an outcome, or nil when a record has to be appended first.
 func (l *Log) decide(c Claim) Verdict {
 	if !c.Void && c.Status == 0 {
-		return l.table.judge(c)
+		return l.table.verdict(c)
 	}
-	held, ok := l.table.held[c.Key]
-	if !ok || held.Request != c.Request || held.Status == c.Status && !c.Void {
+	holder, ok := l.table.holders[c.Key]
+	if !ok || holder.Request != c.Request || holder.Status == c.Status && !c.Void {
 		return Granted{}
 	}
 	return nil
 }
 
 // append creates the next record of the log; only one writer can.
-func (l *Log) append(ctx context.Context, batch []asked) error {
+func (l *Log) append(ctx context.Context, batch []pendingClaim) error {
 	l.nonce++
 	r := record{Writer: l.writer, Nonce: l.nonce, Claims: make([]Claim, 0, len(batch))}
 	for _, a := range batch {
@@ -200,14 +200,14 @@
 		return errors.Wrap(err, "encode claims")
 	}
 	l.stats.Counter("claim_writes_total").Inc(1)
-	_, err = l.store.Write(ctx, kv.Put{Key: l.key(l.next), Value: body})
+	_, err = l.store.Write(ctx, kv.Put{Key: l.recordKey(l.nextSequence), Value: body})
 	if err == nil {
-		l.absorb(r)
+		l.apply(r)
 	}
 	return err
 }
 
-func (l *Log) key(sequence uint64) string { return fmt.Sprintf("%s%012d", l.prefix, sequence) }
+func (l *Log) recordKey(sequence uint64) string { return fmt.Sprintf("%s%012d", l.prefix, sequence) }
 
 // catchUp reads the records that other writers, or a write whose answer was lost, have left.
 func (l *Log) catchUp(ctx context.Context) error {
@@ -215,14 +215,14 @@
 		return l.loadAll(ctx)
 	}
 	for {
-		stored, err := l.store.Get(ctx, l.key(l.next))
+		stored, err := l.store.Get(ctx, l.recordKey(l.nextSequence))
 		if errors.Is(err, kv.ErrNotFound) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := l.absorbBody(stored.Value); err != nil {
+		if err := l.applyBody(stored.Value); err != nil {
 			return err
 		}
 	}
@@ -235,11 +235,11 @@
 	}
 	for _, r := range records {
 		sequence, err := strconv.ParseUint(strings.TrimPrefix(r.Key, l.prefix), 10, 64)
-		if err != nil || sequence < l.next {
+		if err != nil || sequence < l.nextSequence {
 			continue
 		}
-		l.next = sequence
-		if err := l.absorbBody(r.Value); err != nil {
+		l.nextSequence = sequence
+		if err := l.applyBody(r.Value); err != nil {
 			return err
 		}
 	}
@@ -247,18 +247,18 @@
 	return nil
 }
 
-func (l *Log) absorbBody(body []byte) error {
+func (l *Log) applyBody(body []byte) error {
 	var r record
 	if err := json.Unmarshal(body, &r); err != nil {
 		return errors.Wrap(err, "decode claims")
 	}
-	l.absorb(r)
+	l.apply(r)
 	return nil
 }
 
-func (l *Log) absorb(r record) {
+func (l *Log) apply(r record) {
 	for _, c := range r.Claims {
-		l.table.absorb(c)
+		l.table.apply(c)
 	}
-	l.next++
+	l.nextSequence++
 }
--- a/claim/router.go
+++ b/claim/router.go
@@ -37,7 +37,7 @@
 
 // Ask implements Asker. A claim whose answer from the writer is lost is asked again here: the log knows it by its request.
 func (r *Router) Ask(ctx context.Context, c Claim) (Verdict, error) {
-	addr, local := r.writers.Writer(Partition(c.Key, r.local.count))
+	addr, local := r.writers.Writer(Partition(c.Key, r.local.partitions))
 	if local {
 		return r.local.Ask(ctx, c)
 	}
--- a/claim/table.go
+++ b/claim/table.go
@@ -2,35 +2,35 @@
 
 // table is what the records of one partition say; it is built by absorbing them in order.
 type table struct {
-	held map[string]Claim
+	holders map[string]Claim
 }
 
-func newTable() *table { return &table{held: map[string]Claim{}} }
+func newTable() *table { return &table{holders: map[string]Claim{}} }
 
-// absorb applies one claim of a kept record.
-func (t *table) absorb(c Claim) {
-	old, held := t.held[c.Key]
+// apply applies one claim of a kept record.
+func (t *table) apply(c Claim) {
+	holder, held := t.holders[c.Key]
 	switch {
 	case !held && !c.Void && c.Status == 0:
-		t.held[c.Key] = c
-	case held && old.Request == c.Request && c.Void:
-		delete(t.held, c.Key)
-	case held && old.Request == c.Request && c.Status != 0:
-		t.held[c.Key] = c
+		t.holders[c.Key] = c
+	case held && holder.Request == c.Request && c.Void:
+		delete(t.holders, c.Key)
+	case held && holder.Request == c.Request && c.Status != 0:
+		t.holders[c.Key] = c
 	}
 }
 
-// judge answers a claim by what is held; nil means that the key is free.
-func (t *table) judge(c Claim) Verdict {
-	old, held := t.held[c.Key]
+// verdict answers a claim by what is held; nil means that the key is free.
+func (t *table) verdict(c Claim) Verdict {
+	holder, held := t.holders[c.Key]
 	switch {
 	case !held:
 		return nil
-	case old.Body != c.Body:
+	case holder.Body != c.Body:
 		return Reused{}
-	case old.Request == c.Request:
+	case holder.Request == c.Request:
 		return Granted{}
 	default:
-		return Duplicate{Status: old.Status}
+		return Duplicate{Status: holder.Status}
 	}
 }
