--- a/order/decide.go
+++ b/order/decide.go
@@ -46,7 +46,7 @@
 	var d Decision
 	sorted := append([]Target(nil), targets...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Name < sorted[j].Name })
-	moving := 0
+	draining := 0
 	for _, t := range sorted {
 		s, known := seen[t.Name]
 		if !known || s.Silent || s.Leaving || s.matches(t) {
@@ -54,8 +54,8 @@
 		}
 		switch s.State {
 		case engine.StateReady:
-			if moving < maxMoves {
-				moving++
+			if draining < maxMoves {
+				draining++
 				d.Drain = append(d.Drain, t)
 			}
 		default:
--- a/order/leader.go
+++ b/order/leader.go
@@ -20,8 +20,8 @@
 	maxMoves     = 2
 	// unfencedWait keeps a new leader from servers that take any order until a former leader's last one has arrived.
 	unfencedWait = leaseTTL + orderTimeout
-	// settleTime is how long the news that a server is moving may take to reach every instance of the domain.
-	settleTime = 3 * time.Second
+	// propagationTime is how long the news that a server is moving may take to reach every instance of the domain.
+	propagationTime = 3 * time.Second
 )
 
 // Fleet is what the leader knows of its domain.
@@ -76,46 +76,46 @@
 // Step keeps the lease when this instance is to lead, and gives the orders that are due.
 func (l *Leader) Step(ctx context.Context) {
 	if !l.fleet.Chosen() {
-		l.rest()
+		l.stepDown()
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := l.lease.Keep(ctx); err != nil {
+	if err := l.lease.AcquireOrRenew(ctx); err != nil {
 		l.stats.Counter("lease_errors_total").Inc(1)
 	}
-	fence, since, held := l.lease.Held()
+	fence, heldFor, held := l.lease.Held()
 	l.leads.Store(held)
 	if !held {
 		return
 	}
-	l.giveOrders(fence, since)
+	l.giveOrders(fence, heldFor)
 }
 
-func (l *Leader) rest() {
+func (l *Leader) stepDown() {
 	if l.leads.Swap(false) {
-		l.lease.GiveUp()
+		l.lease.Abandon()
 		l.fleet.SetMoving(nil)
 	}
 }
 
-func (l *Leader) giveOrders(fence uint64, since time.Duration) {
+func (l *Leader) giveOrders(fence uint64, heldFor time.Duration) {
 	d := Decide(l.fleet.Targets(), l.fleet.Seen(), maxMoves)
-	l.startMoves(d.Drain)
+	l.updateMoving(d.Drain)
 	for _, t := range d.Drain {
-		if l.clock.Since(l.moving[t.Name]) >= settleTime && l.empty(t) {
+		if l.clock.Since(l.moving[t.Name]) >= propagationTime && l.idle(t) {
 			d.Send = append(d.Send, t)
 		}
 	}
 	for _, t := range d.Send {
-		if t.ChecksFence || since >= unfencedWait {
+		if t.ChecksFence || heldFor >= unfencedWait {
 			l.send(t, fence)
 		}
 	}
 }
 
-// startMoves tells the domain which servers are drained and remembers since when.
-func (l *Leader) startMoves(drains []Target) {
+// updateMoving tells the domain which servers are drained and remembers since when.
+func (l *Leader) updateMoving(drains []Target) {
 	moving := make(map[string]time.Time, len(drains))
 	names := make([]string, 0, len(drains))
 	for _, t := range drains {
@@ -130,8 +130,8 @@
 	l.fleet.SetMoving(names)
 }
 
-// empty reports whether a drained server holds no attempt any more.
-func (l *Leader) empty(t Target) bool {
+// idle reports whether a drained server holds no attempt any more.
+func (l *Leader) idle(t Target) bool {
 	report, err := l.caller.Report(t.Addr, orderTimeout)
 	return err == nil && report.Held == 0 && report.Running == 0 && report.Waiting == 0
 }
--- a/order/lease.go
+++ b/order/lease.go
@@ -27,11 +27,11 @@
 	key    string
 	holder string
 
-	mu       sync.Mutex
-	revision kv.Revision
-	fence    uint64
-	until    time.Time
-	since    time.Time
+	mu        sync.Mutex
+	revision  kv.Revision
+	fence     uint64
+	until     time.Time
+	heldSince time.Time
 }
 
 // NewLease returns a lease that is not held; holder names this process and incarnation.
@@ -40,18 +40,18 @@
 }
 
 // Held returns the fence while the lease is surely held, and for how long it has been.
-func (l *Lease) Held() (fence uint64, since time.Duration, held bool) {
+func (l *Lease) Held() (fence uint64, heldFor time.Duration, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	if l.fence == 0 || !now.Before(l.until) {
 		return 0, 0, false
 	}
-	return l.fence, now.Sub(l.since), true
+	return l.fence, now.Sub(l.heldSince), true
 }
 
-// Keep takes or renews the lease; it returns the service's error, after which Held tells the truth.
-func (l *Lease) Keep(ctx context.Context) error {
+// AcquireOrRenew takes or renews the lease; it returns the service's error, after which Held tells the truth.
+func (l *Lease) AcquireOrRenew(ctx context.Context) error {
 	before := l.clock.Now()
 	l.mu.Lock()
 	expect := l.revision
@@ -63,7 +63,7 @@
 	revision, err := l.store.Write(ctx, kv.Put{Key: l.key, Value: []byte(l.holder), Expect: expect, TTL: leaseTTL})
 	switch {
 	case err == nil:
-		l.granted(revision, expect, before)
+		l.recordWrite(revision, expect, before)
 		return nil
 	case errors.Is(err, kv.ErrConflict), errors.Is(err, kv.ErrUnsure):
 		return l.readBack(ctx, before)
@@ -72,12 +72,12 @@
 	}
 }
 
-func (l *Lease) granted(revision, expect kv.Revision, before time.Time) {
+func (l *Lease) recordWrite(revision, expect kv.Revision, before time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if expect == 0 || l.fence == 0 {
 		l.fence = uint64(revision)
-		l.since = before
+		l.heldSince = before
 	}
 	l.revision = revision
 	l.until = before.Add(leaseTTL - leaseMargin)
@@ -97,15 +97,15 @@
 	}
 	if l.fence != uint64(record.Created) {
 		l.fence = uint64(record.Created)
-		l.since = before
+		l.heldSince = before
 	}
 	l.revision = record.Revision
 	// The write may have taken effect at any moment up to now, so only what was known before counts for the end.
 	return nil
 }
 
-// GiveUp forgets the lease, which then ends by itself.
-func (l *Lease) GiveUp() {
+// Abandon forgets the lease, which then ends by itself.
+func (l *Lease) Abandon() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revision, l.fence = 0, 0
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -15,8 +15,8 @@
 	"junctioncross/timer"
 )
 
-// TestTwoLeasesAreNeverHeldAtOnce lets two instances keep the lease of one domain with lost calls, lost answers and pauses.
-func TestTwoLeasesAreNeverHeldAtOnce(t *testing.T) {
+// TestLeaseHasAtMostOneHolder lets two instances keep the lease of one domain with lost calls, lost answers and pauses.
+func TestLeaseHasAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		keys := standin.NewKeys(clock.Now)
@@ -29,9 +29,9 @@
 			i := rapid.IntRange(0, 1).Draw(t, "instance")
 			switch rapid.IntRange(0, 5).Draw(t, "op") {
 			case 0, 1, 2:
-				_ = leases[i].Keep(t.Context())
+				_ = leases[i].AcquireOrRenew(t.Context())
 			case 3:
-				leases[i].GiveUp()
+				leases[i].Abandon()
 			default:
 				clock.Advance(time.Duration(rapid.IntRange(100, 4000).Draw(t, "pause")) * time.Millisecond)
 			}
