--- a/kv/client.go
+++ b/kv/client.go
@@ -18,7 +18,7 @@
 	defaultCallTimeout = 3 * time.Second
 	watchTimeout       = 10 * time.Second
 	dialTimeout        = 3 * time.Second
-	maxAnswer          = 64 << 20
+	maxResponseBytes   = 64 << 20
 )
 
 // Client reaches the service over HTTP.
@@ -31,7 +31,7 @@
 // New returns a Client for the service at addr, an IP number and port.
 func New(addr string, stats *metrics.Registry) *Client {
 	client := once.NewClient(dialTimeout)
-	client.MaxResponseBodySize = maxAnswer
+	client.MaxResponseBodySize = maxResponseBytes
 	return &Client{base: "http://" + addr, stats: stats, http: client}
 }
 
@@ -104,20 +104,20 @@
 		deadline = time.Now().Add(defaultCallTimeout)
 	}
 	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
-		return nil, c.lost(err)
+		return nil, c.sendError(err)
 	}
-	return c.answer(resp)
+	return c.responseBody(resp)
 }
 
-// lost tells a call that never left from one whose answer is missing.
-func (c *Client) lost(err error) error {
+// sendError tells a call that never left from one whose answer is missing.
+func (c *Client) sendError(err error) error {
 	if once.NeverSent(err) {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return errors.Wrap(ErrUnsure, err.Error())
 }
 
-func (c *Client) answer(resp *fasthttp.Response) ([]byte, error) {
+func (c *Client) responseBody(resp *fasthttp.Response) ([]byte, error) {
 	switch code := resp.StatusCode(); code {
 	case fasthttp.StatusOK:
 		return append([]byte(nil), resp.Body()...), nil
