--- a/revision/gather.go
+++ b/revision/collect.go
@@ -6,10 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxConcurrentFetches bounds the fetches of segments that run at the same time.
+// maxConcurrentFetches bounds the segments that are fetched at the same time.
 const maxConcurrentFetches = 8
 
-// collectBodies returns the bodies of a head's segments by name: those that are held, and the others fetched, several at a time.
+// collectBodies returns the bodies of a head's segments by name. Segments that cached does not have are fetched and checked
+// against their hash. If fetches fail, it returns the error of one of them.
 func collectBodies(head Head, cached func(hash string) ([]byte, bool), fetch func(hash string) ([]byte, error)) (map[string][]byte, error) {
 	bodies := make(map[string][]byte, len(head.Segments))
 	missing := map[string]string{}
--- a/revision/head.go
+++ b/revision/head.go
@@ -27,7 +27,7 @@
 	Changes  []string  `json:"changes"`
 }
 
-// Head names the segments of one accepted configuration; moving it is what confirms a plan.
+// Head names the segments of one accepted configuration. A plan is confirmed by replacing the stored head.
 type Head struct {
 	Revision Number `json:"revision"`
 	// Segments maps the name of each segment to the hash of its content.
@@ -36,7 +36,7 @@
 	Recent []Entry `json:"recent"`
 }
 
-// confirmationOf returns the entry that the plan has in the head's list.
+// confirmationOf returns the plan's entry in the head's list of recent confirmations.
 func (h *Head) confirmationOf(plan string) (Entry, bool) {
 	for _, e := range h.Recent {
 		if e.Plan == plan {
@@ -46,7 +46,7 @@
 	return Entry{}, false
 }
 
-// entriesAfter returns the confirmations after a revision.
+// entriesAfter returns the recent confirmations after a revision.
 func (h *Head) entriesAfter(base Number) []Entry {
 	var out []Entry
 	for _, e := range h.Recent {
@@ -57,7 +57,7 @@
 	return out
 }
 
-// Plan is an inert proposal: what the document would be after a confirmation.
+// Plan is a proposed configuration, which has no effect before it is confirmed. Base is the revision that it was made from.
 type Plan struct {
 	ID       string            `json:"id"`
 	Intent   string            `json:"intent"`
@@ -70,7 +70,7 @@
 	Segments map[string]string `json:"segments"`
 }
 
-// Intent is an operator's stated wish, kept as it was written.
+// Intent is an operator's request to change the configuration, stored as the operator wrote it.
 type Intent struct {
 	ID      string    `json:"id"`
 	Who     string    `json:"who"`
--- a/revision/keeper.go
+++ b/revision/keeper.go
@@ -6,20 +6,20 @@
 	"junctioncross/intent"
 )
 
-// InForce is one configuration that this process acts on.
+// InForce is a configuration that this process applies, with the bodies of its segments by hash.
 type InForce struct {
 	head     Head
 	document *intent.Document
 	bodies   map[string][]byte
 }
 
-// Head returns the head.
+// Head returns the head of the configuration.
 func (f *InForce) Head() Head { return f.head }
 
-// Document returns the document, which must not be changed.
+// Document returns the configuration's document, which callers must not modify.
 func (f *InForce) Document() *intent.Document { return f.document }
 
-// Keeper holds the configuration in force and never goes back to a lower revision.
+// Keeper holds the configuration in force and never replaces it by one with a lower revision.
 type Keeper struct {
 	mu      sync.Mutex
 	current *InForce
@@ -28,14 +28,14 @@
 // NewKeeper returns a Keeper without a configuration.
 func NewKeeper() *Keeper { return &Keeper{} }
 
-// InForce returns the configuration in force or nil.
+// InForce returns the configuration in force, or nil if there is none yet.
 func (k *Keeper) InForce() *InForce {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.current
 }
 
-// Revision returns the number in force, zero for none.
+// Revision returns the number of the configuration in force, or zero if there is none yet.
 func (k *Keeper) Revision() Number {
 	if f := k.InForce(); f != nil {
 		return f.head.Revision
@@ -53,7 +53,8 @@
 	return body, ok
 }
 
-// Offer puts a head in force when it is newer, fetching the segments that are missing; it reports whether it did.
+// Offer puts the configuration of a head in force if it is newer than the present one, and reports whether it did. It
+// fetches only segments that the present configuration does not have.
 func (k *Keeper) Offer(head Head, fetch func(hash string) ([]byte, error)) (bool, error) {
 	if head.Revision <= k.Revision() {
 		return false, nil
@@ -73,7 +74,7 @@
 	return k.putIfNewer(&InForce{head: head, document: document, bodies: byHash}), nil
 }
 
-// putIfNewer compares again under the lock, because two offers may run at once.
+// putIfNewer compares the revisions again under the lock, because two calls of Offer may run at the same time.
 func (k *Keeper) putIfNewer(next *InForce) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/revision/revision_test.go
+++ b/revision/revision_test.go
@@ -96,16 +96,17 @@
 	base revision.Number
 }
 
-// confirmOutput is what an operator is told: accepted, refused for a conflict, surely not done, or neither of these, which
-// means that it may have been.
+// confirmOutput is the answer to an operator: accepted, refused because of a conflict, or certainly not done. If no field is set,
+// the outcome is unknown.
 type confirmOutput struct {
 	accepted bool
 	conflict bool
 	notDone  bool
 }
 
-// headModel is the head as one register: a plan is accepted when the register stands at its base, or at once again. An answer
-// that is not known leaves both possible, and one that says that nothing was done allows only that.
+// headModel models the head as a register that lists the accepted plans. A plan is accepted if the register is at the plan's base
+// revision; confirming an accepted plan again succeeds and changes nothing. An unknown outcome allows both states, and an answer
+// that nothing was done allows only the unchanged one.
 var headModel = porcupine.NondeterministicModel{
 	Init:  func() []any { return []any{[]string{}} },
 	Step:  stepHead,
@@ -142,7 +143,7 @@
 	}
 }
 
-// TestConfirmationsUnderLostAnswersAreLinearizable lets operators confirm rival plans, each twice, while the service loses
+// TestConfirmationsUnderLostAnswersAreLinearizable lets operators confirm conflicting plans, each twice, while the service loses
 // calls and answers.
 func TestConfirmationsUnderLostAnswersAreLinearizable(t *testing.T) {
 	for seed := range uint64(20) {
@@ -174,7 +175,7 @@
 	return plans
 }
 
-// confirmAll confirms every plan twice, all at once, and appends what was asked and answered to the history.
+// confirmAll confirms every plan twice, all concurrently, and appends the calls and their answers to the history.
 func confirmAll(store *revision.Store, clock *clockwork.FakeClock, plans []revision.Plan, history []porcupine.Event, id int) ([]porcupine.Event, int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/revision/segment.go
+++ b/revision/segment.go
@@ -13,10 +13,11 @@
 	"junctioncross/intent"
 )
 
-// accountBuckets keeps a segment of 20,000 accounts' share far below the service's megabyte.
+// accountBuckets is the number of segments over which the accounts are distributed by a hash of their names. With 20,000 accounts
+// each segment stays far below the key-value service's limit of one megabyte.
 const accountBuckets = 64
 
-// Segment is one part of a document with its content hash.
+// Segment is one part of a document, encoded, with its content hash.
 type Segment struct {
 	name string
 	hash string
@@ -26,13 +27,13 @@
 // Name returns the segment's name within its document.
 func (s Segment) Name() string { return s.name }
 
-// Hash returns the content hash, in hexadecimal digits.
+// Hash returns the content hash in hexadecimal, as HashOf does.
 func (s Segment) Hash() string { return s.hash }
 
 // Body returns the encoded content.
 func (s Segment) Body() []byte { return s.body }
 
-// Split cuts a document into segments.
+// Split encodes a document as segments, sorted by name.
 func Split(d *intent.Document) ([]Segment, error) {
 	buckets := make([][]intent.Account, accountBuckets)
 	for _, a := range d.Accounts {
@@ -63,13 +64,13 @@
 	return Segment{name: name, hash: HashOf(body), body: body}
 }
 
-// HashOf returns the content hash of a segment's body.
+// HashOf returns the content hash of a segment's body: its SHA-256 sum in hexadecimal.
 func HashOf(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
-// Join builds the document from the bodies of its segments, by name.
+// Join rebuilds a document from the bodies of its segments, which are given by segment name.
 func Join(bodies map[string][]byte) (*intent.Document, error) {
 	d := &intent.Document{}
 	names := make([]string, 0, len(bodies))
--- a/revision/store.go
+++ b/revision/store.go
@@ -19,7 +19,7 @@
 	confirmRetryDelay  = 150 * time.Millisecond
 )
 
-// Store reads and moves the configuration in the key-value service.
+// Store reads and changes the configuration in the key-value service.
 type Store struct {
 	kv    kv.Store
 	clock *timer.Service
@@ -28,7 +28,8 @@
 // NewStore returns a Store over the key-value service.
 func NewStore(store kv.Store, clock *timer.Service) *Store { return &Store{kv: store, clock: clock} }
 
-// Head returns the accepted head and the service's revision of it; an empty service gives an empty head.
+// Head returns the stored head and the revision of its record in the key-value service. If there is no head yet, it returns an
+// empty head and zero.
 func (s *Store) Head(ctx context.Context) (Head, kv.Revision, error) {
 	record, err := s.kv.Get(ctx, KeyHead)
 	if errors.Is(err, kv.ErrNotFound) {
@@ -41,7 +42,8 @@
 	return head, record.Revision, err
 }
 
-// WaitHead returns the head once the service's revision of it is above after, or ErrNoNews when the watch ended before.
+// WaitHead waits until the revision of the head's record in the key-value service is above after, and returns both. It returns
+// ErrNoNews if the watch ends before.
 func (s *Store) WaitHead(ctx context.Context, after kv.Revision) (Head, kv.Revision, error) {
 	record, err := s.kv.Wait(ctx, KeyHead, after)
 	if errors.Is(err, kv.ErrNotFound) {
@@ -54,7 +56,7 @@
 	return head, record.Revision, err
 }
 
-// DecodeHead reads a head from its stored form.
+// DecodeHead decodes a head from its stored form.
 func DecodeHead(body []byte) (Head, error) {
 	var h Head
 	if err := json.Unmarshal(body, &h); err != nil {
@@ -63,7 +65,7 @@
 	return h, nil
 }
 
-// Segment returns the body of a segment and checks it against its hash.
+// Segment returns the body of the segment with this hash, or ErrUnavailable if it cannot be read or does not match the hash.
 func (s *Store) Segment(ctx context.Context, hash string) ([]byte, error) {
 	record, err := s.kv.Get(ctx, prefixSegment+hash)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return record.Value, nil
 }
 
-// Document returns the document that a head names; segments that held has are not read from the service.
+// Document returns the document of a head. Segments that cached returns are not read from the key-value service.
 func (s *Store) Document(ctx context.Context, head Head, cached func(hash string) ([]byte, bool)) (*intent.Document, error) {
 	bodies, err := collectBodies(head, cached, func(hash string) ([]byte, error) { return s.Segment(ctx, hash) })
 	if err != nil {
@@ -84,22 +86,22 @@
 	return Join(bodies)
 }
 
-// AddIntent keeps an intent.
+// AddIntent stores an intent.
 func (s *Store) AddIntent(ctx context.Context, i Intent) error {
 	return s.create(ctx, prefixIntent+i.ID, i)
 }
 
-// Intent returns a kept intent or ErrNoIntent.
+// Intent returns a stored intent or ErrNoIntent.
 func (s *Store) Intent(ctx context.Context, id string) (Intent, error) {
 	return load[Intent](ctx, s.kv, prefixIntent+id, ErrNoIntent)
 }
 
-// Plan returns a kept plan or ErrNoPlan.
+// Plan returns a stored plan or ErrNoPlan.
 func (s *Store) Plan(ctx context.Context, id string) (Plan, error) {
 	return load[Plan](ctx, s.kv, prefixPlan+id, ErrNoPlan)
 }
 
-// AddPlan keeps the segments that the head lacks and then the plan, which changes nothing yet.
+// AddPlan stores the document's segments that head does not name, and then the plan. The configuration in force does not change.
 func (s *Store) AddPlan(ctx context.Context, p Plan, head Head, d *intent.Document) (Plan, error) {
 	segments, err := Split(d)
 	if err != nil {
@@ -130,7 +132,7 @@
 	return s.createBytes(ctx, key, body)
 }
 
-// createBytes creates a record whose key stands for its content, so that finding it there already is success.
+// createBytes creates a record whose key identifies its content, so that a record that exists already counts as success.
 func (s *Store) createBytes(ctx context.Context, key string, body []byte) error {
 	_, err := s.kv.Write(ctx, kv.Put{Key: key, Value: body})
 	if err == nil || errors.Is(err, kv.ErrConflict) {
@@ -139,7 +141,9 @@
 	return errors.Wrap(ErrUnavailable, err.Error())
 }
 
-// Confirm moves the head to the plan; it is idempotent by the plan's id and settles lost answers by reading back.
+// Confirm makes the plan the accepted configuration by replacing the head. It is idempotent by the plan's ID: if an answer is
+// lost, it reads the head again to find out whether the plan was accepted. Its errors include ErrNoPlan, ErrUnavailable,
+// ErrUnsure and *ConflictError.
 func (s *Store) Confirm(ctx context.Context, id, who string) (Entry, error) {
 	plan, err := s.Plan(ctx, id)
 	if err != nil {
@@ -191,7 +195,7 @@
 	return entry, s.replaceHead(ctx, head, kvRevision, plan, entry)
 }
 
-// archivedEntry looks for the plan's confirmation behind the head's own list.
+// archivedEntry looks for the plan's confirmation among those that the head no longer lists.
 func (s *Store) archivedEntry(ctx context.Context, plan Plan) (Entry, bool) {
 	entry, err := load[Entry](ctx, s.kv, historyKey(plan.Base+1), ErrNoPlan)
 	return entry, err == nil && entry.Plan == plan.ID
@@ -220,7 +224,7 @@
 	}
 }
 
-// archive keeps an entry before it leaves the head's list, so that no confirmation is ever forgotten.
+// archive stores an entry in a record of its own before it is dropped from the head's list, so that no confirmation is lost.
 func (s *Store) archive(ctx context.Context, e Entry) error {
 	return s.create(ctx, historyKey(e.Revision), e)
 }
