--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -22,14 +22,14 @@
 	request string
 }
 
-// outcomes of a claim as the caller sees them.
+// Outcomes of a claim as its caller sees them.
 const (
 	granted = iota
 	refused
 	unknown
 )
 
-// keyModel is one key: it belongs to the first request that claims it.
+// keyModel models one key: it belongs to the first request that claims it.
 var keyModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -57,11 +57,11 @@
 			return out.(int) != granted, holder
 		}
 	},
-	// An unknown claim may also never have been kept.
+	// A claim of unknown outcome may also never have been recorded; withKnownOutcome removes such claims beforehand.
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestAtMostOneRequestHoldsAKey lets several writers claim the same keys while the service loses calls and answers.
+// TestAtMostOneRequestHoldsAKey lets several writers claim the same keys concurrently while the service loses calls and answers.
 func TestAtMostOneRequestHoldsAKey(t *testing.T) {
 	for seed := range uint64(8) {
 		keys := standin.NewKeys(time.Now)
@@ -105,7 +105,8 @@
 	return history
 }
 
-// withKnownOutcome drops the claims of unknown outcome that no later answer refers to: they may never have been kept.
+// withKnownOutcome drops the claims of unknown outcome, which may never have been recorded, and the claims of keys that no
+// request was granted.
 func withKnownOutcome(history []porcupine.Operation) []porcupine.Operation {
 	holder := map[string]string{}
 	for _, op := range history {
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -9,13 +9,13 @@
 	"junctioncross/timer"
 )
 
-// Asker settles claims.
+// Asker decides claims.
 type Asker interface {
-	// Ask claims a key or records an outcome; it returns ErrUnavailable or ErrUnsure.
+	// Ask claims a key, or records the outcome of the request that holds it. Its errors are ErrUnavailable and ErrUnsure.
 	Ask(ctx context.Context, c Claim) (Verdict, error)
 }
 
-// Keeper writes the claims of every partition from this process.
+// Keeper decides claims in this process: it writes to the logs of all partitions, which it opens on first use.
 type Keeper struct {
 	store      kv.Store
 	clock      *timer.Service
@@ -27,7 +27,8 @@
 	logs map[int]*Log
 }
 
-// NewKeeper returns a Keeper over that number of partitions; every process must use the same number.
+// NewKeeper returns a Keeper for the given number of partitions, which must be the same in every process; writer names this
+// process and incarnation in the records.
 func NewKeeper(store kv.Store, clock *timer.Service, stats *metrics.Registry, writer string, partitions int) *Keeper {
 	return &Keeper{store: store, clock: clock, stats: stats, writer: writer, partitions: partitions, logs: map[int]*Log{}}
 }
--- a/claim/log.go
+++ b/claim/log.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// batchDelay is how long a writer gathers claims for one record.
+	// batchDelay is how long a writer collects claims for one record.
 	batchDelay        = 10 * time.Millisecond
 	maxBatch          = 256
 	maxAppendAttempts = 8
 	queueLength       = 1024
 )
 
-// record is one entry of a partition's log.
+// record is one entry of a partition's log. Writer and Nonce name its origin; the program does not read them.
 type record struct {
 	Writer string  `json:"w"`
 	Nonce  uint64  `json:"n"`
@@ -40,7 +40,7 @@
 	err     error
 }
 
-// Log is one partition of the claim log with this process as a writer.
+// Log is one partition of the claim log, to which this process writes; others may write to it, too.
 type Log struct {
 	store  kv.Store
 	clock  *timer.Service
@@ -50,14 +50,14 @@
 	queue  chan pendingClaim
 	stop   chan struct{}
 
-	// The fields below belong to the writer's goroutine.
+	// The fields below belong to the writer's goroutine. loaded is true once the whole log has been read.
 	table        *table
 	nextSequence uint64
 	nonce        uint64
 	loaded       bool
 }
 
-// NewLog returns the partition's log and starts its writer; writer names this process and incarnation.
+// NewLog returns the log of a partition and starts its writer goroutine; writer names this process and incarnation.
 func NewLog(store kv.Store, clock *timer.Service, stats *metrics.Registry, partition int, writer string) *Log {
 	l := &Log{
 		store: store, clock: clock, stats: stats, prefix: partitionPrefix(partition), writer: writer,
@@ -67,7 +67,8 @@
 	return l
 }
 
-// Ask claims a key, or records an outcome; it returns when the log says who holds the key.
+// Ask claims a key, or records the outcome of the request that holds it, and waits for the verdict. If ctx ends first, it returns
+// ErrUnavailable for a claim that was not yet queued, and ErrUnsure for one that was.
 func (l *Log) Ask(ctx context.Context, c Claim) (Verdict, error) {
 	a := pendingClaim{claim: c, result: make(chan claimResult, 1)}
 	select {
@@ -83,7 +84,7 @@
 	}
 }
 
-// Close ends the writer.
+// Close stops the writer.
 func (l *Log) Close() { close(l.stop) }
 
 func (l *Log) run() {
@@ -98,9 +99,10 @@
 	}
 }
 
+// batchTimeout bounds all calls to the key-value service for one batch.
 const batchTimeout = 3 * time.Second
 
-// collectBatch waits for a claim and gathers those that follow within collectTime.
+// collectBatch waits for a claim and adds those that follow within batchDelay; it returns nil after Close.
 func (l *Log) collectBatch() []pendingClaim {
 	var batch []pendingClaim
 	select {
@@ -121,7 +123,8 @@
 	return batch
 }
 
-// processBatch answers a batch: what the table does not settle is appended, and settled by what the log then says.
+// processBatch answers all claims of a batch. Those that the table does not decide are appended to the log. If another writer has
+// appended first or an answer was lost, it reads the new records and decides the claims again, up to maxAppendAttempts times.
 func (l *Log) processBatch(ctx context.Context, batch []pendingClaim) {
 	unsure := false
 	stale := !l.loaded
@@ -163,7 +166,7 @@
 	}
 }
 
-// answerDecided answers what the table decides and returns the rest.
+// answerDecided answers the claims that the table decides and returns the others.
 func (l *Log) answerDecided(batch []pendingClaim) []pendingClaim {
 	undecided := batch[:0]
 	for _, a := range batch {
@@ -176,7 +179,7 @@
 	return undecided
 }
 
-// decide returns the verdict on a claim or an outcome, or nil when a record has to be appended first.
+// decide returns the verdict on a claim or an outcome, or nil if it has to be appended to the log first.
 func (l *Log) decide(c Claim) Verdict {
 	if !c.Void && c.Status == 0 {
 		return l.table.verdict(c)
@@ -188,7 +191,7 @@
 	return nil
 }
 
-// append creates the next record of the log; only one writer can.
+// append creates the next record of the log. Of several writers only one succeeds; the others get kv.ErrConflict.
 func (l *Log) append(ctx context.Context, batch []pendingClaim) error {
 	l.nonce++
 	r := record{Writer: l.writer, Nonce: l.nonce, Claims: make([]Claim, 0, len(batch))}
@@ -209,7 +212,7 @@
 
 func (l *Log) recordKey(sequence uint64) string { return fmt.Sprintf("%s%012d", l.prefix, sequence) }
 
-// catchUp reads the records that other writers, or a write whose answer was lost, have left.
+// catchUp reads the records that were appended by other writers, or by an own write whose answer was lost.
 func (l *Log) catchUp(ctx context.Context) error {
 	if !l.loaded {
 		return l.loadAll(ctx)
--- a/claim/router.go
+++ b/claim/router.go
@@ -9,20 +9,21 @@
 	"junctioncross/metrics"
 )
 
-// forwardTimeout bounds one call to the writer of a partition.
+// forwardTimeout bounds one call to the instance that writes a partition.
 const forwardTimeout = 1500 * time.Millisecond
 
-// Writers names the instance that writes a partition's claims for this failure domain, so that few write one log.
+// Writers chooses the instance that writes a partition's claims for this failure domain, so that few instances write to the same
+// log and conflicts are rare.
 type Writers interface {
-	// Writer returns the address of the instance; local is true when it is this one or none is known.
+	// Writer returns the address of that instance; local is true if it is this instance or none is known.
 	Writer(partition int) (addr string, local bool)
 }
 
-// Forward asks the instance at addr to settle a claim; sent is false when the call surely did not reach it.
+// Forward asks the instance at addr to decide a claim; sent is false if the call certainly did not reach it.
 type Forward func(ctx context.Context, addr string, c Claim) (v Verdict, sent bool, err error)
 
-// Router sends claims to the writers of their partitions, and settles them here when those cannot be reached: two writers
-// of one partition are slow but safe.
+// Router sends claims to the writers of their partitions. If a writer gives no answer, the claim is decided in this process: two
+// writers to one partition are slow but safe.
 type Router struct {
 	local   *Keeper
 	writers Writers
@@ -35,7 +36,9 @@
 	return &Router{local: local, writers: writers, forward: forward, stats: stats}
 }
 
-// Ask implements Asker. A claim whose answer from the writer is lost is asked again here: the log knows it by its request.
+// Ask implements Asker. If the writer's answer is lost, the claim is made again in this process, which is safe since the log
+// recognises a claim by its request. If that fails, too, the outcome is unknown, unless the call certainly did not reach the
+// writer.
 func (r *Router) Ask(ctx context.Context, c Claim) (Verdict, error) {
 	addr, local := r.writers.Writer(Partition(c.Key, r.local.partitions))
 	if local {
--- a/claim/table.go
+++ b/claim/table.go
@@ -1,13 +1,14 @@
 package claim
 
-// table is what the records of one partition say; it is built by absorbing them in order.
+// table is the state of one partition, built by applying its records in order: the claim that holds each key, with the outcome of
+// its request if that is known.
 type table struct {
 	holders map[string]Claim
 }
 
 func newTable() *table { return &table{holders: map[string]Claim{}} }
 
-// apply applies one claim of a kept record.
+// apply applies one claim or outcome of a record of the log.
 func (t *table) apply(c Claim) {
 	holder, held := t.holders[c.Key]
 	switch {
@@ -20,7 +21,7 @@
 	}
 }
 
-// verdict answers a claim by what is held; nil means that the key is free.
+// verdict returns the verdict on a claim by the present holder of its key, or nil if the key is free.
 func (t *table) verdict(c Claim) Verdict {
 	holder, held := t.holders[c.Key]
 	switch {
--- a/claim/types.go
+++ b/claim/types.go
@@ -7,26 +7,27 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of this layer.
+// Errors of this package.
 var (
-	// ErrUnavailable means that the claim was not kept and the request must not be sent.
+	// ErrUnavailable means that the claim was not recorded; the request must not be sent.
 	ErrUnavailable = errors.New("claim: key-value service unavailable")
-	// ErrUnsure means that the claim may have been kept; the request must not be sent.
+	// ErrUnsure means that the claim may have been recorded; the request must not be sent.
 	ErrUnsure = errors.New("claim: outcome unsure")
 )
 
-// Claim asks that only Request may run under Key.
+// Claim asks that of all requests with Key only Request, a request ID, may run. With Status or Void set it records the outcome of
+// that request. Body is a hash of what the client sent, which tells when a key is reused for another request.
 type Claim struct {
 	Key     string `json:"k" cbor:"1,keyasint"`
 	Body    uint64 `json:"b" cbor:"2,keyasint"`
 	Request string `json:"r" cbor:"3,keyasint"`
-	// Status is the HTTP status of the finished request, zero in a claim that is still open.
+	// Status is the HTTP status with which the request finished, zero while it has not.
 	Status int `json:"s,omitempty" cbor:"4,keyasint"`
-	// Void is true when the request of that claim was never sent and the key is free again.
+	// Void is true if the request was never sent, so that the key is free again.
 	Void bool `json:"v,omitempty" cbor:"5,keyasint"`
 }
 
-// Verdict answers a claim; the types below are its only implementations.
+// Verdict is the answer to a claim; Granted, Duplicate and Reused are its only implementations.
 type Verdict interface{ verdict() }
 
 // Granted means that the request may be sent, once.
@@ -35,14 +36,14 @@
 // Duplicate means that another request holds the key; Status is zero while its outcome is not known.
 type Duplicate struct{ Status int }
 
-// Reused means that the key stands for another request body.
+// Reused means that the key is held by a request with another body.
 type Reused struct{}
 
 func (Granted) verdict()   {}
 func (Duplicate) verdict() {}
 func (Reused) verdict()    {}
 
-// Partition returns the partition of a key out of count.
+// Partition returns the partition of a key, from zero to count-1.
 func Partition(key string, count int) int {
 	return int(xxhash.Sum64String(key) % uint64(count))
 }
--- a/claim/wire.go
+++ b/claim/wire.go
@@ -1,12 +1,12 @@
 package claim
 
-// Answer carries a verdict between instances.
+// Answer is a verdict in the form in which instances send it to each other.
 type Answer struct {
 	Kind   AnswerKind `cbor:"1,keyasint"`
 	Status int        `cbor:"2,keyasint,omitempty"`
 }
 
-// AnswerKind names the type of a verdict.
+// AnswerKind is the type of a verdict in an Answer.
 type AnswerKind uint8
 
 // Kinds of verdicts.
@@ -16,7 +16,7 @@
 	AnswerReused
 )
 
-// ToAnswer returns a verdict in the form that is sent.
+// ToAnswer encodes a verdict as an Answer.
 func ToAnswer(v Verdict) Answer {
 	switch v := v.(type) {
 	case Granted:
@@ -30,7 +30,7 @@
 	}
 }
 
-// Verdict returns the verdict, nil for a kind that is not known.
+// Verdict returns the verdict that the answer encodes, or nil if its kind is unknown.
 func (a Answer) Verdict() Verdict {
 	switch a.Kind {
 	case AnswerGranted:
