--- a/once/client.go
+++ b/once/client.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// NewClient returns a client that never repeats a request by itself; dialTimeout bounds the opening of a connection.
+// NewClient returns a client that never retries a request by itself; dialTimeout bounds the opening of a connection.
 func NewClient(dialTimeout time.Duration) *fasthttp.Client {
 	dialer := &fasthttp.TCPDialer{}
 	return &fasthttp.Client{
--- a/once/keepalive.go
+++ b/once/keepalive.go
@@ -9,15 +9,17 @@
 )
 
 const (
-	// keepAlivePeriod is when and how often an idle connection is asked whether its other end is there: a second is the least that the
-	// kernel takes, so that one that falls silent while nothing is sent is found after two.
+	// keepAlivePeriod is the time of idleness before the first keep-alive probe and the interval between probes. One second is
+	// the shortest that the kernel accepts; the loss of the other end of an idle connection is thus detected after two
+	// seconds.
 	keepAlivePeriod = time.Second
-	// keepAliveProbes is how many of these may stay without an answer where the kernel knows no time for silence.
+	// keepAliveProbes is how many probes may remain unanswered, which counts only on kernels that do not apply TCP_USER_TIMEOUT.
 	keepAliveProbes = 2
 )
 
-// AliveDialer returns a dialer of connections that end when neither what was sent nor a keep-alive has been acknowledged for a time, of which
-// no reset may tell; dialTimeout bounds the opening of a connection.
+// AliveDialer returns a dialer whose connections are closed when sent data or keep-alive probes remain unacknowledged for
+// userTimeout (TCP_USER_TIMEOUT). This detects that the other end has vanished without a reset. dialTimeout bounds the opening
+// of a connection.
 func AliveDialer(dialTimeout, userTimeout time.Duration) *net.Dialer {
 	control := func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
