--- a/order/decide.go
+++ b/order/decide.go
@@ -7,7 +7,8 @@
 	"junctioncross/models"
 )
 
-// Target is what a backend server should hold.
+// Target is what a backend server should hold: Layers of a model that has Total layers. ChecksFence is true if the server
+// checks the fence of an order.
 type Target struct {
 	Name        string
 	Addr        string
@@ -18,7 +19,7 @@
 	ChecksFence bool
 }
 
-// Seen is what a backend server was last known to hold.
+// Seen is the last known state of a backend server. Silent is true if the server does not answer.
 type Seen struct {
 	Silent  bool
 	Leaving bool
@@ -32,16 +33,17 @@
 	return s.Model == t.Model && s.Version == t.Version && s.Layers == t.Layers
 }
 
-// Decision is what the leader does next.
+// Decision says what the leader does next.
 type Decision struct {
-	// Send lists the servers that can take their order now.
+	// Send lists the servers to which the order can be sent now.
 	Send []Target
-	// Drain lists the servers that must get no new work and be empty before they take their order.
+	// Drain lists the servers that must get no new work and finish what they run before the order can be sent to them.
 	Drain []Target
 }
 
-// Decide compares targets with what is seen. A server that serves something else is drained first, and at most maxMoves
-// at a time, so that serving capacity stays up.
+// Decide compares the targets with the servers' last known states. A server that serves something else must be drained first.
+// At most maxMoves servers are drained at the same time, to preserve serving capacity. Servers that are silent, leaving or
+// unknown get no orders.
 func Decide(targets []Target, seen map[string]Seen, maxMoves int) Decision {
 	var d Decision
 	sorted := append([]Target(nil), targets...)
--- a/order/leader.go
+++ b/order/leader.go
@@ -13,26 +13,29 @@
 )
 
 const (
-	// Period is how often the leader compares plan and servers.
+	// Period is how often the leader compares the plan with the servers.
 	Period       = 500 * time.Millisecond
 	callTimeout  = time.Second
 	orderTimeout = 700 * time.Millisecond
-	maxMoves     = 2
-	// unfencedWait keeps a new leader from servers that take any order until a former leader's last one has arrived.
+	// maxMoves bounds the servers of a domain that are drained at the same time.
+	maxMoves = 2
+	// unfencedWait is how long a new leader gives no orders to servers that do not check the fence: after that time no order of a
+	// former leader can still arrive.
 	unfencedWait = leaseTTL + orderTimeout
-	// propagationTime is how long the news that a server is moving may take to reach every instance of the domain.
+	// propagationTime is how long it may take until every instance of the domain knows that a server is being drained;
+	// the server gets its order no earlier.
 	propagationTime = 3 * time.Second
 )
 
-// Fleet is what the leader knows of its domain.
+// Fleet is the leader's view of its failure domain.
 type Fleet interface {
-	// Chosen reports whether this instance is the one to lead.
+	// Chosen reports whether this instance is the one of its domain that should hold the lease.
 	Chosen() bool
 	// Targets returns the servers of the domain with what they should hold.
 	Targets() []Target
-	// Seen returns what the servers were last known to hold.
+	// Seen returns the last known states of the servers by name; it has no entry for a server of which nothing is known.
 	Seen() map[string]Seen
-	// SetMoving names the servers that must get no new work until they have taken their order.
+	// SetMoving announces the servers that are being drained: they must get no new work until they have taken their order.
 	SetMoving(names []string)
 }
 
@@ -45,11 +48,11 @@
 	stats  *metrics.Registry
 	log    *logrus.Logger
 	leads  atomic.Bool
-	// moving holds when each server's drain began; it belongs to the leader's goroutine.
+	// moving maps the servers that are being drained to the time when that began; it belongs to the leader's goroutine.
 	moving map[string]time.Time
 }
 
-// New returns a Leader and starts it; it stops when ctx ends.
+// New returns a Leader and starts it; it runs Step every Period until ctx ends.
 func New(ctx context.Context, fleet Fleet, lease *Lease, caller *engine.Caller, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger) *Leader {
 	l := &Leader{
 		fleet: fleet, lease: lease, caller: caller, clock: clock, stats: stats, log: log,
@@ -70,10 +73,10 @@
 	return l
 }
 
-// Leads reports whether the last step held the lease.
+// Leads reports whether this instance held the lease in the last step.
 func (l *Leader) Leads() bool { return l.leads.Load() }
 
-// Step keeps the lease when this instance is to lead, and gives the orders that are due.
+// Step takes or renews the lease if this instance should lead and, if it holds the lease, gives the orders that are due.
 func (l *Leader) Step(ctx context.Context) {
 	if !l.fleet.Chosen() {
 		l.stepDown()
@@ -114,7 +117,7 @@
 	}
 }
 
-// updateMoving tells the domain which servers are drained and remembers since when.
+// updateMoving announces to the domain which servers are being drained and records when that began.
 func (l *Leader) updateMoving(drains []Target) {
 	moving := make(map[string]time.Time, len(drains))
 	names := make([]string, 0, len(drains))
@@ -130,7 +133,7 @@
 	l.fleet.SetMoving(names)
 }
 
-// idle reports whether a drained server holds no attempt any more.
+// idle reports whether a server that is being drained has no attempts left.
 func (l *Leader) idle(t Target) bool {
 	report, err := l.caller.Report(t.Addr, orderTimeout)
 	return err == nil && report.Held == 0 && report.Running == 0 && report.Waiting == 0
--- a/order/lease.go
+++ b/order/lease.go
@@ -13,14 +13,15 @@
 
 const (
 	leaseTTL = 5 * time.Second
-	// leaseMargin is how much earlier than the service the holder considers its lease over.
+	// leaseMargin is how much earlier than the key-value service the holder regards its lease as expired.
 	leaseMargin = 1500 * time.Millisecond
-	// renewAfter is how long a lease is used before it is renewed.
+	// renewAfter is how long after its last write a lease is renewed.
 	renewAfter  = 1200 * time.Millisecond
 	prefixLease = "lead/"
 )
 
-// Lease is the right to give orders in one failure domain.
+// Lease is the leadership of one failure domain: a record with a TTL in the key-value service, whose holder alone gives
+// orders. The fence is the revision at which that record was created.
 type Lease struct {
 	store  kv.Store
 	clock  *timer.Service
@@ -34,12 +35,12 @@
 	heldSince time.Time
 }
 
-// NewLease returns a lease that is not held; holder names this process and incarnation.
+// NewLease returns a domain's lease, not yet held; holder names this process and incarnation.
 func NewLease(store kv.Store, clock *timer.Service, domain, holder string) *Lease {
 	return &Lease{store: store, clock: clock, key: prefixLease + domain, holder: holder}
 }
 
-// Held returns the fence while the lease is surely held, and for how long it has been.
+// Held reports whether the lease is certainly held, and returns the fence and for how long it has been held.
 func (l *Lease) Held() (fence uint64, heldFor time.Duration, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +51,8 @@
 	return l.fence, now.Sub(l.heldSince), true
 }
 
-// AcquireOrRenew takes or renews the lease; it returns the service's error, after which Held tells the truth.
+// AcquireOrRenew takes the lease, or renews it if it is due. It returns the error of the key-value service; what Held returns
+// is right also after an error.
 func (l *Lease) AcquireOrRenew(ctx context.Context) error {
 	before := l.clock.Now()
 	l.mu.Lock()
@@ -83,7 +85,7 @@
 	l.until = before.Add(leaseTTL - leaseMargin)
 }
 
-// readBack settles a write whose answer was lost, or that another holder won.
+// readBack reads the record after a write whose answer was lost or that conflicted, to learn who holds the lease.
 func (l *Lease) readBack(ctx context.Context, before time.Time) error {
 	record, err := l.store.Get(ctx, l.key)
 	if err != nil && !errors.Is(err, kv.ErrNotFound) {
@@ -100,11 +102,11 @@
 		l.heldSince = before
 	}
 	l.revision = record.Revision
-	// The write may have taken effect at any moment up to now, so only what was known before counts for the end.
+	// The write may have taken effect at any moment up to now, so until stays at what was known before.
 	return nil
 }
 
-// Abandon forgets the lease, which then ends by itself.
+// Abandon stops using the lease; its record expires by its TTL.
 func (l *Lease) Abandon() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -15,7 +15,8 @@
 	"junctioncross/timer"
 )
 
-// TestLeaseHasAtMostOneHolder lets two instances keep the lease of one domain with lost calls, lost answers and pauses.
+// TestLeaseHasAtMostOneHolder lets two instances take, renew and abandon the lease of one domain while calls and answers are
+// lost and time passes between them.
 func TestLeaseHasAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
