--- a/kv/client.go
+++ b/kv/client.go
@@ -21,14 +21,14 @@
 	maxResponseBytes   = 64 << 20
 )
 
-// Client reaches the service over HTTP.
+// Client is a Store that calls the key-value service over HTTP.
 type Client struct {
 	base  string
 	http  *fasthttp.Client
 	stats *metrics.Registry
 }
 
-// New returns a Client for the service at addr, an IP number and port.
+// New returns a Client for the service at addr, an IP address and port; it counts its calls in stats.
 func New(addr string, stats *metrics.Registry) *Client {
 	client := once.NewClient(dialTimeout)
 	client.MaxResponseBodySize = maxResponseBytes
@@ -89,7 +89,7 @@
 	return decodeRecord(body)
 }
 
-// call sends one request and turns the status into this layer's errors.
+// call sends one request and returns the body of the response; it maps failures and statuses to the errors of this package.
 func (c *Client) call(ctx context.Context, kind, method, path string, value []byte) ([]byte, error) {
 	c.stats.Counter(fmt.Sprintf("kv_calls_total{kind=%q}", kind)).Inc(1)
 	req := fasthttp.AcquireRequest()
@@ -109,7 +109,7 @@
 	return c.responseBody(resp)
 }
 
-// sendError tells a call that never left from one whose answer is missing.
+// sendError maps a failed call to ErrUnavailable if it was never sent, and to ErrUnsure if it may have been.
 func (c *Client) sendError(err error) error {
 	if once.NeverSent(err) {
 		return errors.Wrap(ErrUnavailable, err.Error())
@@ -132,7 +132,7 @@
 	}
 }
 
-// readError removes the doubt about side effects, which a read does not have.
+// readError turns ErrUnsure into ErrUnavailable for reads, which have no side effects.
 func readError(err error) error {
 	if errors.Is(err, ErrUnsure) {
 		return errors.Wrap(ErrUnavailable, err.Error())
--- a/kv/doc.go
+++ b/kv/doc.go
@@ -1,2 +1,2 @@
-// Package kv is the interface to the platform's key-value service and its HTTP adapter.
+// Package kv defines the interface to the platform's key-value service and implements it over HTTP.
 package kv
--- a/kv/store.go
+++ b/kv/store.go
@@ -7,19 +7,19 @@
 	"github.com/pkg/errors"
 )
 
-// Revision orders the writes of the service; zero means that the record does not exist.
+// Revision orders the writes to the service; zero means that the record does not exist.
 type Revision uint64
 
-// Record is one stored value.
+// Record is a stored value with its key and revisions.
 type Record struct {
 	Key      string   `json:"key"`
 	Value    []byte   `json:"value"`
 	Revision Revision `json:"revision"`
-	// Created is the revision at which the record came into being; it stays the same while a lease is renewed.
+	// Created is the revision at which the record was created; it stays the same when a lease is renewed.
 	Created Revision `json:"created"`
 }
 
-// Errors of this layer.
+// Errors of this package.
 var (
 	// ErrNotFound means that there is no record under the key.
 	ErrNotFound = errors.New("kv: no such record")
@@ -27,7 +27,7 @@
 	ErrConflict = errors.New("kv: revision conflict")
 	// ErrUnavailable means that the service did not accept the call; nothing took effect.
 	ErrUnavailable = errors.New("kv: service unavailable")
-	// ErrUnsure means that the call may have taken effect although its answer was lost.
+	// ErrUnsure means that the call may have taken effect, since its answer was lost or not understood.
 	ErrUnsure = errors.New("kv: outcome unsure")
 )
 
@@ -35,22 +35,24 @@
 type Put struct {
 	Key   string
 	Value []byte
-	// Expect is the revision the record must have; zero means that it must not exist.
+	// Expect is the revision that the record must have; zero means that it must not exist.
 	Expect Revision
-	// TTL makes the record a lease that ends unless it is written again in time; zero means forever.
+	// TTL makes the record a lease, which expires unless it is written again within that time; zero means that it never expires.
 	TTL time.Duration
 }
 
-// Store is the key-value service as the system uses it.
+// Store is the part of the key-value service that this program uses.
 type Store interface {
-	// Get returns one record or ErrNotFound, ErrUnavailable.
+	// Get returns a record; it returns ErrNotFound or ErrUnavailable.
 	Get(ctx context.Context, key string) (Record, error)
-	// List returns the records whose keys begin with prefix, in order of key.
+	// List returns the records whose keys begin with prefix, sorted by key; it returns ErrUnavailable.
 	List(ctx context.Context, prefix string) ([]Record, error)
-	// Write performs a conditional write; it returns ErrConflict, ErrUnavailable or ErrUnsure.
+	// Write writes a record on the condition in put and returns its new revision; it returns ErrConflict, ErrUnavailable or
+	// ErrUnsure.
 	Write(ctx context.Context, put Put) (Revision, error)
-	// Delete removes a record whose revision is expect.
+	// Delete removes a record if its revision is expect.
 	Delete(ctx context.Context, key string, expect Revision) error
-	// Wait returns the record once its revision is above after, or ErrNotFound when ctx ends first.
+	// Wait returns the record once its revision is above after. It returns ErrNotFound if the waiting time ends first, or
+	// ErrUnavailable.
 	Wait(ctx context.Context, key string, after Revision) (Record, error)
 }
