--- a/engine/gather.go
+++ b/engine/batcher.go
@@ -14,11 +14,11 @@
 	maxCallsInFlight = 16
 	// maxFramesPerCall keeps a call from being split over several steps, of which the last would hold all its answers up.
 	maxFramesPerCall = 12
-	// windowShare is the share of a step for which a call waits for more frames, as a divisor.
-	windowShare = 50
-	maxWindow   = 300 * time.Microsecond
-	// callLimit bounds one call whatever the progress of its server.
-	callLimit = 5 * time.Second
+	// windowDivisor is the share of a step for which a call waits for more frames, as a divisor.
+	windowDivisor = 50
+	maxWindow     = 300 * time.Microsecond
+	// callTimeout bounds one call whatever the progress of its server.
+	callTimeout = 5 * time.Second
 )
 
 type pending struct {
@@ -42,9 +42,9 @@
 	err    error
 }
 
-// Gatherer sends the frames for one backend server, several in one call.
-type Gatherer struct {
-	caller   *Caller
+// Batcher sends the frames for one backend server, several in one call.
+type Batcher struct {
+	client   *Caller
 	clock    *timer.Service
 	addr     string
 	stats    *metrics.Registry
@@ -53,19 +53,19 @@
 	slots    chan struct{}
 	stop     chan struct{}
 	stopOnce sync.Once
-	// busy is called when a frame begins while none is under way.
-	busy    func()
+	// onBusy is called when a frame begins while none is under way.
+	onBusy  func()
 	leaving atomic.Bool
 
 	mu          sync.Mutex
 	outstanding map[*pending]struct{}
 }
 
-// NewGatherer returns a Gatherer for the backend server at addr and starts its sender; busy is called whenever a frame
+// NewBatcher returns a Batcher for the backend server at addr and starts its sender; busy is called whenever a frame
 // begins while none is under way.
-func NewGatherer(caller *Caller, clock *timer.Service, addr string, stats *metrics.Registry, busy func()) *Gatherer {
-	g := &Gatherer{
-		caller:      caller,
+func NewBatcher(client *Caller, clock *timer.Service, addr string, stats *metrics.Registry, onBusy func()) *Batcher {
+	b := &Batcher{
+		client:      client,
 		clock:       clock,
 		addr:        addr,
 		stats:       stats,
@@ -73,23 +73,23 @@
 		queue:       make(chan *pending, maxFramesPerCall*maxCallsInFlight),
 		slots:       make(chan struct{}, maxCallsInFlight),
 		stop:        make(chan struct{}),
-		busy:        busy,
+		onBusy:      onBusy,
 		outstanding: map[*pending]struct{}{},
 	}
-	go func() { g.send() }()
-	return g
+	go func() { b.send() }()
+	return b
 }
 
 // Run sends one frame and waits for its answer, at most until ctx ends; the frame must not change meanwhile.
-func (g *Gatherer) Run(ctx context.Context, frame *Frame) (Result, error) {
+func (b *Batcher) Run(ctx context.Context, frame *Frame) (Result, error) {
 	p := &pending{frame: frame, answer: make(chan Answer, 1)}
-	g.enter(p)
-	defer g.leave(p)
+	b.track(p)
+	defer b.untrack(p)
 	select {
-	case g.queue <- p:
+	case b.queue <- p:
 	case <-ctx.Done():
 		return Result{}, ErrRefused
-	case <-g.stop:
+	case <-b.stop:
 		return Result{}, ErrUnreachable
 	}
 	select {
@@ -100,88 +100,88 @@
 	}
 }
 
-func (g *Gatherer) enter(p *pending) {
-	if g.progress.begin(positionsOf(p.frame), g.clock.Now()) {
-		g.busy()
+func (b *Batcher) track(p *pending) {
+	if b.progress.begin(positionsOf(p.frame), b.clock.Now()) {
+		b.onBusy()
 	}
-	g.mu.Lock()
-	g.outstanding[p] = struct{}{}
-	g.mu.Unlock()
+	b.mu.Lock()
+	b.outstanding[p] = struct{}{}
+	b.mu.Unlock()
 }
 
-func (g *Gatherer) leave(p *pending) {
+func (b *Batcher) untrack(p *pending) {
 	p.settled.Store(true)
-	g.mu.Lock()
-	delete(g.outstanding, p)
-	g.mu.Unlock()
-	g.progress.end(positionsOf(p.frame))
+	b.mu.Lock()
+	delete(b.outstanding, p)
+	b.mu.Unlock()
+	b.progress.end(positionsOf(p.frame))
 }
 
 func positionsOf(f *Frame) int { return max(len(f.Input), len(f.Text)/4, 1) }
 
 // CheckProgress answers every frame under way with ErrTimeout when the server has made no progress for too long.
-func (g *Gatherer) CheckProgress(now time.Time) {
-	if !g.progress.stalled(now) {
+func (b *Batcher) CheckProgress(now time.Time) {
+	if !b.progress.stalled(now) {
 		return
 	}
-	g.stats.Counter("servers_stalled_total").Inc(1)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for p := range g.outstanding {
+	b.stats.Counter("servers_stalled_total").Inc(1)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for p := range b.outstanding {
 		p.settle(Answer{err: ErrTimeout})
 	}
 }
 
 // InFlight returns the number of frames under way.
-func (g *Gatherer) InFlight() int { return g.progress.inFlight() }
+func (b *Batcher) InFlight() int { return b.progress.inFlight() }
 
 // StepTime returns the expected time from call to answer, zero while unknown.
-func (g *Gatherer) StepTime() time.Duration { return g.progress.stepTime() }
+func (b *Batcher) StepTime() time.Duration { return b.progress.stepTime() }
 
 // Slow reports whether the server's last steps took much longer than expected, by its own word, so that waiting in its
 // queue does not count.
-func (g *Gatherer) Slow(expected time.Duration) bool { return g.progress.slow(expected) }
+func (b *Batcher) Slow(expected time.Duration) bool { return b.progress.slow(expected) }
 
 // Leaving reports whether the backend server has said in an answer that it is leaving.
-func (g *Gatherer) Leaving() bool { return g.leaving.Load() }
+func (b *Batcher) Leaving() bool { return b.leaving.Load() }
 
 // Close ends the sender; frames that were not sent are answered with ErrUnreachable.
-func (g *Gatherer) Close() { g.stopOnce.Do(func() { close(g.stop) }) }
+func (b *Batcher) Close() { b.stopOnce.Do(func() { close(b.stop) }) }
 
-func (g *Gatherer) send() {
-	defer g.drainQueue()
+func (b *Batcher) send() {
+	defer b.drainQueue()
 	for {
 		select {
-		case g.slots <- struct{}{}:
-		case <-g.stop:
+		case b.slots <- struct{}{}:
+		case <-b.stop:
 			return
 		}
-		batch := g.nextBatch()
+		batch := b.nextBatch()
 		if batch == nil {
 			return
 		}
 		go func() {
-			g.call(batch)
-			<-g.slots
+			b.call(batch)
+			<-b.slots
 		}()
 	}
 }
 
 // nextBatch waits for a frame and takes along those that are queued behind it; nil means that the sender was stopped.
-func (g *Gatherer) nextBatch() []*pending {
+func (b *Batcher) nextBatch() []*pending {
 	var batch []*pending
 	select {
-	case p := <-g.queue:
+	case p := <-b.queue:
 		batch = append(batch, p)
-	case <-g.stop:
+	case <-b.stop:
 		return nil
 	}
 	// Sequences that came out of a step together arrive one after the other within this window. Sent apart, the first would
 	// start a step of the next server alone, and the others would wait for its end.
-	window := g.clock.After(min(g.StepTime()/windowShare, maxWindow))
+	window := b.clock.After(min(b.StepTime()/windowDivisor, maxWindow))
 	for len(batch) < maxFramesPerCall {
 		select {
-		case p := <-g.queue:
+		case p := <-b.queue:
 			batch = append(batch, p)
 		case <-window:
 			return batch
@@ -190,10 +190,10 @@
 	return batch
 }
 
-func (g *Gatherer) drainQueue() {
+func (b *Batcher) drainQueue() {
 	for {
 		select {
-		case p := <-g.queue:
+		case p := <-b.queue:
 			p.settle(Answer{err: ErrUnreachable})
 		default:
 			return
@@ -201,25 +201,25 @@
 	}
 }
 
-func (g *Gatherer) call(batch []*pending) {
+func (b *Batcher) call(batch []*pending) {
 	call := StepCall{Frames: make([]Frame, len(batch))}
 	decoding := true
 	for i := range batch {
 		call.Frames[i] = *batch[i].frame
 		decoding = decoding && positionsOf(batch[i].frame) == 1
 	}
-	g.stats.Counter("engine_calls_total").Inc(1)
-	g.stats.Counter("engine_frames_total").Inc(int64(len(batch)))
-	start := g.clock.Now()
-	reply, err := g.caller.Step(g.addr, call, callLimit)
+	b.stats.Counter("engine_calls_total").Inc(1)
+	b.stats.Counter("engine_frames_total").Inc(int64(len(batch)))
+	start := b.clock.Now()
+	reply, err := b.client.Step(b.addr, call, callTimeout)
 	if err == nil {
-		g.progress.answered(g.clock.Now(), g.clock.Since(start), decoding)
-		g.progress.reported(time.Duration(reply.StepMicros) * time.Microsecond)
-		g.leaving.Store(reply.Leaving)
+		b.progress.recordAnswer(b.clock.Now(), b.clock.Since(start), decoding)
+		b.progress.recordStep(time.Duration(reply.StepMicros) * time.Microsecond)
+		b.leaving.Store(reply.Leaving)
 	}
 	for i := range batch {
 		if !batch[i].settle(match(batch[i].frame, reply, i, err)) {
-			g.stats.Counter("frames_dropped_total").Inc(1)
+			b.stats.Counter("frames_dropped_total").Inc(1)
 		}
 	}
 }
--- a/engine/caller.go
+++ b/engine/client.go
@@ -64,11 +64,11 @@
 	return err
 }
 
-func exchange[Q, A any](c *Caller, addr, path string, question Q, timeout time.Duration) (A, error) {
-	var none A
-	body, err := Encode(question)
+func exchange[Q, A any](c *Caller, addr, path string, request Q, timeout time.Duration) (A, error) {
+	var zero A
+	body, err := Encode(request)
 	if err != nil {
-		return none, errors.Wrap(ErrRefused, err.Error())
+		return zero, errors.Wrap(ErrRefused, err.Error())
 	}
 	req := fasthttp.AcquireRequest()
 	resp := fasthttp.AcquireResponse()
@@ -79,25 +79,25 @@
 	req.Header.SetContentType(contentTypeBinary)
 	req.SetBodyRaw(body)
 	if err := c.http.DoTimeout(req, resp, timeout); err != nil {
-		return none, callError(err)
+		return zero, callError(err)
 	}
 	return readAnswer[A](resp)
 }
 
 func readAnswer[A any](resp *fasthttp.Response) (A, error) {
-	var none A
+	var zero A
 	switch code := resp.StatusCode(); code {
 	case fasthttp.StatusOK:
 	case fasthttp.StatusConflict:
-		return none, ErrFenced
+		return zero, ErrFenced
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusNotFound:
-		return none, errors.Wrapf(ErrRefused, "status %d", code)
+		return zero, errors.Wrapf(ErrRefused, "status %d", code)
 	default:
-		return none, errors.Wrapf(ErrLost, "status %d", code)
+		return zero, errors.Wrapf(ErrLost, "status %d", code)
 	}
 	answer, err := Decode[A](resp.Body())
 	if err != nil {
-		return none, errors.Wrap(ErrLost, err.Error())
+		return zero, errors.Wrap(ErrLost, err.Error())
 	}
 	return answer, nil
 }
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -18,7 +18,7 @@
 	ErrFenced = errors.New("engine: order fenced off")
 )
 
-// NeverSent reports whether the error guarantees that the backend server started nothing.
-func NeverSent(err error) bool {
+// NotStarted reports whether the error guarantees that the backend server started nothing.
+func NotStarted(err error) bool {
 	return errors.Is(err, ErrUnreachable) || errors.Is(err, ErrRefused)
 }
--- a/engine/progress.go
+++ b/engine/progress.go
@@ -7,10 +7,10 @@
 
 const (
 	// stalledSteps is the number of expected step times without any answer after which a server counts as stalled.
-	stalledSteps = 6
-	minStall     = 40 * time.Millisecond
-	firstStall   = 500 * time.Millisecond
-	maxStall     = 3 * time.Second
+	stalledSteps      = 6
+	minStallLimit     = 40 * time.Millisecond
+	initialStallLimit = 500 * time.Millisecond
+	maxStallLimit     = 3 * time.Second
 	// positionsPerStep lengthens the limit by one expected step for that many positions under way beyond one a frame.
 	positionsPerStep = 32
 	// slowSteps is the number of reported steps in a row that must be slow before the server counts as slow.
@@ -24,13 +24,13 @@
 // Progress tells a server that works slowly from one that does not work: it judges by the time since the last answer,
 // measured in the server's own step times.
 type Progress struct {
-	mu        sync.Mutex
-	frames    int
-	positions int
-	last      time.Time
-	step      time.Duration
-	// steps holds the lengths of the last steps that the server reported, the newest first.
-	steps [slowSteps]time.Duration
+	mu         sync.Mutex
+	frames     int
+	positions  int
+	lastAnswer time.Time
+	meanStep   time.Duration
+	// reportedSteps holds the lengths of the last reportedSteps that the server reported, the newest first.
+	reportedSteps [slowSteps]time.Duration
 }
 
 // begin counts a frame and reports whether it is the only one under way.
@@ -38,7 +38,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.frames == 0 {
-		p.last = now
+		p.lastAnswer = now
 	}
 	p.frames++
 	p.positions += positions
@@ -52,33 +52,33 @@
 	p.positions -= positions
 }
 
-func (p *Progress) answered(now time.Time, took time.Duration, decoding bool) {
+func (p *Progress) recordAnswer(now time.Time, took time.Duration, decoding bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last = now
+	p.lastAnswer = now
 	if !decoding {
 		return
 	}
-	if p.step == 0 {
-		p.step = took
+	if p.meanStep == 0 {
+		p.meanStep = took
 		return
 	}
-	p.step += (took - p.step) / smoothing
+	p.meanStep += (took - p.meanStep) / smoothing
 }
 
-// reported takes in the length of a step as the server gave it.
-func (p *Progress) reported(step time.Duration) {
+// recordStep takes in the length of a step as the server gave it.
+func (p *Progress) recordStep(step time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	copy(p.steps[1:], p.steps[:])
-	p.steps[0] = step
+	copy(p.reportedSteps[1:], p.reportedSteps[:])
+	p.reportedSteps[0] = step
 }
 
 // slow reports whether all of the last steps took much longer than expected.
 func (p *Progress) slow(expected time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.steps {
+	for _, s := range p.reportedSteps {
 		if s <= slowFactor*expected {
 			return false
 		}
@@ -89,16 +89,16 @@
 func (p *Progress) stalled(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.frames > 0 && now.Sub(p.last) > p.limit()
+	return p.frames > 0 && now.Sub(p.lastAnswer) > p.stallLimit()
 }
 
-// limit returns how long the server may stay silent; the caller holds the lock.
-func (p *Progress) limit() time.Duration {
-	if p.step == 0 {
-		return firstStall + time.Duration(p.positions)*time.Millisecond
+// stallLimit returns how long the server may stay silent; the caller holds the lock.
+func (p *Progress) stallLimit() time.Duration {
+	if p.meanStep == 0 {
+		return initialStallLimit + time.Duration(p.positions)*time.Millisecond
 	}
 	steps := time.Duration(stalledSteps + (p.positions-p.frames)/positionsPerStep)
-	return min(max(p.step*steps, minStall), maxStall)
+	return min(max(p.meanStep*steps, minStallLimit), maxStallLimit)
 }
 
 func (p *Progress) inFlight() int {
@@ -110,5 +110,5 @@
 func (p *Progress) stepTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.step
+	return p.meanStep
 }
--- a/engine/progress_test.go
+++ b/engine/progress_test.go
@@ -7,26 +7,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAServerStallsBySixOfItsOwnSteps(t *testing.T) {
+func TestAServerStallsAfterSixMeanSteps(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := &Progress{}
 	require.False(t, p.stalled(now.Add(time.Hour)), "nothing under way")
 	p.begin(1, now)
-	require.False(t, p.stalled(now.Add(firstStall)))
-	require.True(t, p.stalled(now.Add(2*firstStall)), "no step known yet")
-	p.answered(now, 20*time.Millisecond, true)
+	require.False(t, p.stalled(now.Add(initialStallLimit)))
+	require.True(t, p.stalled(now.Add(2*initialStallLimit)), "no step known yet")
+	p.recordAnswer(now, 20*time.Millisecond, true)
 	require.False(t, p.stalled(now.Add(119*time.Millisecond)))
 	require.True(t, p.stalled(now.Add(121*time.Millisecond)))
 	p.begin(1, now.Add(100*time.Millisecond))
-	p.answered(now.Add(110*time.Millisecond), 20*time.Millisecond, true)
+	p.recordAnswer(now.Add(110*time.Millisecond), 20*time.Millisecond, true)
 	require.False(t, p.stalled(now.Add(200*time.Millisecond)), "another frame was answered meanwhile")
 }
 
-func TestLongPromptsLengthenTheLimit(t *testing.T) {
+func TestLongPromptsLengthenTheStallLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := &Progress{}
 	p.begin(1, now)
-	p.answered(now, 20*time.Millisecond, true)
+	p.recordAnswer(now, 20*time.Millisecond, true)
 	p.begin(321, now)
 	require.False(t, p.stalled(now.Add(300*time.Millisecond)))
 	require.True(t, p.stalled(now.Add(400*time.Millisecond)))
@@ -34,16 +34,16 @@
 	require.Equal(t, 1, p.inFlight())
 }
 
-func TestOneSlowStepMovesTheMeanByAnEighth(t *testing.T) {
+func TestOneStepChangesTheMeanByAnEighth(t *testing.T) {
 	p := &Progress{}
 	now := time.Unix(1000, 0)
-	p.answered(now, 8*time.Millisecond, true)
-	p.answered(now, 16*time.Millisecond, true)
-	p.answered(now, time.Hour, false)
+	p.recordAnswer(now, 8*time.Millisecond, true)
+	p.recordAnswer(now, 16*time.Millisecond, true)
+	p.recordAnswer(now, time.Hour, false)
 	require.Equal(t, 9*time.Millisecond, p.stepTime())
 }
 
-func TestMatchRefusesCrossedResults(t *testing.T) {
+func TestMatchRejectsResultsOfOtherFrames(t *testing.T) {
 	f := Frame{Request: "r", Attempt: 2, Position: 5}
 	good := Result{Request: "r", Attempt: 2, Position: 5, Code: CodeDone}
 	tests := []struct {
--- a/pipeline/runner.go
+++ b/pipeline/runner.go
@@ -228,7 +228,7 @@
 	server := a.runner.pool.Server(n.Server)
 	result, err := server.Engine().Run(ctx, &frame)
 	if err != nil {
-		if !engine.NeverSent(err) {
+		if !engine.NotStarted(err) {
 			a.started = true
 		}
 		if ctx.Err() == nil {
@@ -308,7 +308,7 @@
 // exhausted counts a failed attempt and reports whether no other may follow. An answer that has begun goes on for a while past attempts that
 // no server started; before that a caller had better ask elsewhere.
 func (a *attempt) exhausted(cause error) bool {
-	if a.produced > 0 && (errors.Is(cause, errNoPath) || engine.NeverSent(cause)) {
+	if a.produced > 0 && (errors.Is(cause, errNoPath) || engine.NotStarted(cause)) {
 		return a.runner.clock.Since(a.brokeAt) >= goOnTime
 	}
 	a.counted++
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -86,7 +86,7 @@
 	}
 	next := append(append([]*Server(nil), servers...), &Server{
 		name: spec.Name, addr: spec.Addr, domain: spec.Domain,
-		open: func() *engine.Gatherer { return engine.NewGatherer(p.caller, p.clock, spec.Addr, p.stats, p.wake) },
+		open: func() *engine.Batcher { return engine.NewBatcher(p.caller, p.clock, spec.Addr, p.stats, p.wake) },
 	})
 	p.byName[spec.Name] = len(next) - 1
 	p.list.Store(&next)
--- a/pool/server.go
+++ b/pool/server.go
@@ -15,8 +15,8 @@
 	addr   string
 	domain string
 	// open starts the sender of frames, which servers that get no work do without.
-	open     func() *engine.Gatherer
-	gatherer atomic.Pointer[engine.Gatherer]
+	open     func() *engine.Batcher
+	gatherer atomic.Pointer[engine.Batcher]
 	// closed to new work by what instances and reports say, as opposed to the server's own answers.
 	barred atomic.Bool
 	// assigned counts the attempts of this instance that pass through the server.
@@ -36,7 +36,7 @@
 func (s *Server) Domain() string { return s.domain }
 
 // Engine returns the sender of frames and starts it when there is none.
-func (s *Server) Engine() *engine.Gatherer {
+func (s *Server) Engine() *engine.Batcher {
 	if g := s.gatherer.Load(); g != nil {
 		return g
 	}
