--- a/pipeline/runner.go
+++ b/pipeline/runner.go
@@ -209,7 +209,7 @@
 	}
 	for _, n := range a.path {
 		server := a.runner.pool.Server(n.Server)
-		if server.Engine().Slow(n.Step) {
+		if server.Batcher().Slow(n.Step) {
 			server.Failed(a.runner.clock.Now())
 			a.avoid.Busy = append(a.avoid.Busy, n.Server)
 			return a.runner.pool.HasPath(a.request.Graph(), a.avoid)
@@ -226,7 +226,7 @@
 
 func (a *attempt) step(ctx context.Context, n route.Node, frame engine.Frame) (engine.Result, error) {
 	server := a.runner.pool.Server(n.Server)
-	result, err := server.Engine().Run(ctx, &frame)
+	result, err := server.Batcher().Run(ctx, &frame)
 	if err != nil {
 		if !engine.NotStarted(err) {
 			a.started = true
@@ -265,12 +265,12 @@
 	}
 	servers := a.runner.pool
 	for _, n := range path {
-		servers.Server(n.Server).Settled()
+		servers.Server(n.Server).EndAttempt()
 	}
 	go func() {
 		for _, n := range path {
 			s := servers.Server(n.Server)
-			if err := servers.Caller().Cancel(s.Addr(), cancel, cancelTimeout); err != nil {
+			if err := servers.Client().Cancel(s.Addr(), cancel, cancelTimeout); err != nil {
 				a.runner.stats.Counter("cancels_lost_total").Inc(1)
 			}
 		}
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -16,8 +16,8 @@
 const (
 	// progressPeriod is how often stalled servers are looked for.
 	progressPeriod = 10 * time.Millisecond
-	// pathLength is the number of stages that a path has room for at first.
-	pathLength = 8
+	// initialPathCap is the number of stages that a path has room for at first.
+	initialPathCap = 8
 )
 
 // Spec describes a server that the pool should hold.
@@ -29,7 +29,7 @@
 
 // Pool holds the servers by index; indexes are never used again.
 type Pool struct {
-	caller *engine.Caller
+	client *engine.Caller
 	clock  *timer.Service
 	stats  *metrics.Registry
 	list   atomic.Pointer[[]*Server]
@@ -40,8 +40,8 @@
 }
 
 // New returns an empty Pool and starts the search for stalled servers.
-func New(caller *engine.Caller, clock *timer.Service, stats *metrics.Registry) *Pool {
-	p := &Pool{caller: caller, clock: clock, stats: stats, byName: map[string]int{}, busy: make(chan struct{}, 1)}
+func New(client *engine.Caller, clock *timer.Service, stats *metrics.Registry) *Pool {
+	p := &Pool{client: client, clock: clock, stats: stats, byName: map[string]int{}, busy: make(chan struct{}, 1)}
 	p.list.Store(&[]*Server{})
 	go func() { p.watchProgress() }()
 	return p
@@ -68,7 +68,7 @@
 	now := p.clock.Now()
 	busy := false
 	for _, s := range *p.list.Load() {
-		if g := s.gatherer.Load(); g != nil {
+		if g := s.batcher.Load(); g != nil {
 			g.CheckProgress(now)
 			busy = busy || g.InFlight() > 0
 		}
@@ -86,7 +86,7 @@
 	}
 	next := append(append([]*Server(nil), servers...), &Server{
 		name: spec.Name, addr: spec.Addr, domain: spec.Domain,
-		open: func() *engine.Batcher { return engine.NewBatcher(p.caller, p.clock, spec.Addr, p.stats, p.wake) },
+		newBatcher: func() *engine.Batcher { return engine.NewBatcher(p.client, p.clock, spec.Addr, p.stats, p.wake) },
 	})
 	p.byName[spec.Name] = len(next) - 1
 	p.list.Store(&next)
@@ -96,8 +96,8 @@
 // Server returns the server at an index.
 func (p *Pool) Server(i int) *Server { return (*p.list.Load())[i] }
 
-// Caller returns the means of single calls to servers.
-func (p *Pool) Caller() *engine.Caller { return p.caller }
+// Client returns the means of single calls to servers.
+func (p *Pool) Client() *engine.Caller { return p.client }
 
 // Avoid names the servers that the next attempt at a request had better not pass.
 type Avoid struct {
@@ -111,15 +111,15 @@
 // refusal, and those that gave no answer last: one that turned work away a moment ago is there, while one that has ended uses up attempts.
 func (p *Pool) Choose(g *route.Graph, avoid Avoid) ([]route.Node, bool) {
 	l := loads{servers: *p.list.Load(), now: p.clock.Now()}
-	for _, l.choice = range []choice{
-		{avoid: avoid}, {avoid: Avoid{Lost: avoid.Lost}}, {avoid: Avoid{Lost: avoid.Lost}, despite: true}, {}, {despite: true},
+	for _, l.filter = range []filter{
+		{avoid: avoid}, {avoid: Avoid{Lost: avoid.Lost}}, {avoid: Avoid{Lost: avoid.Lost}, ignoreCircuits: true}, {}, {ignoreCircuits: true},
 	} {
-		path, ok := route.Choose(g, l, random{}, make([]route.Node, 0, pathLength))
+		path, ok := route.Choose(g, l, random{}, make([]route.Node, 0, initialPathCap))
 		if !ok {
 			continue
 		}
 		for _, n := range path {
-			l.servers[n.Server].Chosen()
+			l.servers[n.Server].BeginAttempt()
 		}
 		return path, true
 	}
@@ -128,23 +128,23 @@
 
 // HasPath reports whether there is a path of usable servers that passes none to be avoided.
 func (p *Pool) HasPath(g *route.Graph, avoid Avoid) bool {
-	l := loads{servers: *p.list.Load(), now: p.clock.Now(), choice: choice{avoid: avoid}}
-	_, ok := route.Choose(g, l, random{}, make([]route.Node, 0, pathLength))
+	l := loads{servers: *p.list.Load(), now: p.clock.Now(), filter: filter{avoid: avoid}}
+	_, ok := route.Choose(g, l, random{}, make([]route.Node, 0, initialPathCap))
 	return ok
 }
 
-// choice says which servers may be passed.
-type choice struct {
+// filter says which servers may be passed.
+type filter struct {
 	avoid Avoid
-	// despite counts servers with open circuits as usable.
-	despite bool
+	// ignoreCircuits counts servers with open circuits as usable.
+	ignoreCircuits bool
 }
 
 // loads shows the servers at one moment to the choice of a route.
 type loads struct {
 	servers []*Server
 	now     time.Time
-	choice
+	filter
 }
 
 // Assigned implements route.Loads.
@@ -155,8 +155,8 @@
 	if slices.Contains(l.avoid.Lost, i) || slices.Contains(l.avoid.Busy, i) {
 		return false
 	}
-	if l.despite {
-		return !l.servers[i].Barred()
+	if l.ignoreCircuits {
+		return !l.servers[i].Excluded()
 	}
 	return l.servers[i].Usable(l.now)
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -15,8 +15,8 @@
 	"junctioncross/timer"
 )
 
-// choices is the number of times that a path is asked for.
-const choices = 200
+// rounds is the number of times that a path is asked for.
+const rounds = 200
 
 // TestAServerThatGaveNoAnswerIsTheLastToBeTriedAgain guards against attempts that are used up at a server which has ended: beside load, the
 // others turned work away for a moment, so that all servers had failed the request, and seven of its twelve attempts went to the one that
@@ -30,20 +30,20 @@
 	}
 	g := route.NewGraph(4, nodes)
 	avoid := pool.Avoid{Lost: []int{nodes[0].Server}, Busy: []int{nodes[1].Server}}
-	for n := range choices {
+	for n := range rounds {
 		// Both circuits are open at first, and their pauses are over later.
-		if n == choices/2 {
+		if n == rounds/2 {
 			clock.Advance(time.Minute)
 		}
-		for _, one := range nodes {
-			if n < choices/2 {
-				p.Server(one.Server).Failed(clock.Now())
+		for _, node := range nodes {
+			if n < rounds/2 {
+				p.Server(node.Server).Failed(clock.Now())
 			}
 		}
 		path, ok := p.Choose(g, avoid)
 		require.True(t, ok)
 		require.Equal(t, nodes[1].Server, path[0].Server, "the one that answers")
-		p.Server(path[0].Server).Settled()
+		p.Server(path[0].Server).EndAttempt()
 	}
 	p.Server(nodes[1].Server).Bar(true)
 	path, ok := p.Choose(g, avoid)
--- a/pool/server.go
+++ b/pool/server.go
@@ -14,11 +14,11 @@
 	name   string
 	addr   string
 	domain string
-	// open starts the sender of frames, which servers that get no work do without.
-	open     func() *engine.Batcher
-	gatherer atomic.Pointer[engine.Batcher]
+	// newBatcher starts the sender of frames, which servers that get no work do without.
+	newBatcher func() *engine.Batcher
+	batcher    atomic.Pointer[engine.Batcher]
 	// closed to new work by what instances and reports say, as opposed to the server's own answers.
-	barred atomic.Bool
+	excluded atomic.Bool
 	// assigned counts the attempts of this instance that pass through the server.
 	assigned atomic.Int64
 
@@ -35,37 +35,37 @@
 // Domain returns the server's failure domain.
 func (s *Server) Domain() string { return s.domain }
 
-// Engine returns the sender of frames and starts it when there is none.
-func (s *Server) Engine() *engine.Batcher {
-	if g := s.gatherer.Load(); g != nil {
+// Batcher returns the sender of frames and starts it when there is none.
+func (s *Server) Batcher() *engine.Batcher {
+	if g := s.batcher.Load(); g != nil {
 		return g
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if g := s.gatherer.Load(); g != nil {
+	if g := s.batcher.Load(); g != nil {
 		return g
 	}
-	g := s.open()
-	s.gatherer.Store(g)
+	g := s.newBatcher()
+	s.batcher.Store(g)
 	return g
 }
 
 // Bar closes the server to new work or opens it again.
-func (s *Server) Bar(barred bool) { s.barred.Store(barred) }
+func (s *Server) Bar(barred bool) { s.excluded.Store(barred) }
 
-// Barred reports whether the server must get no new work, whatever else there is.
-func (s *Server) Barred() bool {
-	g := s.gatherer.Load()
-	return s.barred.Load() || g != nil && g.Leaving()
+// Excluded reports whether the server must get no new work, whatever else there is.
+func (s *Server) Excluded() bool {
+	g := s.batcher.Load()
+	return s.excluded.Load() || g != nil && g.Leaving()
 }
 
 // Usable reports whether the server may get new work.
 func (s *Server) Usable(now time.Time) bool {
-	return !s.Barred() && !s.circuit.Open(now)
+	return !s.Excluded() && !s.circuit.Open(now)
 }
 
-// Chosen tells the server that a new attempt passes through it.
-func (s *Server) Chosen() {
+// BeginAttempt tells the server that a new attempt passes through it.
+func (s *Server) BeginAttempt() {
 	s.assigned.Add(1)
 	s.circuit.Admit()
 }
@@ -79,8 +79,8 @@
 // Restarted tells the circuit that the server's process is a new one.
 func (s *Server) Restarted() { s.circuit.Succeeded() }
 
-// Settled tells the server that an attempt no longer passes through it.
-func (s *Server) Settled() {
+// EndAttempt tells the server that an attempt no longer passes through it.
+func (s *Server) EndAttempt() {
 	s.assigned.Add(-1)
 	s.circuit.Settled()
 }
