--- a/pipeline/runner.go
+++ b/pipeline/runner.go
@@ -21,9 +21,9 @@
 const (
 	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 12
-	// goOnTime bounds how long an answer that has begun is tried again while servers start nothing: those that hold its layers may be loading
+	// resumeTimeout bounds how long an answer that has begun is tried again while servers start nothing: those that hold its layers may be loading
 	// them anew, which would use up all attempts as each refusal comes at once.
-	goOnTime      = 5 * time.Second
+	resumeTimeout = 5 * time.Second
 	cancelTimeout = 500 * time.Millisecond
 )
 
@@ -66,21 +66,21 @@
 
 // Run produces the answer and passes each token to emit; the error is a *Failure, and emit's error ends the run.
 func (r *Runner) Run(ctx context.Context, q *Request, emit func(Token) error) error {
-	a := &attempt{runner: r, request: q, chart: chart.New(attemptChart)}
+	e := &execution{runner: r, request: q, chart: chart.New(attemptChart)}
 	for {
-		err := a.run(ctx, emit)
-		a.release(err)
+		err := e.run(ctx, emit)
+		e.release(err)
 		if err == nil {
 			return nil
 		}
-		if err := a.recover(ctx, err); err != nil {
+		if err := e.prepareRetry(ctx, err); err != nil {
 			return err
 		}
 	}
 }
 
-// attempt is the state of one request over all its attempts.
-type attempt struct {
+// execution is the state of one request over all its attempts.
+type execution struct {
 	runner  *Runner
 	request *Request
 	chart   *chart.Machine
@@ -94,9 +94,9 @@
 	started bool
 	avoid   pool.Avoid
 	// retries counts the attempts that failed, and counted those of them that count against maxAttempts.
-	retries int
-	counted int
-	brokeAt time.Time
+	retries         int
+	countedFailures int
+	brokenAt        time.Time
 }
 
 // errSlow means that the attempt leaves a path on which a server has become slow.
@@ -112,158 +112,158 @@
 func (e *emitError) Error() string { return "pipeline: caller gone: " + e.cause.Error() }
 
 // run makes one attempt: a pass over the prompt and the tokens so far, then one pass for each further token.
-func (a *attempt) run(ctx context.Context, emit func(Token) error) error {
-	path, ok := a.runner.pool.Choose(a.request.Graph(), a.avoid)
+func (e *execution) run(ctx context.Context, emit func(Token) error) error {
+	path, ok := e.runner.pool.Choose(e.request.Graph(), e.avoid)
 	if !ok {
-		a.fire("none")
+		e.fire("none")
 		return errNoPath
 	}
-	a.path = path
-	a.number++
-	a.fire("chosen")
+	e.path = path
+	e.number++
+	e.fire("chosen")
 	for {
-		result, err := a.pass(ctx)
+		result, err := e.pass(ctx)
 		if err != nil {
 			return err
 		}
-		done, err := a.accept(result, emit)
+		done, err := e.accept(result, emit)
 		if done || err != nil {
 			return err
 		}
-		if a.leaveSlow() {
+		if e.shouldReroute() {
 			return errSlow
 		}
 	}
 }
 
 // accept appends the next token, exactly once, and reports whether the answer is complete.
-func (a *attempt) accept(result engine.Result, emit func(Token) error) (bool, error) {
-	if !a.brokeAt.IsZero() {
-		a.runner.stats.Counter("recoveries_total").Inc(1)
-		a.brokeAt = time.Time{}
+func (e *execution) accept(result engine.Result, emit func(Token) error) (bool, error) {
+	if !e.brokenAt.IsZero() {
+		e.runner.stats.Counter("recoveries_total").Inc(1)
+		e.brokenAt = time.Time{}
 	}
-	a.tokens = append(a.tokens, result.Output[0])
-	a.produced++
-	token := Token{Piece: result.Piece, End: result.End, Prompt: a.prompt}
+	e.tokens = append(e.tokens, result.Output[0])
+	e.produced++
+	token := Token{Piece: result.Piece, End: result.End, Prompt: e.prompt}
 	if result.End {
 		token.Piece = ""
 	}
 	if err := emit(token); err != nil {
 		return false, &emitError{cause: err}
 	}
-	if result.End || a.produced >= a.request.Limit {
-		a.fire("last")
+	if result.End || e.produced >= e.request.Limit {
+		e.fire("last")
 		return true, nil
 	}
-	a.fire("token")
+	e.fire("token")
 	return false, nil
 }
 
 // pass sends the positions that the stages have not seen through every layer once, in order.
-func (a *attempt) pass(ctx context.Context) (engine.Result, error) {
+func (e *execution) pass(ctx context.Context) (engine.Result, error) {
 	position := 0
-	if a.chart.State() == "decoding" {
-		position = len(a.tokens) - 1
+	if e.chart.State() == "decoding" {
+		position = len(e.tokens) - 1
 	}
 	frame := engine.Frame{
-		Request: a.request.ID, Attempt: a.number, Position: position,
-		Model: a.request.Model, Priority: a.request.Priority,
+		Request: e.request.ID, Attempt: e.number, Position: position,
+		Model: e.request.Model, Priority: e.request.Priority,
 	}
-	if len(a.tokens) == 0 {
-		frame.Text = a.request.Prompt
+	if len(e.tokens) == 0 {
+		frame.Text = e.request.Prompt
 	} else {
-		frame.Input = a.tokens[position:]
+		frame.Input = e.tokens[position:]
 	}
 	var result engine.Result
 	next := 0
-	for _, n := range a.path {
+	for _, n := range e.path {
 		if n.Layers.First != next {
 			return result, errors.Wrap(engine.ErrOutOfOrder, "layers do not join")
 		}
 		next = n.Layers.End
 		frame.Layers = n.Layers
 		var err error
-		if result, err = a.step(ctx, n, frame); err != nil {
+		if result, err = e.step(ctx, n, frame); err != nil {
 			return result, err
 		}
 		if frame.Text != "" {
-			a.learnPrompt(result)
+			e.setPromptTokens(result)
 			frame.Text = ""
 		}
 		frame.Input = result.Output
 	}
-	return result, a.checkLast(result)
+	return result, e.checkLast(result)
 }
 
-func (a *attempt) checkLast(result engine.Result) error {
+func (e *execution) checkLast(result engine.Result) error {
 	if len(result.Output) != 1 {
 		return errors.Wrap(engine.ErrOutOfOrder, "last stage gave no single token")
 	}
 	return nil
 }
 
-// leaveSlow reports whether a server of the path has become slow while others could take its place.
-func (a *attempt) leaveSlow() bool {
-	if a.retries >= maxAttempts/2 {
+// shouldReroute reports whether a server of the path has become slow while others could take its place.
+func (e *execution) shouldReroute() bool {
+	if e.retries >= maxAttempts/2 {
 		return false
 	}
-	for _, n := range a.path {
-		server := a.runner.pool.Server(n.Server)
+	for _, n := range e.path {
+		server := e.runner.pool.Server(n.Server)
 		if server.Batcher().Slow(n.Step) {
-			server.Failed(a.runner.clock.Now())
-			a.avoid.Busy = append(a.avoid.Busy, n.Server)
-			return a.runner.pool.HasPath(a.request.Graph(), a.avoid)
+			server.Failed(e.runner.clock.Now())
+			e.avoid.Busy = append(e.avoid.Busy, n.Server)
+			return e.runner.pool.HasPath(e.request.Graph(), e.avoid)
 		}
 	}
 	return false
 }
 
-// learnPrompt keeps the prompt's token ids, which the first stage reports for a text.
-func (a *attempt) learnPrompt(result engine.Result) {
-	a.tokens = append(a.tokens[:0], result.Tokens...)
-	a.prompt = len(a.tokens)
+// setPromptTokens keeps the prompt's token ids, which the first stage reports for a text.
+func (e *execution) setPromptTokens(result engine.Result) {
+	e.tokens = append(e.tokens[:0], result.Tokens...)
+	e.prompt = len(e.tokens)
 }
 
-func (a *attempt) step(ctx context.Context, n route.Node, frame engine.Frame) (engine.Result, error) {
-	server := a.runner.pool.Server(n.Server)
+func (e *execution) step(ctx context.Context, n route.Node, frame engine.Frame) (engine.Result, error) {
+	server := e.runner.pool.Server(n.Server)
 	result, err := server.Batcher().Run(ctx, &frame)
 	if err != nil {
 		if !engine.NotStarted(err) {
-			a.started = true
+			e.started = true
 		}
 		if ctx.Err() == nil {
-			server.Failed(a.runner.clock.Now())
-			a.shun(n.Server, err)
-			a.runner.log.WithFields(a.fields()).WithField("server", server.Name()).WithError(err).Warn("stage failed")
+			server.Failed(e.runner.clock.Now())
+			e.avoidServer(n.Server, err)
+			e.runner.log.WithFields(e.fields()).WithField("server", server.Name()).WithError(err).Warn("stage failed")
 		}
 		return result, err
 	}
-	a.started = true
+	e.started = true
 	server.Succeeded()
 	return result, nil
 }
 
-// shun keeps that a server failed the attempt.
-func (a *attempt) shun(server int, err error) {
+// avoidServer keeps that a server failed the attempt.
+func (e *execution) avoidServer(server int, err error) {
 	if errors.Is(err, engine.ErrRefused) || errors.Is(err, engine.ErrOutOfOrder) {
-		a.avoid.Busy = append(a.avoid.Busy, server)
+		e.avoid.Busy = append(e.avoid.Busy, server)
 		return
 	}
-	a.avoid.Lost = append(a.avoid.Lost, server)
+	e.avoid.Lost = append(e.avoid.Lost, server)
 }
 
 // release makes the servers of the path forget the attempt.
-func (a *attempt) release(err error) {
-	path := a.path
-	a.path = nil
+func (e *execution) release(err error) {
+	path := e.path
+	e.path = nil
 	if path == nil {
 		return
 	}
-	cancel := engine.Cancel{Attempts: []engine.AttemptID{{Request: a.request.ID, Attempt: a.number}}}
+	cancel := engine.Cancel{Attempts: []engine.AttemptID{{Request: e.request.ID, Attempt: e.number}}}
 	if err != nil {
-		a.runner.stats.Counter("attempts_cancelled_total").Inc(1)
+		e.runner.stats.Counter("attempts_cancelled_total").Inc(1)
 	}
-	servers := a.runner.pool
+	servers := e.runner.pool
 	for _, n := range path {
 		servers.Server(n.Server).EndAttempt()
 	}
@@ -271,72 +271,72 @@
 		for _, n := range path {
 			s := servers.Server(n.Server)
 			if err := servers.Client().Cancel(s.Addr(), cancel, cancelTimeout); err != nil {
-				a.runner.stats.Counter("cancels_lost_total").Inc(1)
+				e.runner.stats.Counter("cancels_lost_total").Inc(1)
 			}
 		}
 	}()
 }
 
-// recover decides whether another attempt follows a failed one; the error ends the request.
-func (a *attempt) recover(ctx context.Context, cause error) error {
+// prepareRetry decides whether another attempt follows a failed one; the error ends the request.
+func (e *execution) prepareRetry(ctx context.Context, cause error) error {
 	if !errors.Is(cause, errNoPath) {
-		a.fire("broken")
+		e.fire("broken")
 	}
-	var gone *emitError
-	if errors.As(cause, &gone) || ctx.Err() != nil {
-		return a.fail("gone", models.ReasonCallerGone, cause)
+	var emitErr *emitError
+	if errors.As(cause, &emitErr) || ctx.Err() != nil {
+		return e.fail("gone", models.ReasonCallerGone, cause)
 	}
-	if errors.Is(cause, errNoPath) && !a.started {
-		return a.fail("exhausted", models.ReasonNoPipeline, cause)
+	if errors.Is(cause, errNoPath) && !e.started {
+		return e.fail("exhausted", models.ReasonNoPipeline, cause)
 	}
-	if a.brokeAt.IsZero() {
-		a.brokeAt = a.runner.clock.Now()
+	if e.brokenAt.IsZero() {
+		e.brokenAt = e.runner.clock.Now()
 	}
-	if a.exhausted(cause) {
-		return a.fail("exhausted", models.ReasonRetriesExhausted, cause)
+	if e.exhausted(cause) {
+		return e.fail("exhausted", models.ReasonRetriesExhausted, cause)
 	}
-	a.runner.stats.Retried(retryReason(cause))
-	pause := retry.Pause(a.retries, rand.Float64())
-	a.retries++
-	if !a.runner.clock.Sleep(ctx, pause) {
-		return a.fail("gone", models.ReasonCallerGone, cause)
+	e.runner.stats.Retried(retryReason(cause))
+	pause := retry.Pause(e.retries, rand.Float64())
+	e.retries++
+	if !e.runner.clock.Sleep(ctx, pause) {
+		return e.fail("gone", models.ReasonCallerGone, cause)
 	}
-	a.fire("again")
+	e.fire("again")
 	return nil
 }
 
 // exhausted counts a failed attempt and reports whether no other may follow. An answer that has begun goes on for a while past attempts that
 // no server started; before that a caller had better ask elsewhere.
-func (a *attempt) exhausted(cause error) bool {
-	if a.produced > 0 && (errors.Is(cause, errNoPath) || engine.NotStarted(cause)) {
-		return a.runner.clock.Since(a.brokeAt) >= goOnTime
+func (e *execution) exhausted(cause error) bool {
+	if e.produced > 0 && (errors.Is(cause, errNoPath) || engine.NotStarted(cause)) {
+		return e.runner.clock.Since(e.brokenAt) >= resumeTimeout
 	}
-	a.counted++
-	return a.counted > maxAttempts
+	e.countedFailures++
+	return e.countedFailures > maxAttempts
 }
 
-func (a *attempt) fail(event chart.Event, reason models.Reason, cause error) error {
-	a.fire(event)
-	return a.failure(reason, cause)
+func (e *execution) fail(event chart.Event, reason models.Reason, cause error) error {
+	e.fire(event)
+	return e.failure(reason, cause)
 }
 
-func (a *attempt) failure(reason models.Reason, cause error) error {
+func (e *execution) failure(reason models.Reason, cause error) error {
 	fate := models.FateNotRun
-	if a.started {
+	if e.started {
 		fate = models.FateUnknown
 	}
 	return &Failure{reason: reason, fate: fate, cause: cause}
 }
 
-func (a *attempt) fire(event chart.Event) {
-	if err := a.chart.Fire(event); err != nil {
-		a.runner.stats.Counter("chart_errors_total").Inc(1)
-		a.runner.log.WithFields(a.fields()).WithError(err).Error("unexpected event")
+func (e *execution) fire(event chart.Event) {
+	if err := e.chart.Fire(event); err != nil {
+		e.runner.stats.Counter("chart_errors_total").Inc(1)
+		e.runner.log.WithFields(e.fields()).WithError(err).Error("unexpected event")
 	}
 }
 
-func (a *attempt) fields() logrus.Fields {
-	return logrus.Fields{"request": a.request.ID, "account": a.request.Account, "attempt": a.number}
+func (e *execution) fields() logrus.Fields {
+	return logrus.Fields{"request": e.request.ID, "account": e.request.Account, "attempt": e.number}
 }
 
 func retryReason(err error) models.Reason {
--- a/pipeline/runner_test.go
+++ b/pipeline/runner_test.go
@@ -35,13 +35,13 @@
 
 // server is a stand-in engine on loopback that can break in several ways.
 type server struct {
-	engine   *standin.Engine
-	http     *fasthttp.Server
-	addr     string
-	lose     atomic.Int32
-	cross    atomic.Int32
-	deadFrom atomic.Int32
-	calls    atomic.Int32
+	engine      *standin.Engine
+	http        *fasthttp.Server
+	addr        string
+	dropReplyAt atomic.Int32
+	corruptAt   atomic.Int32
+	failFrom    atomic.Int32
+	calls       atomic.Int32
 	// refuses is true while the server starts no frame, as one does that loads other layers.
 	refuses atomic.Bool
 }
@@ -70,8 +70,8 @@
 		return
 	}
 	n := s.calls.Add(1)
-	if from := s.deadFrom.Load(); from > 0 && n >= from {
-		hangUp(ctx)
+	if from := s.failFrom.Load(); from > 0 && n >= from {
+		closeConnection(ctx)
 		return
 	}
 	if s.refuses.Load() {
@@ -79,10 +79,10 @@
 		return
 	}
 	inner(ctx)
-	if s.lose.Load() == n {
-		hangUp(ctx)
+	if s.dropReplyAt.Load() == n {
+		closeConnection(ctx)
 	}
-	if s.cross.Load() == n {
+	if s.corruptAt.Load() == n {
 		reply, _ := engine.Decode[engine.StepReply](ctx.Response.Body())
 		for i := range reply.Results {
 			reply.Results[i].Request = "another"
@@ -105,21 +105,21 @@
 	ctx.SetBody(body)
 }
 
-func hangUp(ctx *fasthttp.RequestCtx) {
+func closeConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) { _ = c.Close() })
 }
 
-type bed struct {
+type testbed struct {
 	servers []*server
 	graph   *route.Graph
 	runner  *pipeline.Runner
 	stats   *metrics.Registry
 }
 
-// newBed starts two servers for each half of the model.
-func newBed(t testing.TB) *bed {
-	b := &bed{stats: metrics.New()}
+// newTestbed starts two servers for each half of the model.
+func newTestbed(t testing.TB) *testbed {
+	b := &testbed{stats: metrics.New()}
 	clock := timer.NewReal()
 	p := pool.New(engine.NewCaller(), clock, b.stats)
 	var nodes []route.Node
@@ -135,7 +135,7 @@
 	return b
 }
 
-func (b *bed) run(id, prompt string, limit int) (string, error) {
+func (b *testbed) run(id, prompt string, limit int) (string, error) {
 	var text strings.Builder
 	q := &pipeline.Request{ID: id, Model: modelName, Prompt: prompt, Limit: limit, Graph: func() *route.Graph { return b.graph }}
 	err := b.runner.Run(context.Background(), q, func(t pipeline.Token) error {
@@ -145,43 +145,43 @@
 	return text.String(), err
 }
 
-func want(prompt string, limit int) string {
+func wantText(prompt string, limit int) string {
 	text, _, _ := model.Answer(prompt, limit)
 	return text
 }
 
-// TestAnswersAreWholeWhateverBreaksOnce breaks single calls in every way at random places.
-func TestAnswersAreWholeWhateverBreaksOnce(t *testing.T) {
-	b := newBed(t)
+// TestAnswersAreCompleteDespiteSingleFailures breaks single calls in every way at random places.
+func TestAnswersAreCompleteDespiteSingleFailures(t *testing.T) {
+	b := newTestbed(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		for _, s := range b.servers {
 			s.calls.Store(0)
-			s.lose.Store(int32(rapid.IntRange(0, 20).Draw(rt, "lose")))
-			s.cross.Store(int32(rapid.IntRange(0, 20).Draw(rt, "cross")))
+			s.dropReplyAt.Store(int32(rapid.IntRange(0, 20).Draw(rt, "lose")))
+			s.corruptAt.Store(int32(rapid.IntRange(0, 20).Draw(rt, "cross")))
 		}
 		got, err := b.run("r", "one two three", 12)
 		require.NoError(rt, err)
-		require.Equal(rt, want("one two three", 12), got)
+		require.Equal(rt, wantText("one two three", 12), got)
 	})
 }
 
-func TestAStageThatDiesIsReplaced(t *testing.T) {
-	for victim := range 4 {
-		b := newBed(t)
-		b.servers[victim].deadFrom.Store(3)
+func TestAFailedServerIsReplaced(t *testing.T) {
+	for failing := range 4 {
+		b := newTestbed(t)
+		b.servers[failing].failFrom.Store(3)
 		for i := 0; i < 200 && b.stats.Counter("recoveries_total").Count() == 0; i++ {
 			got, err := b.run(fmt.Sprint(i), "hello there", 10)
 			require.NoError(t, err)
-			require.Equal(t, want("hello there", 10), got)
+			require.Equal(t, wantText("hello there", 10), got)
 		}
 		require.Positive(t, b.stats.Counter("recoveries_total").Count())
 	}
 }
 
-// TestAnAnswerThatHasBegunOutlastsServersThatStartNothing lets all holders of one half of the model start no frame for four seconds in the
+// TestAnAnswerThatHasBegunIsResumedAfterTemporaryRefusals lets all holders of one half of the model start no frame for four seconds in the
 // middle of an answer, as when layers are moved after a server has ended: the refusals come at once and must not use up the attempts.
-func TestAnAnswerThatHasBegunOutlastsServersThatStartNothing(t *testing.T) {
-	b := newBed(t)
+func TestAnAnswerThatHasBegunIsResumedAfterTemporaryRefusals(t *testing.T) {
+	b := newTestbed(t)
 	refuse := func(refuses bool) {
 		b.servers[1].refuses.Store(refuses)
 		b.servers[3].refuses.Store(refuses)
@@ -197,52 +197,52 @@
 		return nil
 	})
 	require.NoError(t, err)
-	require.Equal(t, want("hello there", 10), text.String())
+	require.Equal(t, wantText("hello there", 10), text.String())
 }
 
-// TestARequestThatNobodyStartsIsRefusedSoon lets them start nothing before the answer has begun: its caller is told that it has not run there,
+// TestARequestThatNoServerStartsIsRefusedAsNotRun lets them start nothing before the answer has begun: its caller is told that it has not run there,
 // and can ask elsewhere.
-func TestARequestThatNobodyStartsIsRefusedSoon(t *testing.T) {
-	b := newBed(t)
+func TestARequestThatNoServerStartsIsRefusedAsNotRun(t *testing.T) {
+	b := newTestbed(t)
 	for _, s := range b.servers {
 		s.refuses.Store(true)
 	}
 	_, err := b.run("r", "x", 3)
-	require.Equal(t, models.FateNotRun, fate(t, err))
+	require.Equal(t, models.FateNotRun, fateOf(t, err))
 }
 
-func TestFailuresSayTheTruthAboutTheRun(t *testing.T) {
+func TestFailuresReportWhetherTheRequestMayHaveRun(t *testing.T) {
 	t.Run("nothing was sent", func(t *testing.T) {
-		b := newBed(t)
+		b := newTestbed(t)
 		for _, s := range b.servers {
 			require.NoError(t, s.http.Shutdown())
 		}
 		_, err := b.run("r", "x", 3)
-		require.Equal(t, models.FateNotRun, fate(t, err))
+		require.Equal(t, models.FateNotRun, fateOf(t, err))
 	})
 	t.Run("the first half ran", func(t *testing.T) {
-		b := newBed(t)
+		b := newTestbed(t)
 		require.NoError(t, b.servers[1].http.Shutdown())
 		require.NoError(t, b.servers[3].http.Shutdown())
 		_, err := b.run("r", "x", 3)
-		require.Equal(t, models.FateUnknown, fate(t, err))
+		require.Equal(t, models.FateUnknown, fateOf(t, err))
 	})
 	t.Run("no path", func(t *testing.T) {
-		b := newBed(t)
+		b := newTestbed(t)
 		b.graph = route.NewGraph(layers, nil)
 		_, err := b.run("r", "x", 3)
-		require.Equal(t, models.FateNotRun, fate(t, err))
+		require.Equal(t, models.FateNotRun, fateOf(t, err))
 	})
 }
 
-func fate(t *testing.T, err error) models.Fate {
+func fateOf(t *testing.T, err error) models.Fate {
 	var f *pipeline.Failure
 	require.True(t, errors.As(err, &f), "%v", err)
 	return f.Fate()
 }
 
-func TestACallerThatLeavesEndsTheRunAndFreesTheServers(t *testing.T) {
-	b := newBed(t)
+func TestADisconnectedCallerEndsTheRunAndFreesTheServers(t *testing.T) {
+	b := newTestbed(t)
 	q := &pipeline.Request{ID: "r", Model: modelName, Prompt: "x", Limit: 50, Graph: func() *route.Graph { return b.graph }}
 	err := b.runner.Run(t.Context(), q, func(pipeline.Token) error { return errors.New("gone") })
 	var f *pipeline.Failure
