--- a/link/client.go
+++ b/link/client.go
@@ -26,20 +26,20 @@
 }
 
 // Call sends a question to the instance at addr; it returns ErrUnreachable, ErrLost or ErrRefused.
-func Call[Q, A any](ctx context.Context, c *Client, addr string, kind Kind, q Q) (A, error) {
-	var answer A
-	body, err := cbor.Marshal(q)
+func Call[Req, Resp any](ctx context.Context, c *Client, addr string, kind Kind, req Req) (Resp, error) {
+	var answer Resp
+	body, err := cbor.Marshal(req)
 	if err != nil {
 		return answer, errors.Wrap(ErrRefused, err.Error())
 	}
-	a, err := c.exchange(ctx, addr, question{Kind: kind, Body: body})
+	resp, err := c.exchange(ctx, addr, request{Kind: kind, Body: body})
 	if err != nil {
 		return answer, err
 	}
-	if a.Refused != "" {
-		return answer, errors.Wrap(ErrRefused, a.Refused)
+	if resp.Refused != "" {
+		return answer, errors.Wrap(ErrRefused, resp.Refused)
 	}
-	if err := cbor.Unmarshal(a.Body, &answer); err != nil {
+	if err := cbor.Unmarshal(resp.Body, &answer); err != nil {
 		return answer, errors.Wrap(ErrLost, err.Error())
 	}
 	return answer, nil
@@ -49,26 +49,26 @@
 // there and takes no connection, as one that does not know the fleet's key yet.
 func (c *Client) Reach(ctx context.Context, addr string) error {
 	_, err := c.connect(ctx, addr)
-	var said *quic.TransportError
+	var transportErr *quic.TransportError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &said) && said.Remote:
+	case errors.As(err, &transportErr) && transportErr.Remote:
 		return errors.Wrap(ErrRefused, err.Error())
 	default:
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
 }
 
-func (c *Client) exchange(ctx context.Context, addr string, q question) (reply, error) {
+func (c *Client) exchange(ctx context.Context, addr string, req request) (response, error) {
 	conn, err := c.connect(ctx, addr)
 	if err != nil {
-		return reply{}, errors.Wrap(ErrUnreachable, err.Error())
+		return response{}, errors.Wrap(ErrUnreachable, err.Error())
 	}
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
 		c.drop(addr, conn)
-		return reply{}, errors.Wrap(ErrUnreachable, err.Error())
+		return response{}, errors.Wrap(ErrUnreachable, err.Error())
 	}
 	// Without this an abandoned call would hold its stream until the connection ends.
 	stop := context.AfterFunc(ctx, func() {
@@ -76,22 +76,22 @@
 		stream.CancelWrite(0)
 	})
 	defer stop()
-	if err := writeMessage(stream, q); err != nil {
+	if err := writeMessage(stream, req); err != nil {
 		c.drop(addr, conn)
-		return reply{}, errors.Wrap(ErrLost, err.Error())
+		return response{}, errors.Wrap(ErrLost, err.Error())
 	}
 	if err := stream.Close(); err != nil {
-		return reply{}, errors.Wrap(ErrLost, err.Error())
+		return response{}, errors.Wrap(ErrLost, err.Error())
 	}
 	c.stats.Counter("link_calls_made_total").Inc(1)
-	c.stats.Counter("link_bytes_sent_total").Inc(int64(len(q.Body)))
-	a, err := readMessage[reply](stream)
+	c.stats.Counter("link_bytes_sent_total").Inc(int64(len(req.Body)))
+	resp, err := readMessage[response](stream)
 	if err != nil {
 		c.drop(addr, conn)
-		return a, errors.Wrap(ErrLost, err.Error())
+		return resp, errors.Wrap(ErrLost, err.Error())
 	}
-	c.stats.Counter("link_bytes_received_total").Inc(int64(len(a.Body)))
-	return a, nil
+	c.stats.Counter("link_bytes_received_total").Inc(int64(len(resp.Body)))
+	return resp, nil
 }
 
 func (c *Client) connect(ctx context.Context, addr string) (*quic.Conn, error) {
@@ -101,7 +101,7 @@
 	if conn != nil && conn.Context().Err() == nil {
 		return conn, nil
 	}
-	conn, err := quic.DialAddr(ctx, addr, c.trust.Client(protocol), settings())
+	conn, err := quic.DialAddr(ctx, addr, c.trust.Client(protocol), quicConfig())
 	if err != nil {
 		return nil, err
 	}
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -18,11 +18,11 @@
 	"junctioncross/ports"
 )
 
-// patience bounds calls that end at once on a sound machine.
-const patience = 15 * time.Second
+// testTimeout bounds calls that end at once on a sound machine.
+const testTimeout = 15 * time.Second
 
-// ring returns a holder's keys signed by an authority.
-func ring(t *testing.T, a *keys.Authority, role keys.Role, name string) *keys.Ring {
+// newRing returns a holder's keys signed by an authority.
+func newRing(t *testing.T, a *keys.Authority, role keys.Role, name string) *keys.Ring {
 	dir := t.TempDir()
 	require.NoError(t, a.Write(dir))
 	require.NoError(t, a.Issue(dir, keys.NewIdentity(role, "east", name), time.Now()))
@@ -33,13 +33,13 @@
 	return r
 }
 
-func authority(t *testing.T) *keys.Authority {
+func newAuthority(t *testing.T) *keys.Authority {
 	a, err := keys.NewAuthority(time.Now())
 	require.NoError(t, err)
 	return a
 }
 
-func listen(t *testing.T, r *keys.Ring) string {
+func startServer(t *testing.T, r *keys.Ring) string {
 	addrs, err := ports.Free(1)
 	require.NoError(t, err)
 	mux := link.NewMux()
@@ -65,44 +65,44 @@
 	return link.Call[string, string](ctx, c, addr, kind, q)
 }
 
-func TestInstancesKnowEachOtherAndNobodyElseIsServed(t *testing.T) {
-	a := authority(t)
-	addr := listen(t, ring(t, a, keys.RoleInstance, "b"))
-	got, err := call(t, addr, ring(t, a, keys.RoleInstance, "a"), link.KindHead, "hello")
+func TestOnlyInstancesOfTheFleetAreServed(t *testing.T) {
+	a := newAuthority(t)
+	addr := startServer(t, newRing(t, a, keys.RoleInstance, "b"))
+	got, err := call(t, addr, newRing(t, a, keys.RoleInstance, "a"), link.KindHead, "hello")
 	require.NoError(t, err)
 	require.Equal(t, "east/a said hello", got)
 
-	_, err = call(t, addr, ring(t, a, keys.RoleInstance, "a"), link.KindHead, "bad")
+	_, err = call(t, addr, newRing(t, a, keys.RoleInstance, "a"), link.KindHead, "bad")
 	require.ErrorIs(t, err, link.ErrRefused)
-	_, err = call(t, addr, ring(t, a, keys.RoleInstance, "a"), link.KindClaim, "x")
+	_, err = call(t, addr, newRing(t, a, keys.RoleInstance, "a"), link.KindClaim, "x")
 	require.ErrorIs(t, err, link.ErrRefused, "unknown call")
-	_, err = call(t, addr, ring(t, a, keys.RoleOperator, "op"), link.KindHead, "hello")
+	_, err = call(t, addr, newRing(t, a, keys.RoleOperator, "op"), link.KindHead, "hello")
 	require.Error(t, err, "an operator is no instance")
-	_, err = call(t, addr, ring(t, authority(t), keys.RoleInstance, "a"), link.KindHead, "hello")
+	_, err = call(t, addr, newRing(t, newAuthority(t), keys.RoleInstance, "a"), link.KindHead, "hello")
 	require.Error(t, err, "another authority")
 }
 
-// TestAConnectionThatFallsSilentCostsOneCall lets the connection of a client lose everything for good, without a word to either end.
-func TestAConnectionThatFallsSilentCostsOneCall(t *testing.T) {
-	a := authority(t)
-	proxy, err := fault.NewUDP(listen(t, ring(t, a, keys.RoleInstance, "b")), 1)
+// TestASilentConnectionIsReplacedAfterOneTimeout lets the connection of a client lose everything for good, without a word to either end.
+func TestASilentConnectionIsReplacedAfterOneTimeout(t *testing.T) {
+	a := newAuthority(t)
+	proxy, err := fault.NewUDP(startServer(t, newRing(t, a, keys.RoleInstance, "b")), 1)
 	require.NoError(t, err)
 	t.Cleanup(proxy.Close)
 	stats := metrics.New()
-	c := link.NewClient(ring(t, a, keys.RoleInstance, "a"), stats)
+	c := link.NewClient(newRing(t, a, keys.RoleInstance, "a"), stats)
 	t.Cleanup(c.Close)
-	ask := func(limit time.Duration) error {
-		ctx, cancel := context.WithTimeout(t.Context(), limit)
+	makeCall := func(timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
 		_, err := link.Call[string, string](ctx, c, proxy.Addr(), link.KindHead, "hello")
 		return err
 	}
-	require.NoError(t, ask(patience))
+	require.NoError(t, makeCall(testTimeout))
 	proxy.Silence()
-	waiting := make(chan error, 1)
-	go func() { waiting <- ask(patience) }()
-	require.Eventually(t, func() bool { return stats.Counter("link_calls_made_total").Count() == 2 }, patience, time.Millisecond)
-	require.ErrorIs(t, ask(200*time.Millisecond), link.ErrLost)
-	require.NoError(t, ask(patience), "the next call opens a connection")
-	require.Error(t, <-waiting, "one that waited on the silent connection has ended as well")
+	earlier := make(chan error, 1)
+	go func() { earlier <- makeCall(testTimeout) }()
+	require.Eventually(t, func() bool { return stats.Counter("link_calls_made_total").Count() == 2 }, testTimeout, time.Millisecond)
+	require.ErrorIs(t, makeCall(200*time.Millisecond), link.ErrLost)
+	require.NoError(t, makeCall(testTimeout), "the next call opens a connection")
+	require.Error(t, <-earlier, "one that waited on the silent connection has ended as well")
 }
--- a/link/server.go
+++ b/link/server.go
@@ -23,13 +23,13 @@
 func NewMux() *Mux { return &Mux{handlers: map[Kind]handler{}} }
 
 // Handle adds the handler of a call.
-func Handle[Q, A any](m *Mux, kind Kind, fn func(ctx context.Context, from keys.Identity, q Q) (A, error)) {
+func Handle[Req, Resp any](m *Mux, kind Kind, fn func(ctx context.Context, from keys.Identity, req Req) (Resp, error)) {
 	m.handlers[kind] = func(ctx context.Context, from keys.Identity, body []byte) (any, error) {
-		var q Q
-		if err := cbor.Unmarshal(body, &q); err != nil {
+		var req Req
+		if err := cbor.Unmarshal(body, &req); err != nil {
 			return nil, errors.Wrap(err, "decode call")
 		}
-		return fn(ctx, from, q)
+		return fn(ctx, from, req)
 	}
 }
 
@@ -43,7 +43,7 @@
 
 // Listen starts a Server on addr, an IP number and UDP port.
 func Listen(addr string, trust Trust, mux *Mux, stats *metrics.Registry, log *logrus.Logger) (*Server, error) {
-	listener, err := quic.ListenAddr(addr, trust.Server(protocol), settings())
+	listener, err := quic.ListenAddr(addr, trust.Server(protocol), quicConfig())
 	if err != nil {
 		return nil, errors.Wrapf(err, "link: listen on %s", addr)
 	}
@@ -96,29 +96,29 @@
 
 func (s *Server) serveStream(ctx context.Context, from keys.Identity, stream *quic.Stream) {
 	defer stream.Close()
-	q, err := readMessage[question](stream)
+	req, err := readMessage[request](stream)
 	if err != nil {
 		return
 	}
 	s.stats.Counter("link_calls_served_total").Inc(1)
-	s.stats.Counter("link_bytes_received_total").Inc(int64(len(q.Body)))
-	a := s.run(ctx, from, q)
-	s.stats.Counter("link_bytes_sent_total").Inc(int64(len(a.Body)))
-	_ = writeMessage(stream, a)
+	s.stats.Counter("link_bytes_received_total").Inc(int64(len(req.Body)))
+	resp := s.run(ctx, from, req)
+	s.stats.Counter("link_bytes_sent_total").Inc(int64(len(resp.Body)))
+	_ = writeMessage(stream, resp)
 }
 
-func (s *Server) run(ctx context.Context, from keys.Identity, q question) reply {
-	h := s.mux.handlers[q.Kind]
+func (s *Server) run(ctx context.Context, from keys.Identity, req request) response {
+	h := s.mux.handlers[req.Kind]
 	if h == nil {
-		return reply{Refused: "unknown call"}
+		return response{Refused: "unknown call"}
 	}
-	value, err := h(ctx, from, q.Body)
+	value, err := h(ctx, from, req.Body)
 	if err != nil {
-		return reply{Refused: err.Error()}
+		return response{Refused: err.Error()}
 	}
 	body, err := cbor.Marshal(value)
 	if err != nil {
-		return reply{Refused: err.Error()}
+		return response{Refused: err.Error()}
 	}
-	return reply{Body: body}
+	return response{Body: body}
 }
--- a/link/wire.go
+++ b/link/wire.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	protocol   = "jx-link/1"
-	maxMessage = 8 << 20
-	idle       = 20 * time.Second
+	protocol    = "jx-link/1"
+	maxMessage  = 8 << 20
+	idleTimeout = 20 * time.Second
 )
 
 // Trust holds what an instance proves itself with and decides whose proof it accepts.
@@ -50,19 +50,19 @@
 	ErrRefused = errors.New("link: call refused")
 )
 
-type question struct {
+type request struct {
 	Kind Kind            `cbor:"1,keyasint"`
 	Body cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-type reply struct {
+type response struct {
 	Refused string          `cbor:"1,keyasint,omitempty"`
 	Body    cbor.RawMessage `cbor:"2,keyasint,omitempty"`
 }
 
-func settings() *quic.Config {
+func quicConfig() *quic.Config {
 	return &quic.Config{
-		MaxIdleTimeout:                 idle,
+		MaxIdleTimeout:                 idleTimeout,
 		HandshakeIdleTimeout:           2 * time.Second,
 		InitialStreamReceiveWindow:     64 << 10,
 		InitialConnectionReceiveWindow: 128 << 10,
