--- a/call/doc.go
+++ b/call/doc.go
@@ -1,3 +1,3 @@
-// Package call holds the types that describe one request on its way from a caller to a backend server and its answer on the
-// way back, and the Codec by which an adapter reads and writes them.
+// Package call holds the types that describe a request as it is forwarded from a caller to a backend server and its answer, and
+// the Codec interface by which a protocol adapter reads and writes their heads.
 package call
