--- a/link/client.go
+++ b/link/client.go
@@ -11,7 +11,7 @@
 	"junctioncross/metrics"
 )
 
-// Client calls other instances and keeps its connections while they are in use.
+// Client calls other instances. It keeps one connection to each and opens another when that one has ended.
 type Client struct {
 	trust Trust
 	stats *metrics.Registry
@@ -20,12 +20,12 @@
 	conns map[string]*quic.Conn
 }
 
-// NewClient returns a Client that shows the instance's certificate.
+// NewClient returns a Client whose connections use the TLS settings of trust.
 func NewClient(trust Trust, stats *metrics.Registry) *Client {
 	return &Client{trust: trust, stats: stats, conns: map[string]*quic.Conn{}}
 }
 
-// Call sends a question to the instance at addr; it returns ErrUnreachable, ErrLost or ErrRefused.
+// Call sends a request to the instance at addr and returns its response; the error is ErrUnreachable, ErrLost or ErrRefused.
 func Call[Req, Resp any](ctx context.Context, c *Client, addr string, kind Kind, req Req) (Resp, error) {
 	var answer Resp
 	body, err := cbor.Marshal(req)
@@ -45,8 +45,8 @@
 	return answer, nil
 }
 
-// Reach connects to the instance at addr unless it is connected already; it returns ErrUnreachable, or ErrRefused when the instance is
-// there and takes no connection, as one that does not know the fleet's key yet.
+// Reach connects to the instance at addr unless a connection exists already. It returns ErrUnreachable, or ErrRefused when the instance
+// answers but rejects the connection, as it does before it knows the fleet key.
 func (c *Client) Reach(ctx context.Context, addr string) error {
 	_, err := c.connect(ctx, addr)
 	var transportErr *quic.TransportError
@@ -70,7 +70,7 @@
 		c.drop(addr, conn)
 		return response{}, errors.Wrap(ErrUnreachable, err.Error())
 	}
-	// Without this an abandoned call would hold its stream until the connection ends.
+	// Otherwise a call whose context has ended would hold its stream until the connection ends.
 	stop := context.AfterFunc(ctx, func() {
 		stream.CancelRead(0)
 		stream.CancelWrite(0)
@@ -115,7 +115,7 @@
 	return conn, nil
 }
 
-// drop closes a connection on which a call failed, so that the next call opens a fresh one.
+// drop closes a connection on which a call failed, so that the next call opens a new one.
 func (c *Client) drop(addr string, conn *quic.Conn) {
 	_ = conn.CloseWithError(0, "call failed")
 	c.mu.Lock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// Close ends every connection.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -18,10 +18,10 @@
 	"junctioncross/ports"
 )
 
-// testTimeout bounds calls that end at once on a sound machine.
+// testTimeout is far longer than the calls take, so that a slow machine does not fail the test.
 const testTimeout = 15 * time.Second
 
-// newRing returns a holder's keys signed by an authority.
+// newRing returns the keys of an identity with a certificate of the authority a.
 func newRing(t *testing.T, a *keys.Authority, role keys.Role, name string) *keys.Ring {
 	dir := t.TempDir()
 	require.NoError(t, a.Write(dir))
@@ -39,6 +39,7 @@
 	return a
 }
 
+// startServer starts a server with a handler for KindHead and returns its address.
 func startServer(t *testing.T, r *keys.Ring) string {
 	addrs, err := ports.Free(1)
 	require.NoError(t, err)
@@ -57,6 +58,7 @@
 	return addrs[0]
 }
 
+// call makes one call over a new connection.
 func call(t *testing.T, addr string, r *keys.Ring, kind link.Kind, q string) (string, error) {
 	c := link.NewClient(r, metrics.New())
 	defer c.Close()
@@ -82,7 +84,8 @@
 	require.Error(t, err, "another authority")
 }
 
-// TestASilentConnectionIsReplacedAfterOneTimeout lets the connection of a client lose everything for good, without a word to either end.
+// TestASilentConnectionIsReplacedAfterOneTimeout guards against calls that keep using a dead connection: from some moment on all packets of
+// the client's connection are lost, and neither end is notified. The first call that times out must close it.
 func TestASilentConnectionIsReplacedAfterOneTimeout(t *testing.T) {
 	a := newAuthority(t)
 	proxy, err := fault.NewUDP(startServer(t, newRing(t, a, keys.RoleInstance, "b")), 1)
@@ -104,5 +107,5 @@
 	require.Eventually(t, func() bool { return stats.Counter("link_calls_made_total").Count() == 2 }, testTimeout, time.Millisecond)
 	require.ErrorIs(t, makeCall(200*time.Millisecond), link.ErrLost)
 	require.NoError(t, makeCall(testTimeout), "the next call opens a connection")
-	require.Error(t, <-earlier, "one that waited on the silent connection has ended as well")
+	require.Error(t, <-earlier, "the earlier call on the silent connection has ended as well")
 }
--- a/link/server.go
+++ b/link/server.go
@@ -12,9 +12,10 @@
 	"junctioncross/metrics"
 )
 
+// handler serves one kind of call; body is the encoded request.
 type handler func(ctx context.Context, from keys.Identity, body []byte) (any, error)
 
-// Mux maps calls to their handlers; all are added before the server starts.
+// Mux maps kinds of calls to their handlers. All handlers must be added before the server starts.
 type Mux struct {
 	handlers map[Kind]handler
 }
@@ -22,7 +23,7 @@
 // NewMux returns an empty Mux.
 func NewMux() *Mux { return &Mux{handlers: map[Kind]handler{}} }
 
-// Handle adds the handler of a call.
+// Handle adds the handler of a kind of call; from is the authenticated caller.
 func Handle[Req, Resp any](m *Mux, kind Kind, fn func(ctx context.Context, from keys.Identity, req Req) (Resp, error)) {
 	m.handlers[kind] = func(ctx context.Context, from keys.Identity, body []byte) (any, error) {
 		var req Req
@@ -52,7 +53,7 @@
 	return s, nil
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() error { return s.listener.Close() }
 
 func (s *Server) accept() {
@@ -82,6 +83,7 @@
 	}
 }
 
+// identify returns the identity in the certificate of the peer, which must be an instance.
 func identify(conn *quic.Conn) (keys.Identity, error) {
 	chain := conn.ConnectionState().TLS.PeerCertificates
 	if len(chain) == 0 {
--- a/link/wire.go
+++ b/link/wire.go
@@ -11,50 +11,64 @@
 )
 
 const (
-	protocol    = "jx-link/1"
-	maxMessage  = 8 << 20
+	// protocol is the TLS application protocol (ALPN) of connections between instances.
+	protocol = "jx-link/1"
+	// maxMessage is the maximum size of a request or response in bytes.
+	maxMessage = 8 << 20
+	// idleTimeout is how long a connection without traffic is kept.
 	idleTimeout = 20 * time.Second
 )
 
-// Trust holds what an instance proves itself with and decides whose proof it accepts.
+// Trust provides the TLS settings by which instances authenticate to each other.
 type Trust interface {
-	// Server returns settings for a listener that demands a proof of its callers.
+	// Server returns the settings of a listener that requires a certificate of its callers.
 	Server(protocols ...string) *tls.Config
-	// Client returns settings for connections to instances, whatever their address.
+	// Client returns the settings of connections to instances; the certificate of an instance is not bound to its address.
 	Client(protocols ...string) *tls.Config
 }
 
-// Kind names a call.
+// Kind identifies a type of call; it is the number that is sent.
 type Kind uint8
 
 // Calls between instances.
 const (
+	// KindExchange sends a gossip digest and returns the updates that the caller lacks.
 	KindExchange Kind = iota + 1
+	// KindUpdates sends the gossip updates that the callee lacks.
 	KindUpdates
+	// KindHead returns the head of the configuration in force.
 	KindHead
+	// KindSegment returns the segment of the configuration that has the given hash.
 	KindSegment
+	// KindStatus returns the status of each instance that the callee knows.
 	KindStatus
+	// KindClaim decides a claim at the instance that owns its partition.
 	KindClaim
+	// KindNews returns the head of the configuration in force if it is newer than the caller's.
 	KindNews
+	// KindFollow polls for updates of a feed.
 	KindFollow
+	// KindRoll returns the registration records of the instances.
 	KindRoll
 )
 
-// Errors of this layer.
+// Errors of calls.
 var (
-	// ErrUnreachable means that the peer could not be reached; the call did not run there.
+	// ErrUnreachable means that no connection to the instance could be used; it did not run the call.
 	ErrUnreachable = errors.New("link: peer unreachable")
-	// ErrLost means that the call may have run although its answer was lost.
+	// ErrLost means that no valid answer was received; the call may have run.
 	ErrLost = errors.New("link: answer lost")
-	// ErrRefused means that the peer did not serve the call.
+	// ErrRefused means that the instance rejected the connection or the call, or that the call failed there.
 	ErrRefused = errors.New("link: call refused")
 )
 
+// request is the message that begins a call.
 type request struct {
 	Kind Kind            `cbor:"1,keyasint"`
 	Body cbor.RawMessage `cbor:"2,keyasint"`
 }
 
+// response is the answer to a request: either the reason of a refusal or the result.
 type response struct {
 	Refused string          `cbor:"1,keyasint,omitempty"`
 	Body    cbor.RawMessage `cbor:"2,keyasint,omitempty"`
