--- a/engine/batcher.go
+++ b/engine/batcher.go
@@ -11,23 +11,25 @@
 )
 
 const (
+	// maxCallsInFlight bounds the simultaneous calls to one server.
 	maxCallsInFlight = 16
-	// maxFramesPerCall keeps a call from being split over several steps, of which the last would hold all its answers up.
+	// maxFramesPerCall keeps a call small enough for one step of the engine: if it took several, all answers would wait for the last step.
 	maxFramesPerCall = 12
-	// windowDivisor is the share of a step for which a call waits for more frames, as a divisor.
+	// windowDivisor sets how long a call waits for more frames: the mean step time divided by it, but at most maxWindow.
 	windowDivisor = 50
 	maxWindow     = 300 * time.Microsecond
-	// callTimeout bounds one call whatever the progress of its server.
+	// callTimeout bounds one call, even if its server makes progress with other frames.
 	callTimeout = 5 * time.Second
 )
 
+// pending is a frame that waits for its answer.
 type pending struct {
 	frame   *Frame
 	settled atomic.Bool
 	answer  chan Answer
 }
 
-// settle delivers the first answer and drops any later one.
+// settle delivers the first answer and reports true; it drops any later one.
 func (p *pending) settle(a Answer) bool {
 	if p.settled.Swap(true) {
 		return false
@@ -36,33 +38,37 @@
 	return true
 }
 
-// Answer is the outcome of one frame.
+// Answer is the outcome of one frame: its result or an error.
 type Answer struct {
 	result Result
 	err    error
 }
 
-// Batcher sends the frames for one backend server, several in one call.
+// Batcher sends frames to one backend server, several in one call.
 type Batcher struct {
 	client   *Caller
 	clock    *timer.Service
 	addr     string
 	stats    *metrics.Registry
 	progress *Progress
-	queue    chan *pending
+	// queue holds frames that have not been sent yet.
+	queue chan *pending
+	// slots holds one element for each call in flight.
 	slots    chan struct{}
 	stop     chan struct{}
 	stopOnce sync.Once
-	// onBusy is called when a frame begins while none is under way.
-	onBusy  func()
+	// onBusy is called when a frame begins while none is in flight.
+	onBusy func()
+	// leaving is what the last answer reported.
 	leaving atomic.Bool
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// outstanding holds the frames in flight: queued or sent, and not answered.
 	outstanding map[*pending]struct{}
 }
 
-// NewBatcher returns a Batcher for the backend server at addr and starts its sender; busy is called whenever a frame
-// begins while none is under way.
+// NewBatcher returns a Batcher for the backend server at addr and starts its sending goroutine; onBusy is called whenever a frame
+// begins while none is in flight.
 func NewBatcher(client *Caller, clock *timer.Service, addr string, stats *metrics.Registry, onBusy func()) *Batcher {
 	b := &Batcher{
 		client:      client,
@@ -80,7 +86,8 @@
 	return b
 }
 
-// Run sends one frame and waits for its answer, at most until ctx ends; the frame must not change meanwhile.
+// Run sends one frame and waits for its result, at most until ctx ends; the frame must not change meanwhile. The error is one of this
+// package.
 func (b *Batcher) Run(ctx context.Context, frame *Frame) (Result, error) {
 	p := &pending{frame: frame, answer: make(chan Answer, 1)}
 	b.track(p)
@@ -100,6 +107,7 @@
 	}
 }
 
+// track counts the frame as in flight until untrack.
 func (b *Batcher) track(p *pending) {
 	if b.progress.begin(positionsOf(p.frame), b.clock.Now()) {
 		b.onBusy()
@@ -117,9 +125,10 @@
 	b.progress.end(positionsOf(p.frame))
 }
 
+// positionsOf returns the number of positions of a frame; a text counts as one token for each four bytes.
 func positionsOf(f *Frame) int { return max(len(f.Input), len(f.Text)/4, 1) }
 
-// CheckProgress answers every frame under way with ErrTimeout when the server has made no progress for too long.
+// CheckProgress fails every frame in flight with ErrTimeout when the server has made no progress for too long.
 func (b *Batcher) CheckProgress(now time.Time) {
 	if !b.progress.stalled(now) {
 		return
@@ -132,20 +141,20 @@
 	}
 }
 
-// InFlight returns the number of frames under way.
+// InFlight returns the number of frames in flight, including those that are queued.
 func (b *Batcher) InFlight() int { return b.progress.inFlight() }
 
-// StepTime returns the expected time from call to answer, zero while unknown.
+// StepTime returns the expected time from call to answer; it is zero while unknown.
 func (b *Batcher) StepTime() time.Duration { return b.progress.stepTime() }
 
-// Slow reports whether the server's last steps took much longer than expected, by its own word, so that waiting in its
-// queue does not count.
+// Slow reports whether the server's last steps took much longer than expected. It uses the step times that the server reports, which
+// exclude the time in its queue.
 func (b *Batcher) Slow(expected time.Duration) bool { return b.progress.slow(expected) }
 
-// Leaving reports whether the backend server has said in an answer that it is leaving.
+// Leaving reports whether the last answer of the backend server says that it is about to shut down.
 func (b *Batcher) Leaving() bool { return b.leaving.Load() }
 
-// Close ends the sender; frames that were not sent are answered with ErrUnreachable.
+// Close stops the sending goroutine; frames that were not sent fail with ErrUnreachable.
 func (b *Batcher) Close() { b.stopOnce.Do(func() { close(b.stop) }) }
 
 func (b *Batcher) send() {
@@ -167,7 +176,7 @@
 	}
 }
 
-// nextBatch waits for a frame and takes along those that are queued behind it; nil means that the sender was stopped.
+// nextBatch waits for a frame and adds those that follow within a short window; nil means that the Batcher was closed.
 func (b *Batcher) nextBatch() []*pending {
 	var batch []*pending
 	select {
@@ -176,8 +185,8 @@
 	case <-b.stop:
 		return nil
 	}
-	// Sequences that came out of a step together arrive one after the other within this window. Sent apart, the first would
-	// start a step of the next server alone, and the others would wait for its end.
+	// Sequences that leave a step of the previous server together arrive here one after the other within this window. If they were sent
+	// separately, the first would start a step of this server alone, and the others would wait for the end of that step.
 	window := b.clock.After(min(b.StepTime()/windowDivisor, maxWindow))
 	for len(batch) < maxFramesPerCall {
 		select {
@@ -224,7 +233,7 @@
 	}
 }
 
-// match accepts a result only when it answers exactly this frame.
+// match returns the result at index i of the reply if it belongs to the frame f, and an error otherwise; err is the error of the call.
 func match(f *Frame, reply StepReply, i int, err error) Answer {
 	if err != nil {
 		return Answer{err: err}
--- a/engine/client.go
+++ b/engine/client.go
@@ -10,14 +10,17 @@
 )
 
 const (
-	dialTimeout       = 300 * time.Millisecond
-	maxReplySize      = 64 << 20
-	maxConnections    = 64
+	dialTimeout = 300 * time.Millisecond
+	// maxReplySize is in bytes.
+	maxReplySize = 64 << 20
+	// maxConnections bounds the connections to one server.
+	maxConnections = 64
+	// idleConnection is how long an idle connection is kept.
 	idleConnection    = 30 * time.Second
 	contentTypeBinary = "application/cbor"
 )
 
-// Caller makes single HTTP calls to engines; a connection whose answer is late or broken is closed, never reused.
+// Caller makes single HTTP calls to engines. A connection whose answer is late or incomplete is closed and never reused.
 type Caller struct {
 	http *fasthttp.Client
 }
@@ -31,34 +34,34 @@
 	return &Caller{http: client}
 }
 
-// Step runs the gathered frames on the server at addr.
+// Step runs a batch of frames on the server at addr.
 func (c *Caller) Step(addr string, call StepCall, timeout time.Duration) (StepReply, error) {
 	return exchange[StepCall, StepReply](c, addr, PathStep, call, timeout)
 }
 
-// Cancel makes the server forget attempts.
+// Cancel makes the server delete what it holds for the attempts.
 func (c *Caller) Cancel(addr string, cancel Cancel, timeout time.Duration) error {
 	_, err := exchange[Cancel, bool](c, addr, PathCancel, cancel, timeout)
 	return err
 }
 
-// Report asks the server for its state.
+// Report returns the state that the server reports.
 func (c *Caller) Report(addr string, timeout time.Duration) (Report, error) {
 	return exchange[bool, Report](c, addr, PathReport, true, timeout)
 }
 
-// Order tells the server what to hold; ErrFenced means that a later leader has spoken.
+// Order tells the server which layers to hold; ErrFenced means that it has accepted an order of a later leader.
 func (c *Caller) Order(addr string, order Order, timeout time.Duration) error {
 	_, err := exchange[Order, bool](c, addr, PathOrder, order, timeout)
 	return err
 }
 
-// Export reads the KV cache of an attempt.
+// Export returns the KV cache of an attempt.
 func (c *Caller) Export(addr string, id AttemptID, timeout time.Duration) (Snapshot, error) {
 	return exchange[AttemptID, Snapshot](c, addr, PathExport, id, timeout)
 }
 
-// Import gives the server the KV cache of an attempt.
+// Import copies the KV cache of an attempt to the server.
 func (c *Caller) Import(addr string, snapshot Snapshot, timeout time.Duration) error {
 	_, err := exchange[Snapshot, bool](c, addr, PathImport, snapshot, timeout)
 	return err
@@ -102,7 +105,7 @@
 	return answer, nil
 }
 
-// callError turns the HTTP library's errors into this layer's.
+// callError returns the error of this package that corresponds to one of the HTTP library.
 func callError(err error) error {
 	if once.NeverSent(err) {
 		return errors.Wrap(ErrUnreachable, err.Error())
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -1,3 +1,3 @@
-// Package engine is the adapter to model engines: its wire types, the calls that gather frames for one backend server,
-// load reports and orders.
+// Package engine is the adapter to the model engines that run on backend servers: the wire types, a client for single calls and a
+// batcher that sends several frames for a server in one call.
 package engine
--- a/engine/progress.go
+++ b/engine/progress.go
@@ -6,34 +6,38 @@
 )
 
 const (
-	// stalledSteps is the number of expected step times without any answer after which a server counts as stalled.
-	stalledSteps      = 6
-	minStallLimit     = 40 * time.Millisecond
+	// stalledSteps is the number of mean step times without any answer after which a server counts as stalled.
+	stalledSteps  = 6
+	minStallLimit = 40 * time.Millisecond
+	// initialStallLimit applies until the step time is known; each position in flight adds a millisecond.
 	initialStallLimit = 500 * time.Millisecond
 	maxStallLimit     = 3 * time.Second
-	// positionsPerStep lengthens the limit by one expected step for that many positions under way beyond one a frame.
+	// positionsPerStep is the number of positions in flight, beyond one for each frame, that lengthens the limit by one mean step time.
 	positionsPerStep = 32
 	// slowSteps is the number of reported steps in a row that must be slow before the server counts as slow.
 	slowSteps = 2
-	// slowFactor is how many times longer than expected a slow step is.
+	// slowFactor is how many times longer than expected a step must take to count as slow.
 	slowFactor = 3
-	// smoothing is the weight of the newest step time in the running mean, as a divisor.
+	// smoothing is the divisor that gives the newest step time its weight in the moving average: 1/smoothing.
 	smoothing = 8
 )
 
-// Progress tells a server that works slowly from one that does not work: it judges by the time since the last answer,
-// measured in the server's own step times.
+// Progress tracks the progress of one server, to distinguish a slow server from a stalled one. A server counts as stalled when the time
+// since its last answer is too long compared with its own mean step time.
 type Progress struct {
-	mu         sync.Mutex
-	frames     int
-	positions  int
+	mu sync.Mutex
+	// frames and positions count what is in flight.
+	frames    int
+	positions int
+	// lastAnswer is the time of the last answer, or of the first frame after a time without frames if that is later.
 	lastAnswer time.Time
-	meanStep   time.Duration
-	// reportedSteps holds the lengths of the last reportedSteps that the server reported, the newest first.
+	// meanStep is the moving average of the time from call to answer for decode steps; it is zero while unknown.
+	meanStep time.Duration
+	// reportedSteps holds the lengths of the last steps that the server reported, the newest first.
 	reportedSteps [slowSteps]time.Duration
 }
 
-// begin counts a frame and reports whether it is the only one under way.
+// begin counts a frame and reports whether it is the only one in flight.
 func (p *Progress) begin(positions int, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,6 +56,7 @@
 	p.positions -= positions
 }
 
+// recordAnswer records that a call was answered; only calls whose frames all decode a single position count in the mean step time.
 func (p *Progress) recordAnswer(now time.Time, took time.Duration, decoding bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +71,7 @@
 	p.meanStep += (took - p.meanStep) / smoothing
 }
 
-// recordStep takes in the length of a step as the server gave it.
+// recordStep records the length of a step as the server reported it.
 func (p *Progress) recordStep(step time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +79,7 @@
 	p.reportedSteps[0] = step
 }
 
-// slow reports whether all of the last steps took much longer than expected.
+// slow reports whether each of the last reported steps took much longer than expected.
 func (p *Progress) slow(expected time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,13 +91,14 @@
 	return expected > 0
 }
 
+// stalled reports whether frames are in flight and the server has not answered within the limit.
 func (p *Progress) stalled(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.frames > 0 && now.Sub(p.lastAnswer) > p.stallLimit()
 }
 
-// stallLimit returns how long the server may stay silent; the caller holds the lock.
+// stallLimit returns how long the server may take until its next answer; the caller holds the lock.
 func (p *Progress) stallLimit() time.Duration {
 	if p.meanStep == 0 {
 		return initialStallLimit + time.Duration(p.positions)*time.Millisecond
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -17,16 +17,16 @@
 	PathEvents = "/v1/cache/events"
 )
 
-// Code is the engine's verdict on one frame.
+// Code tells what the engine did with a frame.
 type Code uint8
 
-// Verdicts of the engine.
+// Outcomes of a frame.
 const (
 	// CodeDone means that the layers ran over the whole input.
 	CodeDone Code = iota + 1
 	// CodeNotStarted means that the engine did not run the frame.
 	CodeNotStarted
-	// CodeOutOfOrder means that the frame did not fit the state held for its attempt; it was not run.
+	// CodeOutOfOrder means that the frame's position is not the next one of its attempt; it was not run.
 	CodeOutOfOrder
 )
 
@@ -37,25 +37,25 @@
 	Position int           `cbor:"3,keyasint"`
 	Layers   models.Layers `cbor:"4,keyasint"`
 	Model    string        `cbor:"5,keyasint"`
-	// Input holds token ids for the first layer and activations for every other, one for each position.
+	// Input holds one value for each position: token ids if Layers begins with the first layer, activations otherwise.
 	Input []uint64 `cbor:"6,keyasint,omitempty"`
-	// Text replaces Input in the first frame of a request whose prompt has not been turned into tokens yet.
+	// Text replaces Input in the first frame of a request whose prompt has not been tokenized yet.
 	Text     string `cbor:"7,keyasint,omitempty"`
 	Priority int    `cbor:"8,keyasint,omitempty"`
 }
 
-// Result answers one Frame; its first four fields repeat the frame's.
+// Result answers one Frame; its first four fields repeat those of the frame.
 type Result struct {
 	Request  string        `cbor:"1,keyasint"`
 	Attempt  uint32        `cbor:"2,keyasint"`
 	Position int           `cbor:"3,keyasint"`
 	Layers   models.Layers `cbor:"4,keyasint"`
 	Code     Code          `cbor:"5,keyasint"`
-	// Output holds one activation for each position, or the next token id alone behind the last layer.
+	// Output holds one activation for each position, or only the next token id if Layers ends with the last layer.
 	Output []uint64 `cbor:"6,keyasint,omitempty"`
 	// Tokens holds the token ids of the frame's Text.
 	Tokens []uint64 `cbor:"7,keyasint,omitempty"`
-	// Piece is the text of the next token.
+	// Piece is the text of the next token, if Layers ends with the last layer.
 	Piece string `cbor:"8,keyasint,omitempty"`
 	// End is true when the next token ends the answer.
 	End bool `cbor:"9,keyasint,omitempty"`
@@ -66,25 +66,26 @@
 	return r.Request == f.Request && r.Attempt == f.Attempt && r.Position == f.Position && r.Layers == f.Layers
 }
 
-// StepCall carries the frames gathered for one backend server.
+// StepCall carries a batch of frames for one backend server.
 type StepCall struct {
 	Frames []Frame `cbor:"1,keyasint"`
 }
 
-// StepReply carries one result for each frame of the call and the server's state.
+// StepReply carries one result for each frame of the call, in the same order, and the server's state.
 type StepReply struct {
 	Results []Result `cbor:"1,keyasint"`
 	// StepMicros is the length of the last step, in microseconds.
 	StepMicros int64 `cbor:"2,keyasint"`
-	Leaving    bool  `cbor:"3,keyasint,omitempty"`
+	// Leaving means that the server is about to shut down.
+	Leaving bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Cancel tells a backend server to forget attempts.
+// Cancel tells a backend server to delete what it holds for the attempts.
 type Cancel struct {
 	Attempts []AttemptID `cbor:"1,keyasint"`
 }
 
-// AttemptID names one attempt of one request.
+// AttemptID identifies one attempt of one request.
 type AttemptID struct {
 	Request string `cbor:"1,keyasint"`
 	Attempt uint32 `cbor:"2,keyasint"`
@@ -99,7 +100,7 @@
 	Cache    []uint64      `cbor:"5,keyasint"`
 }
 
-// State is the serving state a backend server reports.
+// State is the serving state that a backend server reports.
 type State string
 
 // States of a backend server.
@@ -109,10 +110,10 @@
 	StateReady   State = "ready"
 )
 
-// Report is what a backend server says about itself; it lags behind the truth.
+// Report is the state that a backend server reports; unless a field says otherwise, it may be outdated.
 type Report struct {
 	Name string `cbor:"1,keyasint" json:"name"`
-	// Incarnation changes whenever the server's process starts anew.
+	// Incarnation grows whenever the server's process restarts.
 	Incarnation uint64 `cbor:"2,keyasint" json:"incarnation"`
 	// Sequence grows with every report of one incarnation.
 	Sequence   uint64        `cbor:"3,keyasint" json:"sequence"`
@@ -125,12 +126,13 @@
 	Waiting    int           `cbor:"10,keyasint" json:"waiting"`
 	StepMicros int64         `cbor:"11,keyasint" json:"step_us"`
 	Fence      uint64        `cbor:"12,keyasint" json:"fence"`
-	// Held is the number of attempts whose KV cache is held; it does not lag.
+	// Held is the number of attempts whose KV cache the server holds; it is up to date.
 	Held int `cbor:"13,keyasint" json:"held"`
 }
 
-// Order tells a backend server what to hold; Fence orders the leaders that give orders.
+// Order tells a backend server which layers of a model to hold.
 type Order struct {
+	// Fence is the fencing token of the leader that gives the order: a server rejects an order with a lower token than it has seen.
 	Fence   uint64        `cbor:"1,keyasint"`
 	Model   string        `cbor:"2,keyasint"`
 	Version string        `cbor:"3,keyasint"`
@@ -139,10 +141,10 @@
 	Total int `cbor:"5,keyasint"`
 }
 
-// Encode turns a wire value into bytes.
+// Encode returns the CBOR encoding of a wire value.
 func Encode[T any](value T) ([]byte, error) { return cbor.Marshal(value) }
 
-// Decode turns bytes into a wire value; malformed input gives an error.
+// Decode returns the wire value that body encodes; malformed input is an error.
 func Decode[T any](body []byte) (T, error) {
 	var value T
 	err := cbor.Unmarshal(body, &value)
