--- a/pool/doc.go
+++ b/pool/doc.go
@@ -1,3 +1,3 @@
-// Package pool holds the backend servers as the request path uses them: their senders, circuits and whether they may get
-// new work.
+// Package pool holds the backend servers for the request path, each with its batcher, its circuit breaker and whether it may get new
+// work, and chooses paths through them.
 package pool
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -14,32 +14,35 @@
 )
 
 const (
-	// progressPeriod is how often stalled servers are looked for.
+	// progressPeriod is the interval between checks for stalled servers.
 	progressPeriod = 10 * time.Millisecond
-	// initialPathCap is the number of stages that a path has room for at first.
+	// initialPathCap is the number of stages for which a path is allocated.
 	initialPathCap = 8
 )
 
 // Spec describes a server that the pool should hold.
 type Spec struct {
-	Name   string
-	Addr   string
+	Name string
+	// Addr is the server's IP number and port.
+	Addr string
+	// Domain is the server's failure domain.
 	Domain string
 }
 
-// Pool holds the servers by index; indexes are never used again.
+// Pool holds the servers by index; an index is never reused for another server.
 type Pool struct {
 	client *engine.Caller
 	clock  *timer.Service
 	stats  *metrics.Registry
 	list   atomic.Pointer[[]*Server]
-	busy   chan struct{}
+	// busy receives an element when a frame begins at a server that had none in flight.
+	busy chan struct{}
 
 	mu     sync.Mutex
 	byName map[string]int
 }
 
-// New returns an empty Pool and starts the search for stalled servers.
+// New returns an empty Pool and starts the checks for stalled servers.
 func New(client *engine.Caller, clock *timer.Service, stats *metrics.Registry) *Pool {
 	p := &Pool{client: client, clock: clock, stats: stats, byName: map[string]int{}, busy: make(chan struct{}, 1)}
 	p.list.Store(&[]*Server{})
@@ -47,7 +50,7 @@
 	return p
 }
 
-// wake starts the search for stalled servers, which rests while no frame is under way.
+// wake resumes the checks for stalled servers, which pause while no frame is in flight.
 func (p *Pool) wake() {
 	select {
 	case p.busy <- struct{}{}:
@@ -63,7 +66,7 @@
 	}
 }
 
-// checkProgress looks for stalled servers and reports whether any frame is under way.
+// checkProgress checks all servers for a stall and reports whether any frame is in flight.
 func (p *Pool) checkProgress() bool {
 	now := p.clock.Now()
 	busy := false
@@ -76,7 +79,7 @@
 	return busy
 }
 
-// Ensure returns the index of the server of that name and address, adding it when it is new.
+// Ensure returns the index of the server with the name and address of spec, and adds the server when it is new.
 func (p *Pool) Ensure(spec Spec) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,19 +99,20 @@
 // Server returns the server at an index.
 func (p *Pool) Server(i int) *Server { return (*p.list.Load())[i] }
 
-// Client returns the means of single calls to servers.
+// Client returns the client for single calls to servers.
 func (p *Pool) Client() *engine.Caller { return p.client }
 
-// Avoid names the servers that the next attempt at a request had better not pass.
+// Avoid lists the servers, by index, that the next attempt at a request should not use because they failed an earlier attempt.
 type Avoid struct {
-	// Lost gave no answer.
+	// Lost lists servers that gave no answer.
 	Lost []int
-	// Busy turned work away or were slow.
+	// Busy lists servers that refused work or were slow.
 	Busy []int
 }
 
-// Choose returns a path through the graph. It passes servers to be avoided, and those with open circuits, only where the other answer is a
-// refusal, and those that gave no answer last: one that turned work away a moment ago is there, while one that has ended uses up attempts.
+// Choose returns a path through the graph and reports whether there is one. It uses servers in avoid, and those with open circuits, only
+// when no other path exists, since the request would be refused otherwise. Servers that gave no answer are the last resort: a server that
+// refused work a moment ago is running, while one that has terminated would use up the request's attempts.
 func (p *Pool) Choose(g *route.Graph, avoid Avoid) ([]route.Node, bool) {
 	l := loads{servers: *p.list.Load(), now: p.clock.Now()}
 	for _, l.filter = range []filter{
@@ -126,21 +130,21 @@
 	return nil, false
 }
 
-// HasPath reports whether there is a path of usable servers that passes none to be avoided.
+// HasPath reports whether there is a path of usable servers without those in avoid.
 func (p *Pool) HasPath(g *route.Graph, avoid Avoid) bool {
 	l := loads{servers: *p.list.Load(), now: p.clock.Now(), filter: filter{avoid: avoid}}
 	_, ok := route.Choose(g, l, random{}, make([]route.Node, 0, initialPathCap))
 	return ok
 }
 
-// filter says which servers may be passed.
+// filter restricts the servers that a path may use.
 type filter struct {
 	avoid Avoid
-	// ignoreCircuits counts servers with open circuits as usable.
+	// ignoreCircuits admits servers with open circuits.
 	ignoreCircuits bool
 }
 
-// loads shows the servers at one moment to the choice of a route.
+// loads implements route.Loads: the state of the servers at one moment, restricted by a filter.
 type loads struct {
 	servers []*Server
 	now     time.Time
@@ -161,6 +165,7 @@
 	return l.servers[i].Usable(l.now)
 }
 
+// random implements route.Random.
 type random struct{}
 
 // Float64 implements route.Random.
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -15,12 +15,12 @@
 	"junctioncross/timer"
 )
 
-// rounds is the number of times that a path is asked for.
+// rounds is the number of times that a path is chosen.
 const rounds = 200
 
-// TestAServerThatGaveNoAnswerIsTheLastToBeTriedAgain guards against attempts that are used up at a server which has ended: beside load, the
-// others turned work away for a moment, so that all servers had failed the request, and seven of its twelve attempts went to the one that
-// could not answer.
+// TestAServerThatGaveNoAnswerIsTheLastToBeTriedAgain guards against using up a request's attempts on a server that has terminated. Under
+// load the other servers refuse work for a moment, so that all servers have failed the request; if they were treated alike, most of its
+// attempts could go to the one that cannot answer.
 func TestAServerThatGaveNoAnswerIsTheLastToBeTriedAgain(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := pool.New(engine.NewCaller(), timer.New(clock), metrics.New())
@@ -31,7 +31,7 @@
 	g := route.NewGraph(4, nodes)
 	avoid := pool.Avoid{Lost: []int{nodes[0].Server}, Busy: []int{nodes[1].Server}}
 	for n := range rounds {
-		// Both circuits are open at first, and their pauses are over later.
+		// In the first half both circuits are open; then enough time passes for both to admit a trial.
 		if n == rounds/2 {
 			clock.Advance(time.Minute)
 		}
@@ -42,11 +42,11 @@
 		}
 		path, ok := p.Choose(g, avoid)
 		require.True(t, ok)
-		require.Equal(t, nodes[1].Server, path[0].Server, "the one that answers")
+		require.Equal(t, nodes[1].Server, path[0].Server, "the server that answers")
 		p.Server(path[0].Server).EndAttempt()
 	}
 	p.Server(nodes[1].Server).Bar(true)
 	path, ok := p.Choose(g, avoid)
-	require.True(t, ok, "a trial of the other is worth more than a refusal")
+	require.True(t, ok, "the server without an answer is tried before the request is refused")
 	require.Equal(t, nodes[0].Server, path[0].Server)
 }
--- a/pool/server.go
+++ b/pool/server.go
@@ -14,12 +14,13 @@
 	name   string
 	addr   string
 	domain string
-	// newBatcher starts the sender of frames, which servers that get no work do without.
+	// newBatcher makes the batcher when the server gets its first work.
 	newBatcher func() *engine.Batcher
 	batcher    atomic.Pointer[engine.Batcher]
-	// closed to new work by what instances and reports say, as opposed to the server's own answers.
+	// excluded means that the server must get no new work because of the configuration, of what other instances report or of its own
+	// reports; it does not depend on the server's answers to frames.
 	excluded atomic.Bool
-	// assigned counts the attempts of this instance that pass through the server.
+	// assigned counts the attempts of this instance whose path includes the server.
 	assigned atomic.Int64
 
 	mu      sync.Mutex
@@ -35,7 +36,7 @@
 // Domain returns the server's failure domain.
 func (s *Server) Domain() string { return s.domain }
 
-// Batcher returns the sender of frames and starts it when there is none.
+// Batcher returns the server's batcher, which it makes on the first call.
 func (s *Server) Batcher() *engine.Batcher {
 	if g := s.batcher.Load(); g != nil {
 		return g
@@ -50,36 +51,36 @@
 	return g
 }
 
-// Bar closes the server to new work or opens it again.
-func (s *Server) Bar(barred bool) { s.excluded.Store(barred) }
+// Bar excludes the server from new work or admits it again.
+func (s *Server) Bar(excluded bool) { s.excluded.Store(excluded) }
 
-// Excluded reports whether the server must get no new work, whatever else there is.
+// Excluded reports whether the server must get no new work, even if no other server is left.
 func (s *Server) Excluded() bool {
 	g := s.batcher.Load()
 	return s.excluded.Load() || g != nil && g.Leaving()
 }
 
-// Usable reports whether the server may get new work.
+// Usable reports whether the server may get new work: it is not excluded and its circuit is not open.
 func (s *Server) Usable(now time.Time) bool {
 	return !s.Excluded() && !s.circuit.Open(now)
 }
 
-// BeginAttempt tells the server that a new attempt passes through it.
+// BeginAttempt records that the path of a new attempt includes the server.
 func (s *Server) BeginAttempt() {
 	s.assigned.Add(1)
 	s.circuit.Admit()
 }
 
-// Failed tells the circuit that a frame failed.
+// Failed records for the circuit breaker that a frame failed.
 func (s *Server) Failed(now time.Time) { s.circuit.Failed(now) }
 
-// Succeeded tells the circuit that a frame was answered.
+// Succeeded closes the circuit, since a frame was answered.
 func (s *Server) Succeeded() { s.circuit.Succeeded() }
 
-// Restarted tells the circuit that the server's process is a new one.
+// Restarted closes the circuit, since the server's process is a new one.
 func (s *Server) Restarted() { s.circuit.Succeeded() }
 
-// EndAttempt tells the server that an attempt no longer passes through it.
+// EndAttempt records that an attempt no longer uses the server.
 func (s *Server) EndAttempt() {
 	s.assigned.Add(-1)
 	s.circuit.Settled()
