--- a/pipeline/doc.go
+++ b/pipeline/doc.go
@@ -1,3 +1,3 @@
-// Package pipeline produces the tokens of one answer: it sends each token's frames through the stages of a path and
-// replaces the path when a stage fails.
+// Package pipeline produces the tokens of an answer: for each token it sends frames through the stages of a path in order, and it
+// continues on another path when a stage fails.
 package pipeline
--- a/pipeline/errors.go
+++ b/pipeline/errors.go
@@ -6,20 +6,20 @@
 	"junctioncross/models"
 )
 
-// Failure says why an answer could not be completed and what is known about the request's run.
+// Failure is the error of a request whose answer could not be completed; it tells the reason and whether the request may have run.
 type Failure struct {
 	reason models.Reason
 	fate   models.Fate
 	cause  error
 }
 
-// Reason returns the reason, which is also a counter.
+// Reason returns the reason, which also labels a counter.
 func (f *Failure) Reason() models.Reason { return f.reason }
 
-// Fate returns what is known about the run.
+// Fate returns whether the request may have run.
 func (f *Failure) Fate() models.Fate { return f.fate }
 
-// Unwrap returns the error of the layer below.
+// Unwrap returns the error that caused the failure.
 func (f *Failure) Unwrap() error { return f.cause }
 
 // Error implements error.
--- a/pipeline/runner.go
+++ b/pipeline/runner.go
@@ -19,10 +19,11 @@
 )
 
 const (
-	// maxAttempts bounds the attempts of one request.
+	// maxAttempts bounds the failed attempts of one request that count; see execution.exhausted.
 	maxAttempts = 12
-	// resumeTimeout bounds how long an answer that has begun is tried again while servers start nothing: those that hold its layers may be loading
-	// them anew, which would use up all attempts as each refusal comes at once.
+	// resumeTimeout bounds how long an answer that has begun is retried while servers start none of its frames. Those retries do not count
+	// as attempts: the servers that hold the layers may be reloading them, and since they refuse at once, the refusals would use up all
+	// attempts before the layers are loaded.
 	resumeTimeout = 5 * time.Second
 	cancelTimeout = 500 * time.Millisecond
 )
@@ -31,13 +32,16 @@
 
 // Request is one answer to be produced.
 type Request struct {
-	ID       string
-	Account  string
-	Model    string
-	Prompt   string
-	Limit    int
+	ID string
+	// Account is the name of the client account.
+	Account string
+	Model   string
+	Prompt  string
+	// Limit is the maximum length of the answer in tokens.
+	Limit int
+	// Priority is passed to the engines with each frame; they run higher priorities first.
 	Priority int
-	// Graph returns the model's servers as they are known at the moment of the call.
+	// Graph returns the graph of the model's servers that are known at the time of the call.
 	Graph func() *route.Graph
 }
 
@@ -45,13 +49,13 @@
 type Token struct {
 	// Piece is the token's text, empty for the token that ends the answer.
 	Piece string
-	// End is true for the token that ends the answer by itself.
+	// End is true for the token by which the model ends the answer.
 	End bool
 	// Prompt is the number of prompt tokens.
 	Prompt int
 }
 
-// Runner runs requests on a pool.
+// Runner runs requests on the servers of a pool.
 type Runner struct {
 	pool  *pool.Pool
 	clock *timer.Service
@@ -64,7 +68,7 @@
 	return &Runner{pool: servers, clock: clock, stats: stats, log: log}
 }
 
-// Run produces the answer and passes each token to emit; the error is a *Failure, and emit's error ends the run.
+// Run produces the answer and passes each token to emit; an error of emit ends the run. The error of Run is a *Failure.
 func (r *Runner) Run(ctx context.Context, q *Request, emit func(Token) error) error {
 	e := &execution{runner: r, request: q, chart: chart.New(attemptChart)}
 	for {
@@ -79,39 +83,43 @@
 	}
 }
 
-// execution is the state of one request over all its attempts.
+// execution is the state of one request across all its attempts.
 type execution struct {
 	runner  *Runner
 	request *Request
 	chart   *chart.Machine
-	number  uint32
-	path    []route.Node
-	// tokens holds the ids of the prompt and of the answer so far; prompt is the number of the former.
-	tokens   []uint64
+	// number and path are those of the present attempt.
+	number uint32
+	path   []route.Node
+	// tokens holds the token ids of the prompt, followed by those of the answer so far.
+	tokens []uint64
+	// prompt is the number of prompt tokens, and produced that of answer tokens.
 	prompt   int
 	produced int
 	// started is true once a server may have run a frame.
 	started bool
-	avoid   pool.Avoid
-	// retries counts the attempts that failed, and counted those of them that count against maxAttempts.
+	// avoid lists the servers that failed an earlier attempt.
+	avoid pool.Avoid
+	// retries counts the attempts after the first, and countedFailures the failed attempts that count against maxAttempts.
 	retries         int
 	countedFailures int
-	brokenAt        time.Time
+	// brokenAt is when the first failure since the last token occurred; it is zero if there was none.
+	brokenAt time.Time
 }
 
-// errSlow means that the attempt leaves a path on which a server has become slow.
+// errSlow ends an attempt because a server of its path has become slow and another path exists.
 var errSlow = errors.New("pipeline: a server has become slow")
 
 // errNoPath means that no path of usable servers exists.
 var errNoPath = errors.New("pipeline: no path of usable servers")
 
-// emitError carries the caller's error out of an attempt.
+// emitError wraps an error of the emit function.
 type emitError struct{ cause error }
 
 // Error implements error.
-func (e *emitError) Error() string { return "pipeline: caller gone: " + e.cause.Error() }
+func (e *emitError) Error() string { return "pipeline: caller disconnected: " + e.cause.Error() }
 
-// run makes one attempt: a pass over the prompt and the tokens so far, then one pass for each further token.
+// run makes one attempt: a first pass over the prompt and all tokens so far (prefill), then one pass for each further token (decode).
 func (e *execution) run(ctx context.Context, emit func(Token) error) error {
 	path, ok := e.runner.pool.Choose(e.request.Graph(), e.avoid)
 	if !ok {
@@ -136,7 +144,7 @@
 	}
 }
 
-// accept appends the next token, exactly once, and reports whether the answer is complete.
+// accept appends the next token, passes it to emit and reports whether the answer is complete. It is called once for each token.
 func (e *execution) accept(result engine.Result, emit func(Token) error) (bool, error) {
 	if !e.brokenAt.IsZero() {
 		e.runner.stats.Counter("recoveries_total").Inc(1)
@@ -159,7 +167,7 @@
 	return false, nil
 }
 
-// pass sends the positions that the stages have not seen through every layer once, in order.
+// pass sends the positions that the path's servers have not processed yet through all stages in order, and returns the last stage's result.
 func (e *execution) pass(ctx context.Context) (engine.Result, error) {
 	position := 0
 	if e.chart.State() == "decoding" {
@@ -195,6 +203,7 @@
 	return result, e.checkLast(result)
 }
 
+// checkLast checks that the last stage returned one token.
 func (e *execution) checkLast(result engine.Result) error {
 	if len(result.Output) != 1 {
 		return errors.Wrap(engine.ErrOutOfOrder, "last stage gave no single token")
@@ -202,7 +211,8 @@
 	return nil
 }
 
-// shouldReroute reports whether a server of the path has become slow while others could take its place.
+// shouldReroute reports whether a server of the path has become slow and a path without it exists; it adds that server to avoid. The last
+// half of the attempts accepts slow servers.
 func (e *execution) shouldReroute() bool {
 	if e.retries >= maxAttempts/2 {
 		return false
@@ -218,12 +228,13 @@
 	return false
 }
 
-// setPromptTokens keeps the prompt's token ids, which the first stage reports for a text.
+// setPromptTokens stores the prompt's token ids, which the first stage returns when it got the prompt as text.
 func (e *execution) setPromptTokens(result engine.Result) {
 	e.tokens = append(e.tokens[:0], result.Tokens...)
 	e.prompt = len(e.tokens)
 }
 
+// step sends a frame to the server of one stage and records the outcome.
 func (e *execution) step(ctx context.Context, n route.Node, frame engine.Frame) (engine.Result, error) {
 	server := e.runner.pool.Server(n.Server)
 	result, err := server.Batcher().Run(ctx, &frame)
@@ -243,7 +254,7 @@
 	return result, nil
 }
 
-// avoidServer keeps that a server failed the attempt.
+// avoidServer adds a server that failed the attempt to those that the next attempts avoid.
 func (e *execution) avoidServer(server int, err error) {
 	if errors.Is(err, engine.ErrRefused) || errors.Is(err, engine.ErrOutOfOrder) {
 		e.avoid.Busy = append(e.avoid.Busy, server)
@@ -252,7 +263,7 @@
 	e.avoid.Lost = append(e.avoid.Lost, server)
 }
 
-// release makes the servers of the path forget the attempt.
+// release makes the servers of the path delete what they hold for the attempt; err is the attempt's error.
 func (e *execution) release(err error) {
 	path := e.path
 	e.path = nil
@@ -277,7 +288,7 @@
 	}()
 }
 
-// prepareRetry decides whether another attempt follows a failed one; the error ends the request.
+// prepareRetry waits until another attempt may follow a failed one; an error means that none may and ends the request.
 func (e *execution) prepareRetry(ctx context.Context, cause error) error {
 	if !errors.Is(cause, errNoPath) {
 		e.fire("broken")
@@ -305,8 +316,9 @@
 	return nil
 }
 
-// exhausted counts a failed attempt and reports whether no other may follow. An answer that has begun goes on for a while past attempts that
-// no server started; before that a caller had better ask elsewhere.
+// exhausted counts a failed attempt and reports whether no other may follow. For an answer that has begun, attempts that no server started
+// do not count; they are bounded by resumeTimeout. Before an answer begins they count, so that the caller is soon refused and can send the
+// request elsewhere.
 func (e *execution) exhausted(cause error) bool {
 	if e.produced > 0 && (errors.Is(cause, errNoPath) || engine.NotStarted(cause)) {
 		return e.runner.clock.Since(e.brokenAt) >= resumeTimeout
@@ -315,6 +327,7 @@
 	return e.countedFailures > maxAttempts
 }
 
+// fail ends the request: it fires the event and returns the Failure.
 func (e *execution) fail(event chart.Event, reason models.Reason, cause error) error {
 	e.fire(event)
 	return e.failure(reason, cause)
@@ -328,6 +341,7 @@
 	return &Failure{reason: reason, fate: fate, cause: cause}
 }
 
+// fire applies an event to the request's state machine; an event that the state does not allow is logged and counted.
 func (e *execution) fire(event chart.Event) {
 	if err := e.chart.Fire(event); err != nil {
 		e.runner.stats.Counter("chart_errors_total").Inc(1)
--- a/pipeline/runner_test.go
+++ b/pipeline/runner_test.go
@@ -33,16 +33,18 @@
 
 var model = standin.NewModel(modelName, "v", layers)
 
-// server is a stand-in engine on loopback that can break in several ways.
+// server is a simulated engine on loopback that can fail in several ways.
 type server struct {
-	engine      *standin.Engine
-	http        *fasthttp.Server
-	addr        string
+	engine *standin.Engine
+	http   *fasthttp.Server
+	addr   string
+	// dropReplyAt is the number of the call whose answer is dropped, corruptAt that of the call whose results name another request, and
+	// failFrom that of the first call whose connection is closed without running it; 0 means none.
 	dropReplyAt atomic.Int32
 	corruptAt   atomic.Int32
 	failFrom    atomic.Int32
 	calls       atomic.Int32
-	// refuses is true while the server starts no frame, as one does that loads other layers.
+	// refuses is true while the server starts no frame, like a server that loads other layers.
 	refuses atomic.Bool
 }
 
@@ -57,13 +59,13 @@
 	s.addr = listener.Addr().String()
 	go func() { _ = s.http.Serve(listener) }()
 	t.Cleanup(func() { _ = s.http.Shutdown() })
-	// A server that is shut down before it serves would start to serve all the same.
+	// Shutdown has no effect on a server that does not serve yet: it would start to serve afterwards.
 	_, err = engine.NewCaller().Report(s.addr, 5*time.Second)
 	require.NoError(t, err)
 	return s
 }
 
-// serve answers a call, loses its answer, crosses its results or refuses the connection, as told.
+// serve answers a call, drops or corrupts its answer, refuses its frames or closes the connection, as the fields of the server say.
 func (s *server) serve(ctx *fasthttp.RequestCtx, inner fasthttp.RequestHandler) {
 	if string(ctx.Path()) != engine.PathStep {
 		inner(ctx)
@@ -105,11 +107,13 @@
 	ctx.SetBody(body)
 }
 
+// closeConnection closes the connection without an answer.
 func closeConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) { _ = c.Close() })
 }
 
+// testbed is a Runner with the servers of one model.
 type testbed struct {
 	servers []*server
 	graph   *route.Graph
@@ -135,6 +139,7 @@
 	return b
 }
 
+// run returns the text of the answer.
 func (b *testbed) run(id, prompt string, limit int) (string, error) {
 	var text strings.Builder
 	q := &pipeline.Request{ID: id, Model: modelName, Prompt: prompt, Limit: limit, Graph: func() *route.Graph { return b.graph }}
@@ -145,12 +150,13 @@
 	return text.String(), err
 }
 
+// wantText returns the answer that the model gives when nothing fails.
 func wantText(prompt string, limit int) string {
 	text, _, _ := model.Answer(prompt, limit)
 	return text
 }
 
-// TestAnswersAreCompleteDespiteSingleFailures breaks single calls in every way at random places.
+// TestAnswersAreCompleteDespiteSingleFailures drops and corrupts the answers to single calls at random positions.
 func TestAnswersAreCompleteDespiteSingleFailures(t *testing.T) {
 	b := newTestbed(t)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -178,8 +184,9 @@
 	}
 }
 
-// TestAnAnswerThatHasBegunIsResumedAfterTemporaryRefusals lets all holders of one half of the model start no frame for four seconds in the
-// middle of an answer, as when layers are moved after a server has ended: the refusals come at once and must not use up the attempts.
+// TestAnAnswerThatHasBegunIsResumedAfterTemporaryRefusals guards against cutting an answer off while its layers are loaded again. All
+// servers of one half of the model start no frame for four seconds in the middle of the answer, as when layers are moved after a server
+// has terminated. They refuse at once, and these refusals must not use up the attempts.
 func TestAnAnswerThatHasBegunIsResumedAfterTemporaryRefusals(t *testing.T) {
 	b := newTestbed(t)
 	refuse := func(refuses bool) {
@@ -200,8 +207,8 @@
 	require.Equal(t, wantText("hello there", 10), text.String())
 }
 
-// TestARequestThatNoServerStartsIsRefusedAsNotRun lets them start nothing before the answer has begun: its caller is told that it has not run there,
-// and can ask elsewhere.
+// TestARequestThatNoServerStartsIsRefusedAsNotRun checks that a request that all servers refuse from the beginning fails with FateNotRun, so
+// that its caller can send it to another instance.
 func TestARequestThatNoServerStartsIsRefusedAsNotRun(t *testing.T) {
 	b := newTestbed(t)
 	for _, s := range b.servers {
