--- a/admit/gate.go
+++ b/admit/gate.go
@@ -16,16 +16,16 @@
 var (
 	// ErrOverloaded means that the wait would be too long; the request was not started.
 	ErrOverloaded = errors.New("admit: overloaded")
-	// ErrGone means that the caller gave up while waiting.
-	ErrGone = errors.New("admit: caller gone")
+	// ErrCallerGone means that the caller gave up while waiting.
+	ErrCallerGone = errors.New("admit: caller gone")
 )
 
 const (
-	// initialService is the assumed time of a request until one was seen.
-	initialService = 500 * time.Millisecond
-	// offeredWeight is the weight of the newest interval in the mean rate of arrivals, as a divisor.
-	offeredWeight = 2
-	serviceWeight = 16
+	// initialServiceTime is the assumed time of a request until one was seen.
+	initialServiceTime = 500 * time.Millisecond
+	// arrivalRateDivisor is the weight of the newest interval in the mean rate of arrivals, as a divisor.
+	arrivalRateDivisor = 2
+	serviceTimeDivisor = 16
 )
 
 // Gate admits requests for one model.
@@ -33,15 +33,15 @@
 	clock   *timer.Service
 	maxWait time.Duration
 
-	mu      sync.Mutex
-	limit   int
-	running int
-	service time.Duration
+	mu          sync.Mutex
+	limit       int
+	running     int
+	serviceTime time.Duration
 	// arrivals counts the requests since counted; rate is their mean number a second.
-	arrivals int
-	counted  time.Time
-	rate     float64
-	order    *share.Scheduler
+	arrivals     int
+	countedSince time.Time
+	arrivalRate  float64
+	scheduler    *share.Scheduler
 	// usage holds the cost used here since the start, and recent that since the last TakeTop.
 	usage  map[share.Owner]float64
 	recent map[share.Owner]float64
@@ -52,18 +52,18 @@
 // New returns a Gate that refuses a request when its predicted wait is longer than maxWait.
 func New(clock *timer.Service, maxWait time.Duration) *Gate {
 	return &Gate{
-		clock: clock, maxWait: maxWait, counted: clock.Now(), limit: 1, service: initialService,
-		order: share.New(), usage: map[share.Owner]float64{}, recent: map[share.Owner]float64{},
+		clock: clock, maxWait: maxWait, countedSince: clock.Now(), limit: 1, serviceTime: initialServiceTime,
+		scheduler: share.New(), usage: map[share.Owner]float64{}, recent: map[share.Owner]float64{},
 		refusals: map[*share.Waiter]chan struct{}{},
 	}
 }
 
 // Ticket is the right to run one request.
 type Ticket struct {
-	gate  *Gate
-	owner share.Owner
-	start time.Time
-	once  sync.Once
+	gate        *Gate
+	owner       share.Owner
+	admittedAt  time.Time
+	releaseOnce sync.Once
 }
 
 // SetLimit sets the number of requests that run at once.
@@ -71,7 +71,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = max(limit, 1)
-	g.admit()
+	g.admitWaiting()
 }
 
 // Offered returns the places that would serve everything that was asked for here, refused or not: the mean number of
@@ -82,11 +82,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
-	if passed := now.Sub(g.counted).Seconds(); passed > 0 {
-		g.rate += (float64(g.arrivals)/passed - g.rate) / offeredWeight
-		g.arrivals, g.counted = 0, now
+	if passed := now.Sub(g.countedSince).Seconds(); passed > 0 {
+		g.arrivalRate += (float64(g.arrivals)/passed - g.arrivalRate) / arrivalRateDivisor
+		g.arrivals, g.countedSince = 0, now
 	}
-	return max(g.rate*g.service.Seconds(), float64(g.running))
+	return max(g.arrivalRate*g.serviceTime.Seconds(), float64(g.running))
 }
 
 // Enter waits for a place; it returns ErrOverloaded at once when the predicted wait is too long, or ErrGone.
@@ -94,23 +94,23 @@
 	admitted := make(chan struct{})
 	g.mu.Lock()
 	g.arrivals++
-	if g.predictedWait() > g.maxWait && !g.makeRoom(owner) {
+	if g.predictedWait() > g.maxWait && !g.evictForOwner(owner) {
 		g.mu.Unlock()
 		return nil, ErrOverloaded
 	}
-	w := g.order.Enqueue(owner, func() { close(admitted) })
+	w := g.scheduler.Enqueue(owner, func() { close(admitted) })
 	refused := make(chan struct{})
 	g.refusals[w] = refused
-	g.admit()
+	g.admitWaiting()
 	g.mu.Unlock()
-	defer g.forget(w)
+	defer g.removeRefusal(w)
 	select {
 	case <-refused:
 		return nil, ErrOverloaded
 	case <-admitted:
-		return &Ticket{gate: g, owner: owner, start: g.clock.Now()}, nil
+		return &Ticket{gate: g, owner: owner, admittedAt: g.clock.Now()}, nil
 	case <-ctx.Done():
-		return nil, g.leave(w, admitted)
+		return nil, g.abandon(w, admitted)
 	case <-g.clock.After(g.maxWait * 2):
 		return nil, g.expire(w, admitted)
 	}
@@ -123,15 +123,15 @@
 	return max(g.predictedWait(), time.Second)
 }
 
-// makeRoom refuses the newest request of the account that has most waiting in favour of an owner that has less, so that
+// evictForOwner refuses the newest request of the account that has most waiting in favour of an owner that has less, so that
 // an account that asks too much is the one to be refused; it reports false when that is the owner itself. The caller holds
 // the lock.
-func (g *Gate) makeRoom(owner share.Owner) bool {
-	w := g.order.Longest(owner)
+func (g *Gate) evictForOwner(owner share.Owner) bool {
+	w := g.scheduler.EvictionCandidate(owner)
 	if w == nil {
 		return false
 	}
-	g.order.Drop(w)
+	g.scheduler.Drop(w)
 	if refused, ok := g.refusals[w]; ok {
 		close(refused)
 		delete(g.refusals, w)
@@ -139,8 +139,8 @@
 	return true
 }
 
-// forget ends the bookkeeping of a request that has left the queue.
-func (g *Gate) forget(w *share.Waiter) {
+// removeRefusal ends the bookkeeping of a request that has left the queue.
+func (g *Gate) removeRefusal(w *share.Waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.refusals, w)
@@ -148,27 +148,27 @@
 
 // predictedWait returns how long a new request would wait; the caller holds the lock.
 func (g *Gate) predictedWait() time.Duration {
-	ahead := g.running + g.order.Len() + 1 - g.limit
+	ahead := g.running + g.scheduler.Len() + 1 - g.limit
 	if ahead <= 0 {
 		return 0
 	}
-	return g.service * time.Duration(ahead) / time.Duration(g.limit)
+	return g.serviceTime * time.Duration(ahead) / time.Duration(g.limit)
 }
 
-func (g *Gate) admit() {
+func (g *Gate) admitWaiting() {
 	for g.running < g.limit {
-		w := g.order.Next()
+		w := g.scheduler.Next()
 		if w == nil {
 			return
 		}
 		g.running++
-		w.Admitted()
+		w.OnAdmitted()
 	}
 }
 
-func (g *Gate) leave(w *share.Waiter, admitted chan struct{}) error {
+func (g *Gate) abandon(w *share.Waiter, admitted chan struct{}) error {
 	g.withdraw(w, admitted)
-	return ErrGone
+	return ErrCallerGone
 }
 
 func (g *Gate) expire(w *share.Waiter, admitted chan struct{}) error {
@@ -183,9 +183,9 @@
 	select {
 	case <-admitted:
 		g.running--
-		g.admit()
+		g.admitWaiting()
 	default:
-		g.order.Drop(w)
+		g.scheduler.Drop(w)
 	}
 }
 
@@ -194,20 +194,20 @@
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.order.Charge(t.owner, cost)
+	g.scheduler.Charge(t.owner, cost)
 	g.usage[t.owner] += cost
 	g.recent[t.owner] += cost
 }
 
 // Leave gives the place back; further calls do nothing.
 func (t *Ticket) Leave() {
-	t.once.Do(func() {
+	t.releaseOnce.Do(func() {
 		g := t.gate
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.running--
-		g.service += (g.clock.Since(t.start) - g.service) / serviceWeight
-		g.admit()
+		g.serviceTime += (g.clock.Since(t.admittedAt) - g.serviceTime) / serviceTimeDivisor
+		g.admitWaiting()
 	})
 }
 
@@ -238,5 +238,5 @@
 func (g *Gate) ChargeRemote(owner share.Owner, cost float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.order.Charge(owner, cost)
+	g.scheduler.Charge(owner, cost)
 }
--- a/share/queue.go
+++ b/share/queue.go
@@ -1,15 +1,15 @@
 package share
 
-type ordered interface {
+type heapItem interface {
 	cost() float64
 	setIndex(i int)
 }
 
-func (p *party) cost() float64  { return p.used }
-func (p *party) setIndex(i int) { p.index = i }
+func (p *entity) cost() float64  { return p.weightedCost }
+func (p *entity) setIndex(i int) { p.index = i }
 
 // queue is a heap of parties, the one with the least used cost first.
-type queue[T ordered] []T
+type queue[T heapItem] []T
 
 // Len implements heap.Interface.
 func (q queue[T]) Len() int { return len(q) }
--- a/share/scheduler.go
+++ b/share/scheduler.go
@@ -8,8 +8,8 @@
 	PromptCost = 0.05
 	// TokenCost is the cost of a generated token.
 	TokenCost = 1.0
-	// creditCost is the cost that an owner can be behind others when it comes back.
-	creditCost = 500.0
+	// maxCredit is the cost that an owner can be behind others when it comes back.
+	maxCredit = 500.0
 )
 
 // Waiter is one request in the queue.
@@ -17,21 +17,21 @@
 	account    *account
 	next, prev *Waiter
 	dropped    bool
-	// Admitted is called by the owner when the request is chosen.
-	Admitted func()
+	// OnAdmitted is called by the owner when the request is chosen.
+	OnAdmitted func()
 }
 
-// party is a group or an account with its used cost divided by its weight.
-type party struct {
-	name   string
-	weight float64
-	used   float64
-	index  int
-	count  int
+// entity is a group or an account with its used cost divided by its weight.
+type entity struct {
+	name         string
+	weight       float64
+	weightedCost float64
+	index        int
+	queued       int
 }
 
 type account struct {
-	party
+	entity
 	group       *group
 	first, last *Waiter
 	// live is the number of waiters that have not been dropped.
@@ -39,7 +39,7 @@
 }
 
 type group struct {
-	party
+	entity
 	accounts map[string]*account
 	waiting  queue[*account]
 }
@@ -69,7 +69,7 @@
 // long silence earns no more, but a queue that runs empty for a moment costs nothing.
 func (s *Scheduler) Enqueue(o Owner, admitted func()) *Waiter {
 	a := s.account(o)
-	w := &Waiter{account: a, Admitted: admitted}
+	w := &Waiter{account: a, OnAdmitted: admitted}
 	if a.last == nil {
 		a.first = w
 	} else {
@@ -79,24 +79,24 @@
 	a.last = w
 	a.live++
 	s.length++
-	s.raise(a)
+	s.addWaiting(a)
 	return w
 }
 
-// raise counts the new request of the account and puts its parties into the queues.
-func (s *Scheduler) raise(a *account) {
+// addWaiting counts the new request of the account and puts its parties into the queues.
+func (s *Scheduler) addWaiting(a *account) {
 	g := a.group
-	a.count++
-	if a.count == 1 {
+	a.queued++
+	if a.queued == 1 {
 		if len(g.waiting) > 0 {
-			a.used = max(a.used, g.waiting[0].used-creditCost/a.weight)
+			a.weightedCost = max(a.weightedCost, g.waiting[0].weightedCost-maxCredit/a.weight)
 		}
 		heap.Push(&g.waiting, a)
 	}
-	g.count++
-	if g.count == 1 {
+	g.queued++
+	if g.queued == 1 {
 		if len(s.waiting) > 0 {
-			g.used = max(g.used, s.waiting[0].used-creditCost/g.weight)
+			g.weightedCost = max(g.weightedCost, s.waiting[0].weightedCost-maxCredit/g.weight)
 		}
 		heap.Push(&s.waiting, g)
 	}
@@ -113,7 +113,7 @@
 		} else {
 			a.first.prev = nil
 		}
-		s.lower(a)
+		s.removeWaiting(a)
 		if !w.dropped {
 			a.live--
 			s.length--
@@ -123,14 +123,14 @@
 	return nil
 }
 
-func (s *Scheduler) lower(a *account) {
+func (s *Scheduler) removeWaiting(a *account) {
 	g := a.group
-	a.count--
-	if a.count == 0 {
+	a.queued--
+	if a.queued == 0 {
 		heap.Remove(&g.waiting, a.index)
 	}
-	g.count--
-	if g.count == 0 {
+	g.queued--
+	if g.queued == 0 {
 		heap.Remove(&s.waiting, g.index)
 	}
 }
@@ -144,16 +144,16 @@
 	}
 }
 
-// Longest returns the newest request of the account that has the most waiting for its weight, or nil when that is not more
+// EvictionCandidate returns the newest request of the account that has the most waiting for its weight, or nil when that is not more
 // than the owner would have with one more: then the owner itself is the one to be refused.
-func (s *Scheduler) Longest(o Owner) *Waiter {
+func (s *Scheduler) EvictionCandidate(o Owner) *Waiter {
 	own := s.account(o)
-	most := float64(own.live+1) / (own.weight * own.group.weight)
+	highest := float64(own.live+1) / (own.weight * own.group.weight)
 	var longest *account
 	for _, g := range s.waiting {
 		for _, a := range g.waiting {
-			if n := float64(a.live) / (a.weight * g.weight); n > most {
-				most, longest = n, a
+			if n := float64(a.live) / (a.weight * g.weight); n > highest {
+				highest, longest = n, a
 			}
 		}
 	}
@@ -171,12 +171,12 @@
 // Charge adds used cost to the owner; it applies to requests that run here or, as a delta, on another instance.
 func (s *Scheduler) Charge(o Owner, cost float64) {
 	a := s.account(o)
-	a.used += cost / a.weight
-	a.group.used += cost / a.group.weight
-	if a.count > 0 {
+	a.weightedCost += cost / a.weight
+	a.group.weightedCost += cost / a.group.weight
+	if a.queued > 0 {
 		heap.Fix(&a.group.waiting, a.index)
 	}
-	if a.group.count > 0 {
+	if a.group.queued > 0 {
 		heap.Fix(&s.waiting, a.group.index)
 	}
 }
@@ -184,13 +184,13 @@
 func (s *Scheduler) account(o Owner) *account {
 	g := s.groups[o.Group]
 	if g == nil {
-		g = &group{party: party{name: o.Group}, accounts: map[string]*account{}}
+		g = &group{entity: entity{name: o.Group}, accounts: map[string]*account{}}
 		s.groups[o.Group] = g
 	}
 	g.weight = max(o.GroupWeight, minWeight)
 	a := g.accounts[o.Account]
 	if a == nil {
-		a = &account{party: party{name: o.Account}, group: g}
+		a = &account{entity: entity{name: o.Account}, group: g}
 		g.accounts[o.Account] = a
 	}
 	a.weight = max(o.AccountWeight, minWeight)
--- a/share/scheduler_test.go
+++ b/share/scheduler_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestEveryWaiterComesOutOnceAndInOrderWithinItsAccount(t *testing.T) {
+func TestEveryWaiterIsAdmittedOnceAndInOrderWithinItsAccount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := share.New()
 		weights := []float64{1, 3, 0.5}
@@ -77,7 +77,7 @@
 		enqueue(1, 1)
 	}
 	for range 800 {
-		s.Next().Admitted()
+		s.Next().OnAdmitted()
 	}
 	require.InDelta(t, 200, served["g0"], 2)
 	require.InDelta(t, 600, served["g1"], 2)
@@ -85,26 +85,26 @@
 	require.InDelta(t, 300, served["g1a1"], 2)
 }
 
-func TestTheLongestQueueMakesRoom(t *testing.T) {
+func TestTheLongestQueueLosesItsNewestRequest(t *testing.T) {
 	s := share.New()
 	weights := []float64{1}
 	var heavy []*share.Waiter
 	for range 5 {
 		heavy = append(heavy, s.Enqueue(owner(0, 0, weights), func() {}))
 	}
-	require.Nil(t, s.Longest(owner(0, 0, weights)), "the heaviest owner makes no room for itself")
-	w := s.Longest(owner(0, 1, weights))
+	require.Nil(t, s.EvictionCandidate(owner(0, 0, weights)), "the heaviest owner makes no room for itself")
+	w := s.EvictionCandidate(owner(0, 1, weights))
 	require.Equal(t, heavy[4], w, "the newest goes first")
 	s.Drop(w)
-	require.Equal(t, heavy[3], s.Longest(owner(0, 1, weights)))
+	require.Equal(t, heavy[3], s.EvictionCandidate(owner(0, 1, weights)))
 	for range 3 {
 		s.Enqueue(owner(0, 1, weights), func() {})
 	}
-	require.Nil(t, s.Longest(owner(0, 1, weights)), "as many as the other would have")
+	require.Nil(t, s.EvictionCandidate(owner(0, 1, weights)), "as many as the other would have")
 }
 
-// TestAGroupThatWasIdleGetsBoundedCredit lets a group come back after another has used twenty times the credit.
-func TestAGroupThatWasIdleGetsBoundedCredit(t *testing.T) {
+// TestAnIdleGroupGetsBoundedCredit lets a group come back after another has used twenty times the credit.
+func TestAnIdleGroupGetsBoundedCredit(t *testing.T) {
 	const credit = 500
 	s := share.New()
 	weights := []float64{1, 1}
@@ -121,7 +121,7 @@
 	for range 2 * credit {
 		s.Enqueue(busy, serve(busy))
 		s.Enqueue(idle, serve(idle))
-		s.Next().Admitted()
+		s.Next().OnAdmitted()
 		if served == busy.Group {
 			break
 		}
@@ -130,8 +130,8 @@
 	require.InDelta(t, credit, ahead, 1, "served ahead of the busy group")
 }
 
-// crowded returns a scheduler in which every account of the design's groups waits.
-func crowded(accounts int) (*share.Scheduler, []share.Owner) {
+// busyScheduler returns a scheduler in which every account of the design's groups waits.
+func busyScheduler(accounts int) (*share.Scheduler, []share.Owner) {
 	s := share.New()
 	owners := make([]share.Owner, accounts)
 	for i := range owners {
@@ -144,7 +144,7 @@
 func BenchmarkShareUpdate(b *testing.B) {
 	for _, accounts := range []int{100, 2000, 20000} {
 		b.Run(fmt.Sprint("accounts=", accounts), func(b *testing.B) {
-			s, owners := crowded(accounts)
+			s, owners := busyScheduler(accounts)
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
@@ -158,7 +158,7 @@
 func BenchmarkAdmission(b *testing.B) {
 	for _, accounts := range []int{100, 2000, 20000} {
 		b.Run(fmt.Sprint("accounts=", accounts), func(b *testing.B) {
-			s, owners := crowded(accounts)
+			s, owners := busyScheduler(accounts)
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
