--- a/route/lanes.go
+++ b/route/lanes.go
@@ -41,13 +41,13 @@
 		}
 		return sorted[i].Server < sorted[j].Server
 	})
-	left := make([]float64, len(sorted))
+	remaining := make([]float64, len(sorted))
 	for i, n := range sorted {
-		left[i] = n.Weight
+		remaining[i] = n.Weight
 	}
 	var lanes []Lane
 	for len(lanes) < maxLanes {
-		lane, ok := widest(layers, sorted, left)
+		lane, ok := widestLane(layers, sorted, remaining)
 		if !ok {
 			return lanes
 		}
@@ -56,32 +56,32 @@
 	return lanes
 }
 
-// widest finds the path with the most speed left and takes that from its servers.
-func widest(layers int, nodes []Node, left []float64) (Lane, bool) {
-	const least = 1e-6
+// widestLane finds the path with the most speed left and takes that from its servers.
+func widestLane(layers int, nodes []Node, remaining []float64) (Lane, bool) {
+	const minRate = 1e-6
 	width := make([]float64, layers+1)
-	from := make([]int, layers+1)
-	for i := range from {
-		from[i] = -1
+	last := make([]int, layers+1)
+	for i := range last {
+		last[i] = -1
 	}
-	width[0] = left[0] + 1
+	width[0] = remaining[0] + 1
 	for i := range nodes {
-		width[0] = max(width[0], left[i]+1)
+		width[0] = max(width[0], remaining[i]+1)
 	}
 	for i, n := range nodes {
-		if w := min(width[n.Layers.First], left[i]); w > least && w > width[n.Layers.End] {
+		if w := min(width[n.Layers.First], remaining[i]); w > minRate && w > width[n.Layers.End] {
 			width[n.Layers.End] = w
-			from[n.Layers.End] = i
+			last[n.Layers.End] = i
 		}
 	}
-	if from[layers] < 0 {
+	if last[layers] < 0 {
 		return Lane{}, false
 	}
 	lane := Lane{rate: width[layers]}
 	for at := layers; at > 0; {
-		i := from[at]
+		i := last[at]
 		lane.path = append([]Node{nodes[i]}, lane.path...)
-		left[i] -= lane.rate
+		remaining[i] -= lane.rate
 		at = nodes[i].Layers.First
 	}
 	return lane, true
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -11,17 +11,17 @@
 	"junctioncross/route"
 )
 
-type state struct {
+type serverState struct {
 	assigned []int
 	usable   []bool
 }
 
-func (s state) Assigned(i int) int { return s.assigned[i] }
-func (s state) Usable(i int) bool  { return s.usable[i] }
+func (s serverState) Assigned(i int) int { return s.assigned[i] }
+func (s serverState) Usable(i int) bool  { return s.usable[i] }
 
-func drawNodes(t *rapid.T, layers int) ([]route.Node, state) {
+func drawNodes(t *rapid.T, layers int) ([]route.Node, serverState) {
 	var nodes []route.Node
-	var s state
+	var s serverState
 	for i := range rapid.IntRange(0, 20).Draw(t, "servers") {
 		first := rapid.IntRange(0, layers-1).Draw(t, "first")
 		end := rapid.IntRange(first+1, layers).Draw(t, "end")
@@ -35,7 +35,7 @@
 }
 
 // pathExists searches by brute force.
-func pathExists(nodes []route.Node, s state, at, layers int) bool {
+func pathExists(nodes []route.Node, s serverState, at, layers int) bool {
 	if at == layers {
 		return true
 	}
@@ -68,7 +68,7 @@
 func TestChooseSpreadsWorkByWeight(t *testing.T) {
 	whole := models.Layers{First: 0, End: 4}
 	g := route.NewGraph(4, []route.Node{{Server: 0, Layers: whole, Weight: 30}, {Server: 1, Layers: whole, Weight: 10}})
-	s := state{assigned: []int{0, 0}, usable: []bool{true, true}}
+	s := serverState{assigned: []int{0, 0}, usable: []bool{true, true}}
 	random := rand.New(rand.NewPCG(2, 2))
 	for range 400 {
 		path, ok := route.Choose(g, s, random, nil)
@@ -79,9 +79,9 @@
 }
 
 // fleetGraph is one domain's share of a model at the size of two years on, and more.
-func fleetGraph(segments, perSegment int) (*route.Graph, state) {
+func fleetGraph(segments, perSegment int) (*route.Graph, serverState) {
 	var nodes []route.Node
-	var s state
+	var s serverState
 	for i := range segments * perSegment {
 		first := i % segments * 10
 		nodes = append(nodes, route.Node{Server: i, Layers: models.Layers{First: first, End: first + 10}, Weight: float64(10 + i%5)})
@@ -91,7 +91,7 @@
 	return route.NewGraph(segments*10, nodes), s
 }
 
-func TestLanesUseNoServerBeyondItsSpeedAndLoseNoneOfTheSlowestSegment(t *testing.T) {
+func TestLanesUseNoServerBeyondItsSpeedAndAllOfTheSlowestSegment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const segments = 3
 		var nodes []route.Node
