--- a/plan/compare.go
+++ b/plan/compare.go
@@ -10,9 +10,9 @@
 func Compare(before, after *intent.Document) []string {
 	var out []string
 	for _, m := range after.Models {
-		was, will := Bound(before, m.Name), Bound(after, m.Name)
-		if was != will {
-			out = append(out, fmt.Sprintf("model %s: bound %.0f -> %.0f tokens a second", m.Name, was, will))
+		rateBefore, rateAfter := Bound(before, m.Name), Bound(after, m.Name)
+		if rateBefore != rateAfter {
+			out = append(out, fmt.Sprintf("model %s: bound %.0f -> %.0f tokens a second", m.Name, rateBefore, rateAfter))
 		}
 	}
 	total := 0.0
--- a/plan/layout.go
+++ b/plan/layout.go
@@ -50,8 +50,8 @@
 	return lowest
 }
 
-// afterLoss returns the tokens a second that are left when the worst single server is lost.
-func (l *layout) afterLoss() float64 {
+// throughputAfterLoss returns the tokens a second that are left when the worst single server is lost.
+func (l *layout) throughputAfterLoss() float64 {
 	lowest := l.throughput()
 	for i, nodes := range l.nodes {
 		for _, n := range nodes {
@@ -63,7 +63,7 @@
 
 // score weighs the throughput of today against that after a fault, so that a segment does not hang on one server where
 // there are enough of them.
-func (l *layout) score() float64 { return l.throughput() + l.afterLoss() }
+func (l *layout) score() float64 { return l.throughput() + l.throughputAfterLoss() }
 
 // servers returns the number of servers that have a segment.
 func (l *layout) servers() int {
@@ -125,15 +125,15 @@
 
 func bestShift(l *layout, nodes []node) *layout {
 	var best *layout
-	limit := l.score()
+	bestScore := l.score()
 	for i := 0; i+1 < len(l.cuts); i++ {
 		for _, step := range []int{-1, 1} {
 			cuts := shifted(l.cuts, i, step)
 			if cuts == nil {
 				continue
 			}
-			if next := fill(cuts, nodes); next.score() > limit {
-				best, limit = next, next.score()
+			if next := fill(cuts, nodes); next.score() > bestScore {
+				best, bestScore = next, next.score()
 			}
 		}
 	}
--- a/plan/place.go
+++ b/plan/place.go
@@ -79,48 +79,48 @@
 func placeDomain(d *intent.Document, domain string, weights map[string]float64) []string {
 	var effects []string
 	for {
-		placed, refused := placeRound(d, domain, weights)
+		placed, skipped := placeRound(d, domain, weights)
 		effects = append(effects, placed...)
 		if len(placed) == 0 {
-			return append(effects, refused...)
+			return append(effects, skipped...)
 		}
 	}
 }
 
 // placeRound deals the free servers out; what a model cannot use is dealt again to the others. It returns what was placed
 // and what will not be.
-func placeRound(d *intent.Document, domain string, weights map[string]float64) (placed, refused []string) {
-	left := map[string]float64{}
+func placeRound(d *intent.Document, domain string, weights map[string]float64) (placed, skipped []string) {
+	remaining := map[string]float64{}
 	for m, w := range weights {
-		left[m] = w
+		remaining[m] = w
 	}
-	for len(left) > 0 {
+	for len(remaining) > 0 {
 		free := freeNodes(d, domain)
 		if len(free) == 0 {
 			return placed, nil
 		}
-		shares := shareNodes(d, domain, free, left)
+		nodesOf := distributeNodes(d, domain, free, remaining)
 		for i := range d.Models {
 			m := &d.Models[i]
-			nodes := shares[m.Name]
+			nodes := nodesOf[m.Name]
 			effects, ok := placeModel(d, domain, m, nodes)
 			if ok {
 				placed = append(placed, effects...)
 				continue
 			}
-			delete(left, m.Name)
-			refused = append(refused, effects...)
+			delete(remaining, m.Name)
+			skipped = append(skipped, effects...)
 		}
 	}
-	return placed, refused
+	return placed, skipped
 }
 
-// shareNodes deals the servers out, the fastest first, each to the model that has least for its weight.
-func shareNodes(d *intent.Document, domain string, free []node, weights map[string]float64) map[string][]node {
-	have := map[string]float64{}
+// distributeNodes deals the servers out, the fastest first, each to the model that has least for its weight.
+func distributeNodes(d *intent.Document, domain string, free []node, weights map[string]float64) map[string][]node {
+	rates := map[string]float64{}
 	for i := range d.Backends {
 		if b := &d.Backends[i]; b.Domain == domain && b.Model != "" && !b.Retiring {
-			have[b.Model] += LayerRate(d.Kind(b.Kind))
+			rates[b.Model] += LayerRate(d.Kind(b.Kind))
 		}
 	}
 	out := map[string][]node{}
@@ -132,13 +132,13 @@
 			if w == 0 {
 				continue
 			}
-			load := have[m.Name] / (w * float64(m.Layers))
+			load := rates[m.Name] / (w * float64(m.Layers))
 			if best == "" || load < lowest {
 				best, lowest = m.Name, load
 			}
 		}
 		if best != "" {
-			have[best] += n.rate
+			rates[best] += n.rate
 			out[best] = append(out[best], n)
 		}
 	}
@@ -196,16 +196,16 @@
 		l.add(n)
 	}
 	l.apply(m.Name)
-	var placed, refused []string
+	var placed, skipped []string
 	for _, n := range nodes {
 		if n.backend.Model == "" {
-			refused = append(refused, fmt.Sprintf("will not place backend server %s: too small for model %s", n.backend.Name, m.Name))
+			skipped = append(skipped, fmt.Sprintf("will not place backend server %s: too small for model %s", n.backend.Name, m.Name))
 			continue
 		}
 		placed = append(placed, fmt.Sprintf("backend server %s loads %s layers %s", n.backend.Name, m.Name, n.backend.Layers))
 	}
 	if len(placed) == 0 {
-		return refused, false
+		return skipped, false
 	}
 	return placed, true
 }
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -12,7 +12,7 @@
 	"junctioncross/plan"
 )
 
-func pool(t *rapid.T) *intent.Document {
+func drawDocument(t *rapid.T) *intent.Document {
 	d := &intent.Document{}
 	for i := range rapid.IntRange(1, 3).Draw(t, "models") {
 		name := fmt.Sprint("m", i)
@@ -38,7 +38,7 @@
 // changes nothing.
 func TestPlacedLayersTileTheirModelInEachDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		placed, _ := plan.Place(pool(t))
+		placed, _ := plan.Place(drawDocument(t))
 		cuts := map[string]map[models.Layers]bool{}
 		for _, b := range placed.Backends {
 			if b.Model == "" {
@@ -71,8 +71,8 @@
 	})
 }
 
-// uniform returns one model on servers of one kind in one domain.
-func uniform(layers, maxLayers, servers int) *intent.Document {
+// uniformDocument returns one model on servers of one kind in one domain.
+func uniformDocument(layers, maxLayers, servers int) *intent.Document {
 	d := &intent.Document{
 		Models: []intent.Model{{Name: "m", Layers: layers, Version: "v"}},
 		Groups: []intent.Group{{Name: "g", Weight: 1, Models: []string{"m"}}},
@@ -84,8 +84,8 @@
 	return d
 }
 
-func TestNoSegmentHangsOnOneServerWhereThereAreEnough(t *testing.T) {
-	d := uniform(24, 8, 6)
+func TestNoSegmentDependsOnOneServerWhereThereAreEnough(t *testing.T) {
+	d := uniformDocument(24, 8, 6)
 	placed, _ := plan.Place(d)
 	counts := map[models.Layers]int{}
 	for _, b := range placed.Backends {
@@ -96,8 +96,8 @@
 	}
 }
 
-func TestANewServerJoinsTheSlowestSegmentAndNothingElseMoves(t *testing.T) {
-	d := uniform(8, 4, 4)
+func TestANewServerJoinsTheSlowestSegmentAndOthersStay(t *testing.T) {
+	d := uniformDocument(8, 4, 4)
 	before, _ := plan.Place(d)
 	after, problems := intent.Apply(before, []intent.Change{&intent.AddBackend{Backend: intent.Backend{Name: "s4", Domain: "d", Kind: "k"}}})
 	require.Empty(t, problems)
