--- a/gossip/table.go
+++ b/gossip/table.go
@@ -29,47 +29,47 @@
 	Entries []Entry `cbor:"3,keyasint,omitempty"`
 }
 
-type origin struct {
-	known   Known
-	entries map[string]Entry
-	seen    time.Time
+type originState struct {
+	progress  Known
+	entries   map[string]Entry
+	updatedAt time.Time
 }
 
 // Table holds what an instance knows of the origins of its domain.
 type Table struct {
-	self    string
-	origins map[string]*origin
+	self   string
+	states map[string]*originState
 }
 
 // New returns a Table for the instance of that name; incarnation must grow with every start of it.
 func New(self string, incarnation uint64, now time.Time) *Table {
-	t := &Table{self: self, origins: map[string]*origin{}}
-	t.origins[self] = &origin{known: Known{Incarnation: incarnation}, entries: map[string]Entry{}, seen: now}
+	t := &Table{self: self, states: map[string]*originState{}}
+	t.states[self] = &originState{progress: Known{Incarnation: incarnation}, entries: map[string]Entry{}, updatedAt: now}
 	return t
 }
 
 // Set states a fact about this instance; an unchanged body is not stated again.
 func (t *Table) Set(key string, body []byte) {
-	own := t.origins[t.self]
+	own := t.states[t.self]
 	if old, ok := own.entries[key]; ok && bytes.Equal(old.Body, body) {
 		return
 	}
-	own.known.Version++
-	own.entries[key] = Entry{Key: key, Version: own.known.Version, Body: body}
+	own.progress.Version++
+	own.entries[key] = Entry{Key: key, Version: own.progress.Version, Body: body}
 }
 
 // Beat shows the others that this instance lives.
 func (t *Table) Beat(now time.Time) {
-	own := t.origins[t.self]
-	own.known.Version++
-	own.seen = now
+	own := t.states[t.self]
+	own.progress.Version++
+	own.updatedAt = now
 }
 
 // Digest returns how far every origin is known here.
 func (t *Table) Digest() Digest {
-	d := make(Digest, len(t.origins))
-	for name, o := range t.origins {
-		d[name] = o.known
+	d := make(Digest, len(t.states))
+	for name, o := range t.states {
+		d[name] = o.progress
 	}
 	return d
 }
@@ -77,14 +77,14 @@
 // Delta returns what the holder of a digest lacks.
 func (t *Table) Delta(theirs Digest) []Update {
 	var out []Update
-	for name, o := range t.origins {
-		known := theirs[name]
-		if !newer(o.known, known) {
+	for name, o := range t.states {
+		progress := theirs[name]
+		if !newer(o.progress, progress) {
 			continue
 		}
-		u := Update{Origin: name, Known: o.known}
+		u := Update{Origin: name, Known: o.progress}
 		for _, e := range o.entries {
-			if known.Incarnation != o.known.Incarnation || e.Version > known.Version {
+			if progress.Incarnation != o.progress.Incarnation || e.Version > progress.Version {
 				u.Entries = append(u.Entries, e)
 			}
 		}
@@ -107,17 +107,17 @@
 		if u.Origin == t.self {
 			continue
 		}
-		o := t.origins[u.Origin]
-		if o != nil && !newer(u.Known, o.known) {
+		o := t.states[u.Origin]
+		if o != nil && !newer(u.Known, o.progress) {
 			continue
 		}
-		if o == nil || o.known.Incarnation != u.Known.Incarnation {
-			o = &origin{entries: map[string]Entry{}}
-			t.origins[u.Origin] = o
+		if o == nil || o.progress.Incarnation != u.Known.Incarnation {
+			o = &originState{entries: map[string]Entry{}}
+			t.states[u.Origin] = o
 			changed = true
 		}
-		o.seen = now
-		o.known = u.Known
+		o.updatedAt = now
+		o.progress = u.Known
 		for _, e := range u.Entries {
 			if e.Version > o.entries[e.Key].Version {
 				o.entries[e.Key] = e
@@ -130,9 +130,9 @@
 
 // Forget drops the origins that were silent for longer than limit.
 func (t *Table) Forget(now time.Time, limit time.Duration) {
-	for name, o := range t.origins {
-		if name != t.self && now.Sub(o.seen) > limit {
-			delete(t.origins, name)
+	for name, o := range t.states {
+		if name != t.self && now.Sub(o.updatedAt) > limit {
+			delete(t.states, name)
 		}
 	}
 }
@@ -160,13 +160,13 @@
 
 // Origins returns what is known of every instance, in order of name.
 func (t *Table) Origins(now time.Time) []Origin {
-	out := make([]Origin, 0, len(t.origins))
-	for name, o := range t.origins {
-		silent := now.Sub(o.seen)
+	out := make([]Origin, 0, len(t.states))
+	for name, o := range t.states {
+		silent := now.Sub(o.updatedAt)
 		if name == t.self {
 			silent = 0
 		}
-		out = append(out, Origin{Name: name, Incarnation: o.known.Incarnation, Silent: silent, entries: o.entries})
+		out = append(out, Origin{Name: name, Incarnation: o.progress.Incarnation, Silent: silent, entries: o.entries})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
--- a/gossip/table_test.go
+++ b/gossip/table_test.go
@@ -11,8 +11,8 @@
 	"junctioncross/gossip"
 )
 
-// TestTablesConvergeAndNeverGoBack lets tables state facts, restart and exchange news in any order.
-func TestTablesConvergeAndNeverGoBack(t *testing.T) {
+// TestTablesConvergeAndNeverRegress lets tables state facts, restart and exchange news in any order.
+func TestTablesConvergeAndNeverRegress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		const count = 4
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestSilentOriginsAreForgottenAndUnchangedFactsAreNotStated(t *testing.T) {
+func TestSilentOriginsAreForgottenAndUnchangedEntriesAreNotPublished(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a, b := gossip.New("a", 1, now), gossip.New("b", 1, now)
 	b.Set("k", []byte("x"))
