--- a/keys/authority.go
+++ b/keys/authority.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	authorityLife   = 10 * 365 * 24 * time.Hour
-	certificateLife = 365 * 24 * time.Hour
-	backdate        = time.Hour
-	serialBits      = 128
-	fileMode        = 0o600
-	dirMode         = 0o700
+	authorityValidity   = 10 * 365 * 24 * time.Hour
+	certificateValidity = 365 * 24 * time.Hour
+	backdate            = time.Hour
+	serialBits          = 128
+	fileMode            = 0o600
+	dirMode             = 0o700
 )
 
 // Names of the files that Write makes.
@@ -47,8 +47,8 @@
 		return nil, errors.Wrap(err, "keys: generate")
 	}
 	template := &x509.Certificate{
-		SerialNumber: serial(), Subject: pkix.Name{CommonName: "junctioncross development authority"},
-		NotBefore: now.Add(-backdate), NotAfter: now.Add(authorityLife),
+		SerialNumber: newSerial(), Subject: pkix.Name{CommonName: "junctioncross development authority"},
+		NotBefore: now.Add(-backdate), NotAfter: now.Add(authorityValidity),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
@@ -59,7 +59,7 @@
 	return &Authority{cert: cert, der: der, key: key}, errors.Wrap(err, "keys: parse authority")
 }
 
-func serial() *big.Int {
+func newSerial() *big.Int {
 	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		panic(err)
@@ -81,7 +81,7 @@
 	if err != nil {
 		return errors.Wrap(err, "keys: generate")
 	}
-	template := holder(id, now)
+	template := certificateTemplate(id, now)
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		return errors.Wrap(err, "keys: sign")
@@ -96,11 +96,11 @@
 	return writePEM(filepath.Join(dir, id.name+suffixCert), "CERTIFICATE", der)
 }
 
-// holder returns the template of an identity's certificate.
-func holder(id Identity, now time.Time) *x509.Certificate {
+// certificateTemplate returns the template of an identity's certificate.
+func certificateTemplate(id Identity, now time.Time) *x509.Certificate {
 	return &x509.Certificate{
-		SerialNumber: serial(), Subject: pkix.Name{CommonName: id.name},
-		NotBefore: now.Add(-backdate), NotAfter: now.Add(certificateLife),
+		SerialNumber: newSerial(), Subject: pkix.Name{CommonName: id.name},
+		NotBefore: now.Add(-backdate), NotAfter: now.Add(certificateValidity),
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
--- a/keys/fleetkey.go
+++ b/keys/fleetkey.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "keys: generate")
 	}
-	template := holder(NewIdentity(RoleInstance, "", "fleet"), now)
+	template := certificateTemplate(NewIdentity(RoleInstance, "", "fleet"), now)
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return nil, errors.Wrap(err, "keys: sign")
@@ -84,11 +84,11 @@
 		MinVersion: tls.VersionTLS13, NextProtos: protocols, Certificates: []tls.Certificate{cert},
 		// There is no authority: a peer is known by showing the same certificate.
 		InsecureSkipVerify: true,
-		VerifyConnection:   func(state tls.ConnectionState) error { return verifySame(state.PeerCertificates, own) },
+		VerifyConnection:   func(state tls.ConnectionState) error { return verifySameCertificate(state.PeerCertificates, own) },
 	}, nil
 }
 
-func verifySame(chain []*x509.Certificate, own string) error {
+func verifySameCertificate(chain []*x509.Certificate, own string) error {
 	if len(chain) == 0 {
 		return errors.New("keys: peer showed no certificate")
 	}
--- a/keys/identity.go
+++ b/keys/identity.go
@@ -18,7 +18,7 @@
 	RoleViewer   Role = "viewer"
 )
 
-const scheme = "jx"
+const uriScheme = "jx"
 
 // Identity is the holder of a certificate, kept in it as a URI such as jx://instance/east/a1.
 type Identity struct {
@@ -42,14 +42,14 @@
 func (i Identity) Name() string { return i.name }
 
 func (i Identity) uri() *url.URL {
-	return &url.URL{Scheme: scheme, Host: string(i.role), Path: "/" + i.domain + "/" + i.name}
+	return &url.URL{Scheme: uriScheme, Host: string(i.role), Path: "/" + i.domain + "/" + i.name}
 }
 
 // IdentityOf reads the identity from a verified certificate.
 func IdentityOf(c *x509.Certificate) (Identity, error) {
 	for _, u := range c.URIs {
 		parts := strings.Split(strings.TrimPrefix(u.Path, "/"), "/")
-		if u.Scheme == scheme && len(parts) == 2 {
+		if u.Scheme == uriScheme && len(parts) == 2 {
 			return Identity{role: Role(u.Host), domain: parts[0], name: parts[1]}, nil
 		}
 	}
--- a/keys/ring.go
+++ b/keys/ring.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// reloadAfter is how long a loaded certificate is used before the files are looked at again.
-const reloadAfter = 10 * time.Second
+// checkInterval is how long a loaded certificate is used before the files are looked at again.
+const checkInterval = 10 * time.Second
 
 // Files names the files of one holder.
 type Files struct {
@@ -24,11 +24,11 @@
 type Ring struct {
 	files Files
 
-	mu     sync.Mutex
-	cert   *tls.Certificate
-	roots  *x509.CertPool
-	loaded time.Time
-	stamp  time.Time
+	mu        sync.Mutex
+	cert      *tls.Certificate
+	roots     *x509.CertPool
+	checkedAt time.Time
+	modTime   time.Time
 }
 
 // NewRing loads the files; it returns an error that names the file that cannot be used.
@@ -53,11 +53,11 @@
 	if !roots.AppendCertsFromPEM(body) {
 		return errors.Errorf("keys: authority %s holds no certificate", r.files.Authority)
 	}
-	r.cert, r.roots, r.loaded, r.stamp = &cert, roots, time.Now(), r.modified()
+	r.cert, r.roots, r.checkedAt, r.modTime = &cert, roots, time.Now(), r.certificateModTime()
 	return nil
 }
 
-func (r *Ring) modified() time.Time {
+func (r *Ring) certificateModTime() time.Time {
 	info, err := os.Stat(r.files.Certificate)
 	if err != nil {
 		return time.Time{}
@@ -69,9 +69,9 @@
 func (r *Ring) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.loaded) > reloadAfter {
-		r.loaded = time.Now()
-		if stamp := r.modified(); !stamp.Equal(r.stamp) {
+	if time.Since(r.checkedAt) > checkInterval {
+		r.checkedAt = time.Now()
+		if modTime := r.certificateModTime(); !modTime.Equal(r.modTime) {
 			_ = r.load()
 		}
 	}
