--- a/share/queue.go
+++ b/share/queue.go
@@ -1,5 +1,6 @@
 package share
 
+// heapItem is an element of a queue; the queue keeps its index up to date.
 type heapItem interface {
 	cost() float64
 	setIndex(i int)
@@ -8,7 +9,7 @@
 func (p *entity) cost() float64  { return p.weightedCost }
 func (p *entity) setIndex(i int) { p.index = i }
 
-// queue is a heap of parties, the one with the least used cost first.
+// queue is a heap of groups or accounts, the one with the lowest weighted cost first.
 type queue[T heapItem] []T
 
 // Len implements heap.Interface.
--- a/share/scheduler.go
+++ b/share/scheduler.go
@@ -4,37 +4,41 @@
 
 // Costs of tokens, in units of one generated token.
 const (
-	// PromptCost is the cost of a prompt token, which runs in one batch with the others of its prompt.
+	// PromptCost is the cost of a prompt token. It is low because all tokens of a prompt run in one batch.
 	PromptCost = 0.05
 	// TokenCost is the cost of a generated token.
 	TokenCost = 1.0
-	// maxCredit is the cost that an owner can be behind others when it comes back.
+	// maxCredit is the largest cost by which a group or account that was idle can be behind the others when its next request
+	// arrives.
 	maxCredit = 500.0
 )
 
-// Waiter is one request in the queue.
+// Waiter is one queued request.
 type Waiter struct {
 	account    *account
 	next, prev *Waiter
 	dropped    bool
-	// OnAdmitted is called by the owner when the request is chosen.
+	// OnAdmitted is called by the user of the Scheduler, not by the Scheduler itself, after Next has returned the request.
 	OnAdmitted func()
 }
 
-// entity is a group or an account with its used cost divided by its weight.
+// entity holds what groups and accounts have in common.
 type entity struct {
-	name         string
-	weight       float64
+	name   string
+	weight float64
+	// weightedCost is the used cost divided by the weight.
 	weightedCost float64
-	index        int
-	queued       int
+	// index is the position in the heap.
+	index int
+	// queued counts the waiters in the queue, including dropped ones that Next has not removed yet.
+	queued int
 }
 
 type account struct {
 	entity
 	group       *group
 	first, last *Waiter
-	// live is the number of waiters that have not been dropped.
+	// live is the number of queued waiters that have not been dropped.
 	live int
 }
 
@@ -44,7 +48,7 @@
 	waiting  queue[*account]
 }
 
-// Scheduler orders waiting requests by the used shares of their groups and accounts.
+// Scheduler orders queued requests by what their groups and accounts have used, relative to their weights.
 type Scheduler struct {
 	groups  map[string]*group
 	waiting queue[*group]
@@ -54,10 +58,10 @@
 // New returns an empty Scheduler.
 func New() *Scheduler { return &Scheduler{groups: map[string]*group{}} }
 
-// Len returns the number of waiting requests.
+// Len returns the number of queued requests, without the dropped ones.
 func (s *Scheduler) Len() int { return s.length }
 
-// Owner names the account that a request belongs to.
+// Owner identifies the account that a request belongs to and gives the weights of the account and its group.
 type Owner struct {
 	Group         string  `cbor:"1,keyasint"`
 	GroupWeight   float64 `cbor:"2,keyasint"`
@@ -65,8 +69,8 @@
 	AccountWeight float64 `cbor:"4,keyasint"`
 }
 
-// Enqueue adds a request. An owner that had nothing waiting starts at most creditCost behind the least served one that has:
-// long silence earns no more, but a queue that runs empty for a moment costs nothing.
+// Enqueue adds a request. A group or account that had nothing queued starts at most maxCredit behind the least served one that
+// has: a long idle time earns no more credit than that, but a queue that runs empty for a moment loses none.
 func (s *Scheduler) Enqueue(o Owner, admitted func()) *Waiter {
 	a := s.account(o)
 	w := &Waiter{account: a, OnAdmitted: admitted}
@@ -83,7 +87,8 @@
 	return w
 }
 
-// addWaiting counts the new request of the account and puts its parties into the queues.
+// addWaiting counts a new request of the account, and puts the account and its group into the queues if they had no request
+// queued before.
 func (s *Scheduler) addWaiting(a *account) {
 	g := a.group
 	a.queued++
@@ -102,7 +107,7 @@
 	}
 }
 
-// Next removes and returns the request that is due, or nil.
+// Next removes and returns the request that is next in order, or nil if none is queued.
 func (s *Scheduler) Next() *Waiter {
 	for len(s.waiting) > 0 {
 		a := s.waiting[0].waiting[0]
@@ -123,6 +128,7 @@
 	return nil
 }
 
+// removeWaiting undoes addWaiting for a request that was removed from the account's queue.
 func (s *Scheduler) removeWaiting(a *account) {
 	g := a.group
 	a.queued--
@@ -135,7 +141,7 @@
 	}
 }
 
-// Drop takes a request that gave up out of the order.
+// Drop cancels a queued request: Next will not return it.
 func (s *Scheduler) Drop(w *Waiter) {
 	if !w.dropped {
 		w.dropped = true
@@ -144,8 +150,8 @@
 	}
 }
 
-// EvictionCandidate returns the newest request of the account that has the most waiting for its weight, or nil when that is not more
-// than the owner would have with one more: then the owner itself is the one to be refused.
+// EvictionCandidate returns the newest queued request of the account that has the most requests queued relative to its weight.
+// It returns nil if the owner, with one more request, would have at least as many: then the owner's request is to be refused.
 func (s *Scheduler) EvictionCandidate(o Owner) *Waiter {
 	own := s.account(o)
 	highest := float64(own.live+1) / (own.weight * own.group.weight)
@@ -168,7 +174,8 @@
 	return nil
 }
 
-// Charge adds used cost to the owner; it applies to requests that run here or, as a delta, on another instance.
+// Charge adds cost to the owner's usage. The cost comes from a request on this instance, or is the increase of the owner's
+// usage on another instance.
 func (s *Scheduler) Charge(o Owner, cost float64) {
 	a := s.account(o)
 	a.weightedCost += cost / a.weight
@@ -181,6 +188,7 @@
 	}
 }
 
+// account returns the owner's account with its current weights, and creates the account and its group if needed.
 func (s *Scheduler) account(o Owner) *account {
 	g := s.groups[o.Group]
 	if g == nil {
@@ -197,4 +205,5 @@
 	return a
 }
 
+// minWeight replaces smaller weights, by which costs could not be divided.
 const minWeight = 1e-6
--- a/share/scheduler_test.go
+++ b/share/scheduler_test.go
@@ -35,7 +35,7 @@
 				order[w], accounts[w], waiters[w] = in, o.Account, true
 			case 2:
 				if w := s.Next(); w != nil {
-					require.True(t, waiters[w], "came out twice or after it was dropped")
+					require.True(t, waiters[w], "admitted twice or after it was dropped")
 					delete(waiters, w)
 					require.Greater(t, order[w], last[accounts[w]])
 					last[accounts[w]] = order[w]
@@ -56,7 +56,8 @@
 	})
 }
 
-// TestSharesFollowWeights serves two groups that always wait, one account of which asks ten times as often.
+// TestSharesFollowWeights serves two groups that always have requests queued. One account sends ten times as many as another
+// of its group and must not get more.
 func TestSharesFollowWeights(t *testing.T) {
 	s := share.New()
 	weights := []float64{1, 3}
@@ -92,18 +93,19 @@
 	for range 5 {
 		heavy = append(heavy, s.Enqueue(owner(0, 0, weights), func() {}))
 	}
-	require.Nil(t, s.EvictionCandidate(owner(0, 0, weights)), "the heaviest owner makes no room for itself")
+	require.Nil(t, s.EvictionCandidate(owner(0, 0, weights)), "the account with the longest queue evicts none of its own requests")
 	w := s.EvictionCandidate(owner(0, 1, weights))
-	require.Equal(t, heavy[4], w, "the newest goes first")
+	require.Equal(t, heavy[4], w, "the newest request is evicted first")
 	s.Drop(w)
 	require.Equal(t, heavy[3], s.EvictionCandidate(owner(0, 1, weights)))
 	for range 3 {
 		s.Enqueue(owner(0, 1, weights), func() {})
 	}
-	require.Nil(t, s.EvictionCandidate(owner(0, 1, weights)), "as many as the other would have")
+	require.Nil(t, s.EvictionCandidate(owner(0, 1, weights)), "the owner would have as many as the other")
 }
 
-// TestAnIdleGroupGetsBoundedCredit lets a group come back after another has used twenty times the credit.
+// TestAnIdleGroupGetsBoundedCredit sends the first requests of a group after another group has used twenty times the credit.
+// The new group may be served ahead of the other only up to the credit.
 func TestAnIdleGroupGetsBoundedCredit(t *testing.T) {
 	const credit = 500
 	s := share.New()
@@ -130,7 +132,7 @@
 	require.InDelta(t, credit, ahead, 1, "served ahead of the busy group")
 }
 
-// busyScheduler returns a scheduler in which every account of the design's groups waits.
+// busyScheduler returns a scheduler with the given number of accounts in 35 groups, each of which has one request queued.
 func busyScheduler(accounts int) (*share.Scheduler, []share.Owner) {
 	s := share.New()
 	owners := make([]share.Owner, accounts)
