--- a/admit/doc.go
+++ b/admit/doc.go
@@ -1,2 +1,3 @@
-// Package admit limits the requests that run at once for each model and lets waiting ones in by their shares.
+// Package admit limits the number of requests that run at once for each model, and admits queued requests by weighted fair
+// shares.
 package admit
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -12,44 +12,46 @@
 	"junctioncross/timer"
 )
 
-// Errors of this layer.
+// Errors that Enter returns.
 var (
-	// ErrOverloaded means that the wait would be too long; the request was not started.
+	// ErrOverloaded means that the wait for a slot is, or would be, too long; the request was not started.
 	ErrOverloaded = errors.New("admit: overloaded")
-	// ErrCallerGone means that the caller gave up while waiting.
+	// ErrCallerGone means that the request's context ended while it waited for a slot; the request was not started.
 	ErrCallerGone = errors.New("admit: caller gone")
 )
 
 const (
-	// initialServiceTime is the assumed time of a request until one was seen.
+	// initialServiceTime is the assumed mean run time of a request until requests have been measured.
 	initialServiceTime = 500 * time.Millisecond
-	// arrivalRateDivisor is the weight of the newest interval in the mean rate of arrivals, as a divisor.
+	// arrivalRateDivisor is the inverse of the newest interval's weight in the moving average of the arrival rate, and
+	// serviceTimeDivisor that of the newest request's weight in the moving average of the run time.
 	arrivalRateDivisor = 2
 	serviceTimeDivisor = 16
 )
 
-// Gate admits requests for one model.
+// Gate is the admission control for one model. It is safe for concurrent use.
 type Gate struct {
 	clock   *timer.Service
 	maxWait time.Duration
 
-	mu          sync.Mutex
-	limit       int
-	running     int
+	mu      sync.Mutex
+	limit   int
+	running int
+	// serviceTime is the moving average of the time that an admitted request holds its slot.
 	serviceTime time.Duration
-	// arrivals counts the requests since counted; rate is their mean number a second.
+	// arrivals counts the requests since countedSince; arrivalRate is the moving average of arrivals a second.
 	arrivals     int
 	countedSince time.Time
 	arrivalRate  float64
 	scheduler    *share.Scheduler
-	// usage holds the cost used here since the start, and recent that since the last TakeTop.
+	// usage holds the cost that each owner has used on this instance since the start, recent the cost since the last TakeTop.
 	usage  map[share.Owner]float64
 	recent map[share.Owner]float64
-	// refusals tells waiting requests that they had to make room.
+	// refusals holds, for each queued request, the channel that is closed when the request is evicted.
 	refusals map[*share.Waiter]chan struct{}
 }
 
-// New returns a Gate that refuses a request when its predicted wait is longer than maxWait.
+// New returns a Gate that refuses a request when its predicted wait is longer than maxWait. The limit is 1 until SetLimit.
 func New(clock *timer.Service, maxWait time.Duration) *Gate {
 	return &Gate{
 		clock: clock, maxWait: maxWait, countedSince: clock.Now(), limit: 1, serviceTime: initialServiceTime,
@@ -58,7 +60,7 @@
 	}
 }
 
-// Ticket is the right to run one request.
+// Ticket is the permission to run one request; it holds one slot of the limit until Leave.
 type Ticket struct {
 	gate        *Gate
 	owner       share.Owner
@@ -66,7 +68,7 @@
 	releaseOnce sync.Once
 }
 
-// SetLimit sets the number of requests that run at once.
+// SetLimit sets the number of slots: the requests that run at once. Values below 1 count as 1.
 func (g *Gate) SetLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -74,10 +76,12 @@
 	g.admitWaiting()
 }
 
-// Offered returns the places that would serve everything that was asked for here, refused or not: the mean number of
-// arrivals a second times the time that a request takes. It must be called at regular intervals.
+// Offered returns the offered load: the number of slots that would serve all requests that arrive here, refused ones
+// included. It is the mean arrival rate times the mean run time, and at least the number of running requests. It must be
+// called at regular intervals, because each call ends an interval of the arrival rate.
 //
-// What runs and waits would not do, because it follows from the limit: an instance with a higher limit would ask for more.
+// The number of running and queued requests is no measure of the load, because it depends on the limit: an instance with a
+// higher limit would ask for still more.
 func (g *Gate) Offered() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -89,7 +93,9 @@
 	return max(g.arrivalRate*g.serviceTime.Seconds(), float64(g.running))
 }
 
-// Enter waits for a place; it returns ErrOverloaded at once when the predicted wait is too long, or ErrGone.
+// Enter waits for a slot. It returns ErrOverloaded at once when the predicted wait is too long and no other owner's request
+// can be evicted, or later when the request itself is evicted or has waited for twice maxWait. It returns ErrCallerGone when
+// the context ends.
 func (g *Gate) Enter(ctx context.Context, owner share.Owner) (*Ticket, error) {
 	admitted := make(chan struct{})
 	g.mu.Lock()
@@ -116,16 +122,16 @@
 	}
 }
 
-// RetryAfter returns when a refused caller may come back.
+// RetryAfter returns the time after which a refused caller may retry: the predicted wait, and at least a second.
 func (g *Gate) RetryAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return max(g.predictedWait(), time.Second)
 }
 
-// evictForOwner refuses the newest request of the account that has most waiting in favour of an owner that has less, so that
-// an account that asks too much is the one to be refused; it reports false when that is the owner itself. The caller holds
-// the lock.
+// evictForOwner refuses the newest request of the account that has the most requests queued, in favour of an owner that has
+// fewer, so that accounts that send too much are the ones to be refused. It returns false when that account is the owner's.
+// The caller holds the lock.
 func (g *Gate) evictForOwner(owner share.Owner) bool {
 	w := g.scheduler.EvictionCandidate(owner)
 	if w == nil {
@@ -139,14 +145,14 @@
 	return true
 }
 
-// removeRefusal ends the bookkeeping of a request that has left the queue.
+// removeRefusal removes the refusal channel of a request that is no longer queued.
 func (g *Gate) removeRefusal(w *share.Waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.refusals, w)
 }
 
-// predictedWait returns how long a new request would wait; the caller holds the lock.
+// predictedWait returns how long a new request would wait for a slot; the caller holds the lock.
 func (g *Gate) predictedWait() time.Duration {
 	ahead := g.running + g.scheduler.Len() + 1 - g.limit
 	if ahead <= 0 {
@@ -155,6 +161,7 @@
 	return g.serviceTime * time.Duration(ahead) / time.Duration(g.limit)
 }
 
+// admitWaiting admits queued requests while slots are free; the caller holds the lock.
 func (g *Gate) admitWaiting() {
 	for g.running < g.limit {
 		w := g.scheduler.Next()
@@ -166,17 +173,19 @@
 	}
 }
 
+// abandon withdraws a request whose context has ended.
 func (g *Gate) abandon(w *share.Waiter, admitted chan struct{}) error {
 	g.withdraw(w, admitted)
 	return ErrCallerGone
 }
 
+// expire withdraws a request that has waited too long.
 func (g *Gate) expire(w *share.Waiter, admitted chan struct{}) error {
 	g.withdraw(w, admitted)
 	return ErrOverloaded
 }
 
-// withdraw takes a request out of the queue, or gives its place back when it was admitted meanwhile.
+// withdraw removes a request from the queue, or releases its slot if it has been admitted meanwhile.
 func (g *Gate) withdraw(w *share.Waiter, admitted chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -189,7 +198,7 @@
 	}
 }
 
-// Charge adds cost that the ticket's owner used here.
+// Charge adds cost that the ticket's owner has used on this instance.
 func (t *Ticket) Charge(cost float64) {
 	g := t.gate
 	g.mu.Lock()
@@ -199,7 +208,7 @@
 	g.recent[t.owner] += cost
 }
 
-// Leave gives the place back; further calls do nothing.
+// Leave releases the slot; further calls do nothing.
 func (t *Ticket) Leave() {
 	t.releaseOnce.Do(func() {
 		g := t.gate
@@ -211,13 +220,14 @@
 	})
 }
 
-// Usage is the cost that an owner has used on one instance since that started.
+// Usage is the cost that an owner has used on one instance since the instance started.
 type Usage struct {
 	Owner share.Owner `cbor:"1,keyasint"`
 	Cost  float64     `cbor:"2,keyasint"`
 }
 
-// TakeTop returns the owners that used most since the last call, at most count, with all that they have used.
+// TakeTop returns the owners that have used most since the last call, at most count of them, with their usage since the start.
+// It starts a new interval.
 func (g *Gate) TakeTop(count int) []Usage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -234,7 +244,7 @@
 	return out
 }
 
-// ChargeRemote adds cost that an owner used on another instance.
+// ChargeRemote adds cost that an owner has used on another instance; it counts for the order of requests only.
 func (g *Gate) ChargeRemote(owner share.Owner, cost float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/admit/gates.go
+++ b/admit/gates.go
@@ -16,12 +16,12 @@
 	byModel map[string]*Gate
 }
 
-// NewGates returns an empty set whose gates refuse waits longer than maxWait.
+// NewGates returns an empty set whose gates refuse requests with a predicted wait longer than maxWait.
 func NewGates(clock *timer.Service, maxWait time.Duration) *Gates {
 	return &Gates{clock: clock, maxWait: maxWait, byModel: map[string]*Gate{}}
 }
 
-// Gate returns the gate of a model and creates it when there is none.
+// Gate returns the gate of a model and creates it if there is none.
 func (g *Gates) Gate(model string) *Gate {
 	g.mu.Lock()
 	defer g.mu.Unlock()
