--- a/route/choose.go
+++ b/route/choose.go
@@ -1,19 +1,20 @@
 package route
 
-// Loads tells the state of the servers at the moment of a choice.
+// Loads reports the load and the availability of the servers at the time of a choice.
 type Loads interface {
-	// Assigned returns the attempts that this instance has under way on a server.
+	// Assigned returns the number of attempts that this instance has in progress on a server.
 	Assigned(server int) int
-	// Usable reports whether the server may get new work.
+	// Usable reports whether the server may receive new work.
 	Usable(server int) bool
 }
 
 // Random is a source of numbers uniform in [0, 1).
 type Random interface{ Float64() float64 }
 
-// Choose appends to path the servers of one path through the graph and reports whether there is one.
+// Choose appends the servers of one path through the graph to path and reports whether there is such a path.
 //
-// It takes the lane with the least work for its speed; when no lane is wholly usable it goes from server to server.
+// It takes the lane with the least load relative to its speed. When every lane has an unusable server, it chooses the path
+// server by server.
 func Choose(g *Graph, loads Loads, random Random, path []Node) ([]Node, bool) {
 	if g.Empty() {
 		return path, false
@@ -33,11 +34,11 @@
 	return path, true
 }
 
-// chooseLane returns the index of the usable lane with the least pressure, or -1.
+// chooseLane returns the index of the lane with the lowest pressure among those whose servers are all usable, or -1.
 func chooseLane(lanes []Lane, loads Loads, random Random) int {
 	best, lowest := -1, 0.0
 	for i := range lanes {
-		// The random part spreads the first attempts of many instances over the lanes by their rates.
+		// The random part spreads the first attempts of many instances over the lanes in proportion to their rates.
 		p, ok := lanePressure(&lanes[i], loads, random.Float64())
 		if ok && (best < 0 || p < lowest) {
 			best, lowest = i, p
@@ -46,7 +47,8 @@
 	return best
 }
 
-// lanePressure returns the work for its speed of the lane's busiest server, and false when one may get no work.
+// lanePressure returns the load relative to speed of the lane's busiest server, and false when a server of the lane is not
+// usable.
 func lanePressure(l *Lane, loads Loads, random float64) (float64, bool) {
 	highest := random / l.rate
 	for _, n := range l.path {
@@ -58,7 +60,8 @@
 	return highest, true
 }
 
-// chooseNext draws two candidates by weight and takes the one with less work for its speed.
+// chooseNext draws two candidates at random by weight and returns the one with the lower pressure. When neither is usable it
+// returns the usable candidate with the lowest pressure.
 func chooseNext(c *candidates, loads Loads, random Random) (Node, bool) {
 	if c == nil {
 		return Node{}, false
@@ -81,7 +84,7 @@
 	}
 }
 
-// pressure returns the work of a server, with one more attempt, for its speed.
+// pressure returns a server's load relative to its speed, counting one more attempt.
 func pressure(loads Loads, n Node) float64 {
 	return float64(loads.Assigned(n.Server)+1) / n.Weight
 }
@@ -96,7 +99,8 @@
 	return best, found
 }
 
-// search finds any path of usable servers, for graphs in which the quick choice ran into a dead end.
+// search finds any path of usable servers by depth-first search. It is used when the server-by-server choice reached a layer
+// from which no usable server continues.
 func search(g *Graph, loads Loads, path []Node, at int) ([]Node, bool) {
 	if at == g.layers {
 		return path, true
--- a/route/doc.go
+++ b/route/doc.go
@@ -1,3 +1,3 @@
 // Package route chooses the backend servers that one attempt passes through: a path of layer ranges from the first layer
-// to the last. It holds no clock and does no I/O.
+// to the last. It reads no clock and does no I/O.
 package route
--- a/route/graph.go
+++ b/route/graph.go
@@ -7,26 +7,26 @@
 	"junctioncross/models"
 )
 
-// Node is one backend server as the graph sees it.
+// Node is one backend server in the graph.
 type Node struct {
-	// Server is the index that the caller knows the backend server by.
+	// Server is the caller's index of the backend server.
 	Server int
 	Layers models.Layers
-	// Weight is the server's speed: tokens a second through its layers.
+	// Weight is the server's speed in tokens a second through its layers.
 	Weight float64
-	// Step is the time of one step with a full batch.
+	// Step is the duration of one step with a full batch.
 	Step time.Duration
 }
 
 // Graph holds the servers of one model that lie on some path from the first layer to the last.
 type Graph struct {
 	layers int
-	// starts lists the candidates by the layer at which they begin.
+	// starts holds the candidates by their first layer.
 	starts map[int]*candidates
 	lanes  []Lane
 }
 
-// Lanes returns the lanes, the widest first.
+// Lanes returns the lanes, the one with the highest rate first.
 func (g *Graph) Lanes() []Lane {
 	if g == nil {
 		return nil
@@ -40,7 +40,7 @@
 	cumulative []float64
 }
 
-// NewGraph returns the graph of a model with that number of layers; servers on no whole path are left out.
+// NewGraph returns the graph of a model with the given number of layers. Servers that lie on no complete path are left out.
 func NewGraph(layers int, nodes []Node) *Graph {
 	g := &Graph{layers: layers, starts: map[int]*candidates{}}
 	fromStart := reachable(nodes, 0, func(n Node) (int, int) { return n.Layers.First, n.Layers.End })
@@ -59,7 +59,8 @@
 	return g
 }
 
-// reachable returns the layer boundaries that whole servers connect with the boundary at.
+// reachable returns the layer boundaries that can be reached from the boundary at through servers that each run all their
+// layers. The function ends gives the direction: a server leads from one boundary to the other.
 func reachable(nodes []Node, at int, ends func(Node) (from, to int)) map[int]bool {
 	seen := map[int]bool{at: true}
 	for grown := true; grown; {
@@ -92,7 +93,7 @@
 // Empty reports whether no path leads from the first layer to the last.
 func (g *Graph) Empty() bool { return g == nil || g.starts[0] == nil }
 
-// pick returns the index of a random candidate, by weight; random is uniform in [0, 1).
+// pick returns the index of a candidate drawn by weight; random is uniform in [0, 1).
 func (c *candidates) pick(random float64) int {
 	target := random * c.cumulative[len(c.cumulative)-1]
 	i := sort.SearchFloat64s(c.cumulative, target)
--- a/route/lanes.go
+++ b/route/lanes.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// maxLanes bounds the lanes of one graph.
+// maxLanes limits the number of lanes of one graph.
 const maxLanes = 1024
 
-// Lane is a path with the tokens a second that it can carry beside the other lanes.
+// Lane is a path with its share of the speed of its servers: the tokens a second that it can carry while the other lanes are
+// in use too.
 type Lane struct {
 	path []Node
 	rate float64
@@ -17,10 +18,10 @@
 // Path returns the servers of the lane.
 func (l Lane) Path() []Node { return l.path }
 
-// Rate returns the lane's share of its servers, in tokens a second.
+// Rate returns the lane's share of the speed of its servers, in tokens a second.
 func (l Lane) Rate() float64 { return l.rate }
 
-// Cycle returns the time of one token with full batches, without waiting.
+// Cycle returns the time that one token takes through all servers with full batches, without time spent in queues.
 func (l Lane) Cycle() time.Duration {
 	total := time.Duration(0)
 	for _, n := range l.path {
@@ -29,10 +30,10 @@
 	return total
 }
 
-// lanesOf splits the speed of the servers into paths, the widest path first, until no path is left.
+// lanesOf divides the speed of the servers among paths, the path with the highest rate first, until no path is left.
 //
-// Sequences that share a whole lane come out of every step together and so fill the next server's batch together; paths
-// chosen server by server mix them, and batches stay half empty.
+// Sequences that use the same lane finish every step together and so fill the next server's batch together. Paths that are
+// chosen server by server mix the sequences, which leaves batches half empty.
 func lanesOf(layers int, nodes []Node) []Lane {
 	sorted := append([]Node(nil), nodes...)
 	sort.Slice(sorted, func(i, j int) bool {
@@ -56,10 +57,12 @@
 	return lanes
 }
 
-// widestLane finds the path with the most speed left and takes that from its servers.
+// widestLane finds the path with the highest remaining rate and subtracts the rate from its servers. It returns false when no
+// path has any rate left.
 func widestLane(layers int, nodes []Node, remaining []float64) (Lane, bool) {
 	const minRate = 1e-6
 	width := make([]float64, layers+1)
+	// last holds the server that ends the widest path to each boundary, or -1.
 	last := make([]int, layers+1)
 	for i := range last {
 		last[i] = -1
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -34,7 +34,7 @@
 	return nodes, s
 }
 
-// pathExists searches by brute force.
+// pathExists reports, by exhaustive search, whether a path of usable servers leads from a layer to the last.
 func pathExists(nodes []route.Node, s serverState, at, layers int) bool {
 	if at == layers {
 		return true
@@ -78,7 +78,8 @@
 	require.InDelta(t, 300, s.assigned[0], 15)
 }
 
-// fleetGraph is one domain's share of a model at the size of two years on, and more.
+// fleetGraph returns the graph of a model that is cut into segments with perSegment servers each. The benchmark's sizes reach
+// beyond the fleet that is expected in two years.
 func fleetGraph(segments, perSegment int) (*route.Graph, serverState) {
 	var nodes []route.Node
 	var s serverState
