--- a/plan/compare.go
+++ b/plan/compare.go
@@ -6,7 +6,8 @@
 	"junctioncross/intent"
 )
 
-// Compare returns, for each model, what the change does to the throughput that the hardware allows and to the shares.
+// Compare describes, one line each, how the throughput bounds of the models and the shares of the groups differ between two
+// documents.
 func Compare(before, after *intent.Document) []string {
 	var out []string
 	for _, m := range after.Models {
--- a/plan/doc.go
+++ b/plan/doc.go
@@ -1,2 +1,2 @@
-// Package plan places the layers of models on backend servers and computes the throughput that the hardware allows.
+// Package plan assigns layers of models to backend servers and computes the throughput that the hardware allows.
 package plan
--- a/plan/layout.go
+++ b/plan/layout.go
@@ -4,11 +4,11 @@
 	"junctioncross/models"
 )
 
-// layout is a way to cut one model and to give its segments to servers.
+// layout is a division of one model into segments, with the servers that hold each segment.
 type layout struct {
 	cuts  []models.Layers
 	nodes [][]node
-	// rates holds the tokens a second of each segment.
+	// rates holds the throughput of each segment in tokens a second.
 	rates []float64
 }
 
@@ -25,7 +25,7 @@
 	return 0
 }
 
-// add gives a server to the slowest segment that it can hold and reports whether there is one.
+// add assigns a server to the slowest segment that it can hold and reports whether there is one.
 func (l *layout) add(n node) bool {
 	best := -1
 	for i, c := range l.cuts {
@@ -41,7 +41,7 @@
 	return true
 }
 
-// throughput returns the tokens a second of the slowest segment.
+// throughput returns the throughput of the slowest segment, in tokens a second.
 func (l *layout) throughput() float64 {
 	lowest := l.rates[0]
 	for _, r := range l.rates {
@@ -50,7 +50,7 @@
 	return lowest
 }
 
-// throughputAfterLoss returns the tokens a second that are left when the worst single server is lost.
+// throughputAfterLoss returns the throughput, in tokens a second, after the loss of the single server that matters most.
 func (l *layout) throughputAfterLoss() float64 {
 	lowest := l.throughput()
 	for i, nodes := range l.nodes {
@@ -61,11 +61,11 @@
 	return max(lowest, 0)
 }
 
-// score weighs the throughput of today against that after a fault, so that a segment does not hang on one server where
-// there are enough of them.
+// score is the sum of the throughput now and the throughput after the loss of one server, so that no segment depends on a
+// single server where there are enough of them.
 func (l *layout) score() float64 { return l.throughput() + l.throughputAfterLoss() }
 
-// servers returns the number of servers that have a segment.
+// servers returns the number of servers that a segment was assigned to.
 func (l *layout) servers() int {
 	total := 0
 	for _, nodes := range l.nodes {
@@ -74,6 +74,7 @@
 	return total
 }
 
+// apply writes the layout into the backend servers of the document.
 func (l *layout) apply(model string) {
 	for i, nodes := range l.nodes {
 		for _, n := range nodes {
@@ -83,8 +84,8 @@
 	}
 }
 
-// searchCuts tries every number of equal segments, then shifts single boundaries while that helps; nil means that the
-// servers cannot hold the model.
+// searchCuts tries each number of equal segments, improves each result by shifting single boundaries, and returns the layout
+// with the highest score. It returns nil if the servers cannot hold the model.
 func searchCuts(layers int, nodes []node) *layout {
 	var best *layout
 	for s := 1; s <= min(maxSegments, layers, len(nodes)); s++ {
@@ -104,6 +105,7 @@
 	return cuts
 }
 
+// fill returns the layout in which each server is assigned to the slowest segment that it can hold, in the order of nodes.
 func fill(cuts []models.Layers, nodes []node) *layout {
 	l := newLayout(cuts)
 	for _, n := range nodes {
@@ -112,7 +114,7 @@
 	return l
 }
 
-// improve moves one boundary by one layer at a time as long as the score gains.
+// improve shifts one boundary by one layer at a time for as long as the score grows.
 func improve(l *layout, nodes []node) *layout {
 	for {
 		better := bestShift(l, nodes)
@@ -123,6 +125,7 @@
 	}
 }
 
+// bestShift returns the best layout that differs by one boundary shifted by one layer, or nil if none has a higher score.
 func bestShift(l *layout, nodes []node) *layout {
 	var best *layout
 	bestScore := l.score()
@@ -140,7 +143,7 @@
 	return best
 }
 
-// shifted moves the boundary behind segment i by step layers; nil means that a segment would be empty.
+// shifted returns the cuts with the boundary after segment i moved by step layers, or nil if a segment would be empty.
 func shifted(cuts []models.Layers, i, step int) []models.Layers {
 	out := append([]models.Layers(nil), cuts...)
 	out[i].End += step
--- a/plan/place.go
+++ b/plan/place.go
@@ -8,13 +8,14 @@
 	"junctioncross/models"
 )
 
-// maxSegments bounds the search over the number of cuts of a model.
+// maxSegments limits the number of segments per model that searchCuts tries.
 const maxSegments = 16
 
-// Place returns the document with layers on every backend server that has none yet, and what it did in words.
+// Place returns a copy of the document in which backend servers without layers have been assigned some, where a model can use
+// them, and descriptions of what was assigned and what was not.
 //
-// Every model is cut at the same layers within one failure domain, so that any server of a segment can stand in for any
-// other; the cuts and the servers are chosen so that the slowest segment is as fast as can be.
+// Within one failure domain a model is always cut at the same layers, so that any server of a segment can replace any other.
+// Cuts and servers are chosen to make the slowest segment as fast as possible, now and after the loss of one server.
 func Place(d *intent.Document) (*intent.Document, []string) {
 	next := d.Clone()
 	var effects []string
@@ -25,7 +26,8 @@
 	return next, effects
 }
 
-// modelWeights returns what each model is owed: the weights of the groups that use it, split over their models.
+// modelWeights returns the weight of each model: the sum over the groups that use it, where a group's weight is divided
+// equally among its models.
 func modelWeights(d *intent.Document) map[string]float64 {
 	out := map[string]float64{}
 	for _, g := range d.Groups {
@@ -49,13 +51,15 @@
 	return out
 }
 
-// node is a backend server that can take layers.
+// node is a backend server that layers can be assigned to.
 type node struct {
-	backend   *intent.Backend
+	backend *intent.Backend
+	// rate is the server's LayerRate.
 	rate      float64
 	maxLayers int
 }
 
+// freeNodes returns the servers of a domain that hold no layers and are not retiring, the fastest first.
 func freeNodes(d *intent.Document, domain string) []node {
 	var out []node
 	for i := range d.Backends {
@@ -75,7 +79,7 @@
 	return out
 }
 
-// placeDomain gives the free servers of one domain to the models, until a whole round places none.
+// placeDomain assigns the free servers of one domain to models, in rounds, until a round assigns none.
 func placeDomain(d *intent.Document, domain string, weights map[string]float64) []string {
 	var effects []string
 	for {
@@ -87,8 +91,8 @@
 	}
 }
 
-// placeRound deals the free servers out; what a model cannot use is dealt again to the others. It returns what was placed
-// and what will not be.
+// placeRound distributes the free servers among the models. Servers that a model cannot use are distributed again among the
+// others. It returns descriptions of the placements made and of those that are not possible.
 func placeRound(d *intent.Document, domain string, weights map[string]float64) (placed, skipped []string) {
 	remaining := map[string]float64{}
 	for m, w := range weights {
@@ -115,7 +119,8 @@
 	return placed, skipped
 }
 
-// distributeNodes deals the servers out, the fastest first, each to the model that has least for its weight.
+// distributeNodes assigns each free server, in order, to the model whose servers in the domain have the lowest throughput
+// relative to its weight.
 func distributeNodes(d *intent.Document, domain string, free []node, weights map[string]float64) map[string][]node {
 	rates := map[string]float64{}
 	for i := range d.Backends {
@@ -145,7 +150,7 @@
 	return out
 }
 
-// placeModel gives servers to a model and reports whether any was placed.
+// placeModel assigns layers of a model to servers and reports whether any server got some.
 func placeModel(d *intent.Document, domain string, m *intent.Model, nodes []node) ([]string, bool) {
 	if len(nodes) == 0 {
 		return nil, false
@@ -163,7 +168,8 @@
 		m.Name, domain, best.servers(), len(best.cuts), best.throughput())}, true
 }
 
-// existingCuts returns the segments by which the model is already placed in the domain, or nil.
+// existingCuts returns the segments into which the model is already cut in the domain, or nil if these do not cover each of
+// its layers exactly once.
 func existingCuts(d *intent.Document, domain string, m *intent.Model) []models.Layers {
 	seen := map[models.Layers]bool{}
 	for _, b := range d.Backends {
@@ -182,8 +188,8 @@
 	return cuts
 }
 
-// fillCuts adds servers to the segments of a model that is already placed, the slowest segment first, and reports whether
-// any was placed.
+// fillCuts assigns servers to the segments of a model that is already placed, the slowest segment first, and reports whether
+// any server got a segment.
 func fillCuts(d *intent.Document, domain string, m *intent.Model, cuts []models.Layers, nodes []node) ([]string, bool) {
 	l := newLayout(cuts)
 	for i := range d.Backends {
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -34,8 +34,8 @@
 	return d
 }
 
-// TestPlacedLayersTileTheirModelInEachDomain also checks that servers hold no more than they can and that a second run
-// changes nothing.
+// TestPlacedLayersTileTheirModelInEachDomain also checks that no server gets more layers than it can hold and that placing a
+// second time changes nothing.
 func TestPlacedLayersTileTheirModelInEachDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		placed, _ := plan.Place(drawDocument(t))
@@ -71,7 +71,7 @@
 	})
 }
 
-// uniformDocument returns one model on servers of one kind in one domain.
+// uniformDocument returns a document with one model, and servers of one kind in one domain that hold no layers yet.
 func uniformDocument(layers, maxLayers, servers int) *intent.Document {
 	d := &intent.Document{
 		Models: []intent.Model{{Name: "m", Layers: layers, Version: "v"}},
--- a/plan/rate.go
+++ b/plan/rate.go
@@ -4,19 +4,19 @@
 
 const microsPerSecond = 1e6
 
-// LayerRate returns how many layers times tokens a kind can run in a second with full batches.
+// LayerRate returns the speed of a kind with full batches, in layers times tokens a second.
 func LayerRate(k *intent.Kind) float64 {
 	batch := float64(k.MaxBatch)
 	return batch * microsPerSecond / (k.LayerMicros + k.SequenceMicros*batch)
 }
 
-// StepMicros returns the time of one step over that many layers and sequences, in microseconds.
+// StepMicros returns the duration of one step over the given numbers of layers and sequences, in microseconds.
 func StepMicros(k *intent.Kind, layers, sequences int) float64 {
 	return float64(layers) * (k.LayerMicros + k.SequenceMicros*float64(sequences))
 }
 
 // Bound returns the tokens a second that the placed backend servers could deliver for one model if work could be split
-// without loss: all their layer rates together over the layers of the model.
+// among them without loss: the sum of their layer rates divided by the number of layers. It is 0 for an unknown model.
 func Bound(d *intent.Document, model string) float64 {
 	m := d.Model(model)
 	if m == nil {
