--- a/gossip/doc.go
+++ b/gossip/doc.go
@@ -1,3 +1,3 @@
-// Package gossip spreads small facts among the instances of a failure domain. The table is pure state: what to send and
-// what is new follows from digests alone.
+// Package gossip spreads small entries among the instances of a failure domain. A Table does no I/O: it computes from digests
+// alone which entries another instance lacks, and the caller exchanges them.
 package gossip
--- a/gossip/table.go
+++ b/gossip/table.go
@@ -6,49 +6,52 @@
 	"time"
 )
 
-// Entry is one fact that an origin states about itself or about what it sees.
+// Entry is one item that an instance publishes about itself or about what it observes.
 type Entry struct {
 	Key     string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 	Body    []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// Known is how far the statements of an origin are known.
+// Known is how far the entries of an origin, the instance that published them, are known: up to a version of an incarnation.
+// An instance has a new incarnation after each start.
 type Known struct {
 	Incarnation uint64 `cbor:"1,keyasint"`
 	Version     uint64 `cbor:"2,keyasint"`
 }
 
-// Digest says for each origin how far its statements are known.
+// Digest tells for each origin, by name, how far its entries are known.
 type Digest map[string]Known
 
-// Update carries the statements of one origin that the receiver lacks.
+// Update carries the entries of one origin that the receiver lacks.
 type Update struct {
 	Origin  string  `cbor:"1,keyasint"`
 	Known   Known   `cbor:"2,keyasint"`
 	Entries []Entry `cbor:"3,keyasint,omitempty"`
 }
 
+// originState is what the table holds of one origin.
 type originState struct {
-	progress  Known
-	entries   map[string]Entry
+	progress Known
+	entries  map[string]Entry
+	// updatedAt is when the last update of the origin, or this instance's last heartbeat, was applied.
 	updatedAt time.Time
 }
 
-// Table holds what an instance knows of the origins of its domain.
+// Table holds the entries that an instance knows of all instances of its domain, itself included.
 type Table struct {
 	self   string
 	states map[string]*originState
 }
 
-// New returns a Table for the instance of that name; incarnation must grow with every start of it.
+// New returns a Table for the instance with the given name; incarnation must grow with each start of the instance.
 func New(self string, incarnation uint64, now time.Time) *Table {
 	t := &Table{self: self, states: map[string]*originState{}}
 	t.states[self] = &originState{progress: Known{Incarnation: incarnation}, entries: map[string]Entry{}, updatedAt: now}
 	return t
 }
 
-// Set states a fact about this instance; an unchanged body is not stated again.
+// Set publishes an entry of this instance; an unchanged body is not published again.
 func (t *Table) Set(key string, body []byte) {
 	own := t.states[t.self]
 	if old, ok := own.entries[key]; ok && bytes.Equal(old.Body, body) {
@@ -58,14 +61,14 @@
 	own.entries[key] = Entry{Key: key, Version: own.progress.Version, Body: body}
 }
 
-// Beat shows the others that this instance lives.
+// Beat is the heartbeat of this instance: it advances its version, so that the others see that it is alive.
 func (t *Table) Beat(now time.Time) {
 	own := t.states[t.self]
 	own.progress.Version++
 	own.updatedAt = now
 }
 
-// Digest returns how far every origin is known here.
+// Digest returns how far the entries of each origin are known here.
 func (t *Table) Digest() Digest {
 	d := make(Digest, len(t.states))
 	for name, o := range t.states {
@@ -74,7 +77,7 @@
 	return d
 }
 
-// Delta returns what the holder of a digest lacks.
+// Delta returns the updates that the instance with the given digest lacks.
 func (t *Table) Delta(theirs Digest) []Update {
 	var out []Update
 	for name, o := range t.states {
@@ -93,6 +96,7 @@
 	return out
 }
 
+// newer reports whether a is ahead of b.
 func newer(a, b Known) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -100,7 +104,7 @@
 	return a.Version > b.Version
 }
 
-// Merge takes updates in and reports whether any entry changed; updates about this instance itself are ignored.
+// Merge applies updates and reports whether any entry changed. Updates about this instance and outdated ones are ignored.
 func (t *Table) Merge(updates []Update, now time.Time) bool {
 	changed := false
 	for _, u := range updates {
@@ -128,7 +132,7 @@
 	return changed
 }
 
-// Forget drops the origins that were silent for longer than limit.
+// Forget removes the origins from which no update has arrived for longer than limit.
 func (t *Table) Forget(now time.Time, limit time.Duration) {
 	for name, o := range t.states {
 		if name != t.self && now.Sub(o.updatedAt) > limit {
@@ -137,28 +141,29 @@
 	}
 }
 
-// Origin is what is known of one instance.
+// Origin is what is known of one instance and the entries that it publishes.
 type Origin struct {
 	Name        string
 	Incarnation uint64
-	Silent      time.Duration
-	entries     map[string]Entry
+	// Silent is the time since the last update; it is 0 for this instance itself.
+	Silent  time.Duration
+	entries map[string]Entry
 }
 
-// Entry returns an entry by its key.
+// Entry returns the entry with the given key and whether there is one.
 func (o Origin) Entry(key string) (Entry, bool) {
 	e, ok := o.entries[key]
 	return e, ok
 }
 
-// Each calls fn for every entry.
+// Each calls fn for every entry, in no particular order.
 func (o Origin) Each(fn func(e Entry)) {
 	for _, e := range o.entries {
 		fn(e)
 	}
 }
 
-// Origins returns what is known of every instance, in order of name.
+// Origins returns what is known of each instance, this one included, ordered by name.
 func (t *Table) Origins(now time.Time) []Origin {
 	out := make([]Origin, 0, len(t.states))
 	for name, o := range t.states {
--- a/gossip/table_test.go
+++ b/gossip/table_test.go
@@ -11,7 +11,8 @@
 	"junctioncross/gossip"
 )
 
-// TestTablesConvergeAndNeverRegress lets tables state facts, restart and exchange news in any order.
+// TestTablesConvergeAndNeverRegress lets tables publish entries, restart and exchange updates in any order. What a table knows
+// must never go back, and all tables must agree once each has exchanged with the next often enough.
 func TestTablesConvergeAndNeverRegress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
