--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -11,11 +11,11 @@
 type Account struct {
 	Name     string
 	Priority int
-	// Keys are what callers prove themselves with.
+	// Keys are the bearer keys that authenticate the account's callers.
 	Keys []string
 }
 
-// Limits bound what a caller may send and how long a connection may rest.
+// Limits are the bounds on what a caller may send and on how long a connection may be idle.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int
@@ -23,28 +23,28 @@
 	IdleTime    time.Duration
 }
 
-// Content is what a Catalog is built from.
+// Content is the input from which New builds a Catalog.
 type Content struct {
 	Version  int64
 	Routes   []Route
 	Services []Service
-	// Accounts is nil when callers need no key at all.
+	// Accounts is nil if callers need no key on any route.
 	Accounts []Account
 	Limits   Limits
 }
 
-// Catalog is one version of the configuration, indexed for look-ups.
+// Catalog is one version of the configuration, indexed for lookups.
 type Catalog struct {
 	version  int64
 	limits   Limits
 	services map[string]*Service
-	// hosts lists the routes of a host, the longest prefix first.
+	// hosts holds the routes of each host, the longest prefix first.
 	hosts map[string][]*Route
-	// keys maps each key to its account; it is nil when callers need no key.
+	// keys maps each bearer key to its account; it is nil if callers need no key.
 	keys map[string]*Account
 }
 
-// New checks the content and returns its Catalog; the error names the first route or service that cannot be used.
+// New validates the content and returns its Catalog; the error names the first invalid route or service.
 func New(content *Content) (*Catalog, error) {
 	c := &Catalog{
 		version: content.Version, limits: content.Limits,
@@ -117,16 +117,16 @@
 	}
 }
 
-// Version returns the number of the configuration.
+// Version returns the version number of the configuration.
 func (c *Catalog) Version() int64 { return c.version }
 
-// Limits returns the bounds on callers.
+// Limits returns the limits on callers.
 func (c *Catalog) Limits() Limits { return c.limits }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// Services returns all services in no order.
+// Services returns all services in no particular order.
 func (c *Catalog) Services() []*Service {
 	out := make([]*Service, 0, len(c.services))
 	for _, s := range c.services {
@@ -135,7 +135,7 @@
 	return out
 }
 
-// Route returns the route with the longest prefix of that host and path, or nil.
+// Route returns the route of the host with the longest prefix that matches the path, or nil.
 func (c *Catalog) Route(host, path string) *Route {
 	for _, r := range c.hosts[host] {
 		if r.matches(path) {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// NeedsKeys reports whether routes that are not public need a key.
+// NeedsKeys reports whether callers need a key for routes that are not public.
 func (c *Catalog) NeedsKeys() bool { return c.keys != nil }
 
-// Account returns the account that holds the key, or nil.
+// Account returns the account that the bearer key belongs to, or nil.
 func (c *Catalog) Account(key string) *Account { return c.keys[key] }
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -1,3 +1,3 @@
 // Package catalog holds the configuration of a hosted fleet as the request path uses it: routes, services, client accounts
-// and limits. A Catalog never changes after it was built.
+// and limits. A Catalog is immutable.
 package catalog
--- a/catalog/service.go
+++ b/catalog/service.go
@@ -2,49 +2,51 @@
 
 import "time"
 
-// Service is a set of like backend servers.
+// Service is a set of interchangeable backend servers, or of model engines that run the layers of one model together.
 type Service struct {
 	Name string
 	// MaxConnections is the number of connections that each server accepts from all callers together; 0 means no limit.
 	MaxConnections int
-	// Engine is nil for plain services.
+	// Engine is nil for plain services, whose servers each answer requests alone.
 	Engine *Engine
 }
 
-// Engine holds the published cost model of chained model engines.
+// Engine holds the published cost model of chained model engines: backend servers that each run a range of a model's layers
+// and pass activations on to the next.
 type Engine struct {
 	Model string
 	// Layers is the number of layers of the model.
 	Layers int
 	// LayerMB is the memory of one layer's weights in megabytes.
 	LayerMB float64
-	// TokenBytes is the memory that one token holds over all layers.
+	// TokenBytes is the memory that one token of a sequence's context takes, summed over all layers.
 	TokenBytes float64
-	// ActivationBytes is what one token sends from a part to the next.
+	// ActivationBytes is the data that one token sends from one stage of its path to the next.
 	ActivationBytes float64
-	// PipeMbps is the bandwidth between two failure domains in megabits a second, shared by all paths; 0 means no limit.
+	// PipeMbps is the bandwidth of the link between two failure domains in megabits a second, shared by all paths; 0 means no
+	// limit.
 	PipeMbps float64
-	// BatchSize is the number of requests that a server runs at once as the first part of their paths.
+	// BatchSize is the number of requests that a server runs at once as the first server of their paths.
 	BatchSize int
-	// Step is the time of one token step over all layers at pace 1.
+	// Step is the time of one token step over all layers at pace 1; a pace of 2 doubles it.
 	Step time.Duration
-	// StepPerSequence is added for each sequence of the step.
+	// StepPerSequence is added to Step for each sequence in the batch.
 	StepPerSequence time.Duration
-	// StepPerContext is added for each sequence and each 1,000 tokens of its context.
+	// StepPerContext is added to Step for each 1,000 tokens of context of each sequence in the batch.
 	StepPerContext time.Duration
-	// ReadPerSecond is the number of prompt tokens read in a second over all layers at pace 1.
+	// ReadPerSecond is the number of prompt tokens processed (prefilled) in a second over all layers at pace 1.
 	ReadPerSecond float64
-	// Chunk is the most prompt tokens that one pass reads.
+	// Chunk is the maximum number of prompt tokens that one pass processes.
 	Chunk int
 	// Stride is the number of token steps in one pass.
 	Stride int
 	// LoadTime is how long all layers take to load at pace 1.
 	LoadTime time.Duration
-	// LoadsAtOnce is the number of loads that run side by side without slowing each other; 0 means no limit.
+	// LoadsAtOnce is the number of loads of layers that can run at once without slowing each other; 0 means no limit.
 	LoadsAtOnce int
-	// ReportLag is how old a server's report may be.
+	// ReportLag is the maximum age of the state that a server's report describes.
 	ReportLag time.Duration
-	// UsualPrompt and UsualAnswer are mean tokens of a request.
+	// UsualPrompt and UsualAnswer are the mean numbers of prompt and answer tokens of a request.
 	UsualPrompt int
 	UsualAnswer int
 	Kinds       []Kind
@@ -55,21 +57,21 @@
 // Kind is a kind of accelerator.
 type Kind struct {
 	Name string
-	// MemoryMB is shared by weights and the memory of sequences.
+	// MemoryMB is the memory for weights and for the context of sequences together, in megabytes.
 	MemoryMB float64
-	// StepPace multiplies the time of token steps.
+	// StepPace is the factor by which token steps take longer than at pace 1.
 	StepPace float64
-	// ReadPace multiplies the time of reading prompts.
+	// ReadPace is the factor by which prompt processing takes longer than at pace 1.
 	ReadPace float64
 }
 
-// Delay is the one-way delay between two failure domains.
+// Delay is the one-way network delay between two failure domains, in either direction.
 type Delay struct {
 	From, To string
 	Time     time.Duration
 }
 
-// Kind returns the kind of that name, or nil.
+// Kind returns the kind with the given name, or nil.
 func (e *Engine) Kind(name string) *Kind {
 	for i := range e.Kinds {
 		if e.Kinds[i].Name == name {
@@ -79,7 +81,8 @@
 	return nil
 }
 
-// DelayBetween returns the one-way delay between two failure domains; inside one it is zero.
+// DelayBetween returns the one-way network delay between two failure domains; it is zero for pairs without
+// an entry in Delays, which includes a domain with itself.
 func (e *Engine) DelayBetween(a, b string) time.Duration {
 	for _, d := range e.Delays {
 		if d.From == a && d.To == b || d.From == b && d.To == a {
@@ -89,7 +92,7 @@
 	return 0
 }
 
-// LayerBytes returns the memory that one token holds in one layer.
+// LayerBytes returns the memory that one token of a sequence's context takes in one layer.
 func (e *Engine) LayerBytes() float64 {
 	if e.Layers == 0 {
 		return 0
