--- a/keys/authority.go
+++ b/keys/authority.go
@@ -20,27 +20,28 @@
 const (
 	authorityValidity   = 10 * 365 * 24 * time.Hour
 	certificateValidity = 365 * 24 * time.Hour
-	backdate            = time.Hour
-	serialBits          = 128
-	fileMode            = 0o600
-	dirMode             = 0o700
+	// backdate makes certificates valid for machines whose clocks are behind.
+	backdate   = time.Hour
+	serialBits = 128
+	fileMode   = 0o600
+	dirMode    = 0o700
 )
 
-// Names of the files that Write makes.
+// Names of the files that Write and Issue write.
 const (
 	FileAuthority = "ca.pem"
 	suffixCert    = ".pem"
 	suffixKey     = "-key.pem"
 )
 
-// Authority signs certificates for development and tests.
+// Authority is a certificate authority for development and tests.
 type Authority struct {
 	cert *x509.Certificate
 	der  []byte
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority returns an authority with a fresh key.
+// NewAuthority returns an authority with a new key and a certificate that it signed itself.
 func NewAuthority(now time.Time) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return n
 }
 
-// Write puts the authority's certificate into a directory.
+// Write writes the authority's certificate into a directory, which it creates if needed. The private key is not written.
 func (a *Authority) Write(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return errors.Wrap(err, "keys")
@@ -75,7 +76,7 @@
 	return writePEM(filepath.Join(dir, FileAuthority), "CERTIFICATE", a.der)
 }
 
-// Issue writes a certificate and key for an identity into a directory, as NAME.pem and NAME-key.pem.
+// Issue writes a new certificate and private key for an identity into a directory, as NAME.pem and NAME-key.pem.
 func (a *Authority) Issue(dir string, id Identity, now time.Time) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return writePEM(filepath.Join(dir, id.name+suffixCert), "CERTIFICATE", der)
 }
 
-// certificateTemplate returns the template of an identity's certificate.
+// certificateTemplate returns the template of the certificate of an identity, for both ends of TLS connections.
 func certificateTemplate(id Identity, now time.Time) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: newSerial(), Subject: pkix.Name{CommonName: id.name},
--- a/keys/doc.go
+++ b/keys/doc.go
@@ -1,2 +1,2 @@
-// Package keys makes and loads the certificates by which instances and operators know each other.
+// Package keys issues and loads the certificates by which instances and operators authenticate to each other.
 package keys
--- a/keys/fleetkey.go
+++ b/keys/fleetkey.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// NewFleetKey returns a certificate with its private key, as PEM, that all instances of a fleet show to each other. It is kept
-// where only instances read.
+// NewFleetKey returns a certificate with its private key, in PEM, by which all instances of a fleet authenticate to each other.
+// It must be stored where only instances can read it.
 func NewFleetKey(now time.Time) ([]byte, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -34,14 +34,15 @@
 	return append(body, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: private})...), nil
 }
 
-// FleetKey holds the key that a process shares with all instances of its fleet; it implements link.Trust. Whoever shows the
-// same certificate, and holds its private key, is an instance.
+// FleetKey authenticates instances by a certificate and private key that all instances of the fleet share: a peer that presents
+// the same certificate, and proves that it holds the private key, is an instance. It implements link.Trust.
 type FleetKey struct {
-	// source returns the key as NewFleetKey made it, or nothing while it is not known.
+	// source returns the key in the form of NewFleetKey, or nothing while the key is not known.
 	source func() []byte
 }
 
-// NewFleetKeyFrom returns the FleetKey that source tells.
+// NewFleetKeyFrom returns a FleetKey that reads the key from source for each connection; source returns nothing while the key
+// is not known.
 func NewFleetKeyFrom(source func() []byte) *FleetKey { return &FleetKey{source: source} }
 
 // Server implements link.Trust.
@@ -73,16 +74,16 @@
 func (k *FleetKey) config(protocols []string) (*tls.Config, error) {
 	body := k.source()
 	if len(body) == 0 {
-		return nil, errors.New("keys: the fleet's key is not known yet")
+		return nil, errors.New("keys: the fleet key is not known yet")
 	}
 	cert, err := tls.X509KeyPair(body, body)
 	if err != nil {
-		return nil, errors.Wrap(err, "keys: the fleet's key")
+		return nil, errors.Wrap(err, "keys: the fleet key")
 	}
 	own := fingerprintOf(cert.Certificate[0])
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, NextProtos: protocols, Certificates: []tls.Certificate{cert},
-		// There is no authority: a peer is known by showing the same certificate.
+		// There is no certificate authority: VerifyConnection accepts only the fleet's own certificate.
 		InsecureSkipVerify: true,
 		VerifyConnection:   func(state tls.ConnectionState) error { return verifySameCertificate(state.PeerCertificates, own) },
 	}, nil
@@ -90,10 +91,10 @@
 
 func verifySameCertificate(chain []*x509.Certificate, own string) error {
 	if len(chain) == 0 {
-		return errors.New("keys: peer showed no certificate")
+		return errors.New("keys: peer presented no certificate")
 	}
 	if fingerprintOf(chain[0].Raw) != own {
-		return errors.New("keys: peer shows another certificate than the fleet's")
+		return errors.New("keys: peer presented a certificate other than the fleet's")
 	}
 	return nil
 }
--- a/keys/identity.go
+++ b/keys/identity.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// Role says what the holder of a certificate may do.
+// Role determines what the holder of a certificate may do.
 type Role string
 
 // Roles of certificate holders.
@@ -20,19 +20,19 @@
 
 const uriScheme = "jx"
 
-// Identity is the holder of a certificate, kept in it as a URI such as jx://instance/east/a1.
+// Identity is the holder of a certificate. The certificate contains it as a URI such as jx://instance/east/a1.
 type Identity struct {
 	role   Role
 	domain string
 	name   string
 }
 
-// NewIdentity returns an identity; domain is empty but for instances.
+// NewIdentity returns an identity; domain is empty unless the role is RoleInstance.
 func NewIdentity(role Role, domain, name string) Identity {
 	return Identity{role: role, domain: domain, name: name}
 }
 
-// Role returns what the holder may do.
+// Role returns the holder's role.
 func (i Identity) Role() Role { return i.role }
 
 // Domain returns the failure domain of an instance.
@@ -45,7 +45,7 @@
 	return &url.URL{Scheme: uriScheme, Host: string(i.role), Path: "/" + i.domain + "/" + i.name}
 }
 
-// IdentityOf reads the identity from a verified certificate.
+// IdentityOf returns the identity in a certificate, which the caller has verified, or an error if it contains none.
 func IdentityOf(c *x509.Certificate) (Identity, error) {
 	for _, u := range c.URIs {
 		parts := strings.Split(strings.TrimPrefix(u.Path, "/"), "/")
@@ -53,5 +53,5 @@
 			return Identity{role: Role(u.Host), domain: parts[0], name: parts[1]}, nil
 		}
 	}
-	return Identity{}, errors.New("keys: certificate names no holder")
+	return Identity{}, errors.New("keys: certificate contains no identity")
 }
--- a/keys/ring.go
+++ b/keys/ring.go
@@ -10,28 +10,31 @@
 	"github.com/pkg/errors"
 )
 
-// checkInterval is how long a loaded certificate is used before the files are looked at again.
+// checkInterval is how long a loaded certificate is used before the files are checked for changes again.
 const checkInterval = 10 * time.Second
 
-// Files names the files of one holder.
+// Files holds the paths of the PEM files of one certificate holder.
 type Files struct {
 	Authority   string
 	Certificate string
 	Key         string
 }
 
-// Ring holds the certificate and authority of this process and reads the files again when they change.
+// Ring holds the certificate of this process and that of its authority, and loads the files again when the certificate file
+// has changed. It implements link.Trust. It is safe for concurrent use.
 type Ring struct {
 	files Files
 
-	mu        sync.Mutex
-	cert      *tls.Certificate
-	roots     *x509.CertPool
+	mu    sync.Mutex
+	cert  *tls.Certificate
+	roots *x509.CertPool
+	// checkedAt is when the files were last loaded or checked for changes.
 	checkedAt time.Time
-	modTime   time.Time
+	// modTime is the modification time of the loaded certificate file.
+	modTime time.Time
 }
 
-// NewRing loads the files; it returns an error that names the file that cannot be used.
+// NewRing loads the files; the error names the file that is missing or invalid.
 func NewRing(files Files) (*Ring, error) {
 	r := &Ring{files: files}
 	if err := r.load(); err != nil {
@@ -57,6 +60,7 @@
 	return nil
 }
 
+// certificateModTime returns the modification time of the certificate file, or the zero time if that cannot be read.
 func (r *Ring) certificateModTime() time.Time {
 	info, err := os.Stat(r.files.Certificate)
 	if err != nil {
@@ -65,7 +69,8 @@
 	return info.ModTime()
 }
 
-// current returns the certificate and authority, loading them again when the files have changed.
+// current returns the certificate and the authority, loaded again if the certificate file has changed. If loading fails, the
+// former ones stay in use.
 func (r *Ring) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,7 +83,7 @@
 	return r.cert, r.roots
 }
 
-// Server returns settings for a listener that demands a certificate of the same authority.
+// Server returns the TLS configuration of a listener that requires a client certificate of the same authority.
 func (r *Ring) Server(protocols ...string) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: protocols}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -91,12 +96,13 @@
 	return base
 }
 
-// Client returns settings for connections to holders of certificates of the same authority, whatever their address.
+// Client returns the TLS configuration for connections to peers that have a certificate of the same authority, whatever their
+// address.
 func (r *Ring) Client(protocols ...string) *tls.Config {
 	cert, roots := r.current()
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, NextProtos: protocols, Certificates: []tls.Certificate{*cert},
-		// Instances are reached by IP numbers that change, so the chain is verified here without a host name.
+		// The IP addresses of instances change, so the certificate chain is verified without a host name, in VerifyConnection.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyChain(state.PeerCertificates, roots)
@@ -106,13 +112,13 @@
 
 func verifyChain(chain []*x509.Certificate, roots *x509.CertPool) error {
 	if len(chain) == 0 {
-		return errors.New("keys: peer showed no certificate")
+		return errors.New("keys: peer presented no certificate")
 	}
 	_, err := chain[0].Verify(x509.VerifyOptions{Roots: roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
 	return errors.Wrap(err, "keys: peer")
 }
 
-// Callers returns settings for a listener that shows its certificate and asks callers for none.
+// Callers returns the TLS configuration of a listener for callers, who need no client certificate.
 func (r *Ring) Callers() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
