--- a/admit/gate.go
+++ b/admit/gate.go
@@ -12,23 +12,24 @@
 	"junctioncross/timer"
 )
 
-// Errors of this layer.
+// Errors that Enter returns.
 var (
-	// ErrOverloaded means that the wait would be too long; the request was not started.
+	// ErrOverloaded means that the wait for a slot is, or would be, too long; the request was not started.
 	ErrOverloaded = errors.New("admit: overloaded")
-	// ErrGone means that the caller gave up while waiting.
-	ErrGone = errors.New("admit: caller gone")
+	// ErrCallerGone means that the request's context ended while it waited for a slot; the request was not started.
+	ErrCallerGone = errors.New("admit: caller gone")
 )
 
 const (
-	// initialService is the assumed time of a request until one was seen.
-	initialService = 500 * time.Millisecond
-	// offeredWeight is the weight of the newest interval in the mean rate of arrivals, as a divisor.
-	offeredWeight = 2
-	serviceWeight = 16
+	// initialServiceTime is the assumed mean run time of a request until requests have been measured.
+	initialServiceTime = 500 * time.Millisecond
+	// arrivalRateDivisor is the inverse of the newest interval's weight in the moving average of the arrival rate, and
+	// serviceTimeDivisor that of the newest request's weight in the moving average of the run time.
+	arrivalRateDivisor = 2
+	serviceTimeDivisor = 16
 )
 
-// Gate admits requests for one model.
+// Gate is the admission control for one model. It is safe for concurrent use.
 type Gate struct {
 	clock   *timer.Service
 	maxWait time.Duration
@@ -36,102 +37,107 @@
 	mu      sync.Mutex
 	limit   int
 	running int
-	service time.Duration
-	// arrivals counts the requests since counted; rate is their mean number a second.
-	arrivals int
-	counted  time.Time
-	rate     float64
-	order    *share.Scheduler
-	// usage holds the cost used here since the start, and recent that since the last TakeTop.
+	// serviceTime is the moving average of the time that an admitted request holds its slot.
+	serviceTime time.Duration
+	// arrivals counts the requests since countedSince; arrivalRate is the moving average of arrivals a second.
+	arrivals     int
+	countedSince time.Time
+	arrivalRate  float64
+	scheduler    *share.Scheduler
+	// usage holds the cost that each owner has used on this instance since the start, recent the cost since the last TakeTop.
 	usage  map[share.Owner]float64
 	recent map[share.Owner]float64
-	// refusals tells waiting requests that they had to make room.
+	// refusals holds, for each queued request, the channel that is closed when the request is evicted.
 	refusals map[*share.Waiter]chan struct{}
 }
 
-// New returns a Gate that refuses a request when its predicted wait is longer than maxWait.
+// New returns a Gate that refuses a request when its predicted wait is longer than maxWait. The limit is 1 until SetLimit.
 func New(clock *timer.Service, maxWait time.Duration) *Gate {
 	return &Gate{
-		clock: clock, maxWait: maxWait, counted: clock.Now(), limit: 1, service: initialService,
-		order: share.New(), usage: map[share.Owner]float64{}, recent: map[share.Owner]float64{},
+		clock: clock, maxWait: maxWait, countedSince: clock.Now(), limit: 1, serviceTime: initialServiceTime,
+		scheduler: share.New(), usage: map[share.Owner]float64{}, recent: map[share.Owner]float64{},
 		refusals: map[*share.Waiter]chan struct{}{},
 	}
 }
 
-// Ticket is the right to run one request.
+// Ticket is the permission to run one request; it holds one slot of the limit until Leave.
 type Ticket struct {
-	gate  *Gate
-	owner share.Owner
-	start time.Time
-	once  sync.Once
+	gate        *Gate
+	owner       share.Owner
+	admittedAt  time.Time
+	releaseOnce sync.Once
 }
 
-// SetLimit sets the number of requests that run at once.
+// SetLimit sets the number of slots: the requests that run at once. Values below 1 count as 1.
 func (g *Gate) SetLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = max(limit, 1)
-	g.admit()
+	g.admitWaiting()
 }
 
-// Offered returns the places that would serve everything that was asked for here, refused or not: the mean number of
-// arrivals a second times the time that a request takes. It must be called at regular intervals.
+// Offered returns the offered load: the number of slots that would serve all requests that arrive here, refused ones
+// included. It is the mean arrival rate times the mean run time, and at least the number of running requests. It must be
+// called at regular intervals, because each call ends an interval of the arrival rate.
 //
-// What runs and waits would not do, because it follows from the limit: an instance with a higher limit would ask for more.
+// The number of running and queued requests is no measure of the load, because it depends on the limit: an instance with a
+// higher limit would ask for still more.
 func (g *Gate) Offered() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
-	if passed := now.Sub(g.counted).Seconds(); passed > 0 {
-		g.rate += (float64(g.arrivals)/passed - g.rate) / offeredWeight
-		g.arrivals, g.counted = 0, now
+	if passed := now.Sub(g.countedSince).Seconds(); passed > 0 {
+		g.arrivalRate += (float64(g.arrivals)/passed - g.arrivalRate) / arrivalRateDivisor
+		g.arrivals, g.countedSince = 0, now
 	}
-	return max(g.rate*g.service.Seconds(), float64(g.running))
+	return max(g.arrivalRate*g.serviceTime.Seconds(), float64(g.running))
 }
 
-// Enter waits for a place; it returns ErrOverloaded at once when the predicted wait is too long, or ErrGone.
+// Enter waits for a slot. It returns ErrOverloaded at once when the predicted wait is too long and no other owner's request
+// can be evicted, or later when the request itself is evicted or has waited for twice maxWait. It returns ErrCallerGone when
+// the context ends.
 func (g *Gate) Enter(ctx context.Context, owner share.Owner) (*Ticket, error) {
 	admitted := make(chan struct{})
 	g.mu.Lock()
 	g.arrivals++
-	if g.predictedWait() > g.maxWait && !g.makeRoom(owner) {
+	if g.predictedWait() > g.maxWait && !g.evictForOwner(owner) {
 		g.mu.Unlock()
 		return nil, ErrOverloaded
 	}
-	w := g.order.Enqueue(owner, func() { close(admitted) })
+	w := g.scheduler.Enqueue(owner, func() { close(admitted) })
 	refused := make(chan struct{})
 	g.refusals[w] = refused
-	g.admit()
+	g.admitWaiting()
 	g.mu.Unlock()
-	defer g.forget(w)
+	defer g.removeRefusal(w)
 	select {
 	case <-refused:
 		return nil, ErrOverloaded
 	case <-admitted:
-		return &Ticket{gate: g, owner: owner, start: g.clock.Now()}, nil
+		return &Ticket{gate: g, owner: owner, admittedAt: g.clock.Now()}, nil
 	case <-ctx.Done():
-		return nil, g.leave(w, admitted)
+		return nil, g.abandon(w, admitted)
 	case <-g.clock.After(g.maxWait * 2):
 		return nil, g.expire(w, admitted)
 	}
 }
 
-// RetryAfter returns when a refused caller may come back.
+// RetryAfter returns the time after which a refused caller may retry: the predicted wait, and at least a second.
 func (g *Gate) RetryAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return max(g.predictedWait(), time.Second)
 }
 
-// makeRoom refuses the newest request of the account that has most waiting in favour of an owner that has less, so that
-// an account that asks too much is the one to be refused; it reports false when that is the owner itself. The caller holds
-// the lock.
-func (g *Gate) makeRoom(owner share.Owner) bool {
-	w := g.order.Longest(owner)
+// evictForOwner refuses the newest request of the account that has the most requests queued, in favour of an owner that has
+// fewer, so that accounts that send too much are the ones to be refused. It returns false when that account is the owner's.
+// The caller holds the lock.
+func (g *Gate) evictForOwner(owner share.Owner) bool {
+	w := g.scheduler.EvictionCandidate(owner)
 	if w == nil {
 		return false
 	}
-	g.order.Drop(w)
+	g.scheduler.Drop(w)
 	if refused, ok := g.refusals[w]; ok {
 		close(refused)
 		delete(g.refusals, w)
@@ -139,85 +145,89 @@
 	return true
 }
 
-// forget ends the bookkeeping of a request that has left the queue.
-func (g *Gate) forget(w *share.Waiter) {
+// removeRefusal removes the refusal channel of a request that is no longer queued.
+func (g *Gate) removeRefusal(w *share.Waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.refusals, w)
 }
 
-// predictedWait returns how long a new request would wait; the caller holds the lock.
+// predictedWait returns how long a new request would wait for a slot; the caller holds the lock.
 func (g *Gate) predictedWait() time.Duration {
-	ahead := g.running + g.order.Len() + 1 - g.limit
+	ahead := g.running + g.scheduler.Len() + 1 - g.limit
 	if ahead <= 0 {
 		return 0
 	}
-	return g.service * time.Duration(ahead) / time.Duration(g.limit)
+	return g.serviceTime * time.Duration(ahead) / time.Duration(g.limit)
 }
 
-func (g *Gate) admit() {
+// admitWaiting admits queued requests while slots are free; the caller holds the lock.
+func (g *Gate) admitWaiting() {
 	for g.running < g.limit {
-		w := g.order.Next()
+		w := g.scheduler.Next()
 		if w == nil {
 			return
 		}
 		g.running++
-		w.Admitted()
+		w.OnAdmitted()
 	}
 }
 
-func (g *Gate) leave(w *share.Waiter, admitted chan struct{}) error {
+// abandon withdraws a request whose context has ended.
+func (g *Gate) abandon(w *share.Waiter, admitted chan struct{}) error {
 	g.withdraw(w, admitted)
-	return ErrGone
+	return ErrCallerGone
 }
 
+// expire withdraws a request that has waited too long.
 func (g *Gate) expire(w *share.Waiter, admitted chan struct{}) error {
 	g.withdraw(w, admitted)
 	return ErrOverloaded
 }
 
-// withdraw takes a request out of the queue, or gives its place back when it was admitted meanwhile.
+// withdraw removes a request from the queue, or releases its slot if it has been admitted meanwhile.
 func (g *Gate) withdraw(w *share.Waiter, admitted chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
 	case <-admitted:
 		g.running--
-		g.admit()
+		g.admitWaiting()
 	default:
-		g.order.Drop(w)
+		g.scheduler.Drop(w)
 	}
 }
 
-// Charge adds cost that the ticket's owner used here.
+// Charge adds cost that the ticket's owner has used on this instance.
 func (t *Ticket) Charge(cost float64) {
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.order.Charge(t.owner, cost)
+	g.scheduler.Charge(t.owner, cost)
 	g.usage[t.owner] += cost
 	g.recent[t.owner] += cost
 }
 
-// Leave gives the place back; further calls do nothing.
+// Leave releases the slot; further calls do nothing.
 func (t *Ticket) Leave() {
-	t.once.Do(func() {
+	t.releaseOnce.Do(func() {
 		g := t.gate
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.running--
-		g.service += (g.clock.Since(t.start) - g.service) / serviceWeight
-		g.admit()
+		g.serviceTime += (g.clock.Since(t.admittedAt) - g.serviceTime) / serviceTimeDivisor
+		g.admitWaiting()
 	})
 }
 
-// Usage is the cost that an owner has used on one instance since that started.
+// Usage is the cost that an owner has used on one instance since the instance started.
 type Usage struct {
 	Owner share.Owner `cbor:"1,keyasint"`
 	Cost  float64     `cbor:"2,keyasint"`
 }
 
-// TakeTop returns the owners that used most since the last call, at most count, with all that they have used.
+// TakeTop returns the owners that have used most since the last call, at most count of them, with their usage since the start.
+// It starts a new interval.
 func (g *Gate) TakeTop(count int) []Usage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -234,9 +244,9 @@
 	return out
 }
 
-// ChargeRemote adds cost that an owner used on another instance.
+// ChargeRemote adds cost that an owner has used on another instance; it counts for the order of requests only.
 func (g *Gate) ChargeRemote(owner share.Owner, cost float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.order.Charge(owner, cost)
+	g.scheduler.Charge(owner, cost)
 }
--- a/keys/authority.go
+++ b/keys/authority.go
@@ -18,37 +18,38 @@
 )
 
 const (
-	authorityLife   = 10 * 365 * 24 * time.Hour
-	certificateLife = 365 * 24 * time.Hour
-	backdate        = time.Hour
-	serialBits      = 128
-	fileMode        = 0o600
-	dirMode         = 0o700
+	authorityValidity   = 10 * 365 * 24 * time.Hour
+	certificateValidity = 365 * 24 * time.Hour
+	// backdate makes certificates valid for machines whose clocks are behind.
+	backdate   = time.Hour
+	serialBits = 128
+	fileMode   = 0o600
+	dirMode    = 0o700
 )
 
-// Names of the files that Write makes.
+// Names of the files that Write and Issue write.
 const (
 	FileAuthority = "ca.pem"
 	suffixCert    = ".pem"
 	suffixKey     = "-key.pem"
 )
 
-// Authority signs certificates for development and tests.
+// Authority is a certificate authority for development and tests.
 type Authority struct {
 	cert *x509.Certificate
 	der  []byte
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority returns an authority with a fresh key.
+// NewAuthority returns an authority with a new key and a certificate that it signed itself.
 func NewAuthority(now time.Time) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "keys: generate")
 	}
 	template := &x509.Certificate{
-		SerialNumber: serial(), Subject: pkix.Name{CommonName: "junctioncross development authority"},
-		NotBefore: now.Add(-backdate), NotAfter: now.Add(authorityLife),
+		SerialNumber: newSerial(), Subject: pkix.Name{CommonName: "junctioncross development authority"},
+		NotBefore: now.Add(-backdate), NotAfter: now.Add(authorityValidity),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
@@ -59,7 +60,7 @@
 	return &Authority{cert: cert, der: der, key: key}, errors.Wrap(err, "keys: parse authority")
 }
 
-func serial() *big.Int {
+func newSerial() *big.Int {
 	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		panic(err)
@@ -67,7 +68,7 @@
 	return n
 }
 
-// Write puts the authority's certificate into a directory.
+// Write writes the authority's certificate into a directory, which it creates if needed. The private key is not written.
 func (a *Authority) Write(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return errors.Wrap(err, "keys")
@@ -75,13 +76,13 @@
 	return writePEM(filepath.Join(dir, FileAuthority), "CERTIFICATE", a.der)
 }
 
-// Issue writes a certificate and key for an identity into a directory, as NAME.pem and NAME-key.pem.
+// Issue writes a new certificate and private key for an identity into a directory, as NAME.pem and NAME-key.pem.
 func (a *Authority) Issue(dir string, id Identity, now time.Time) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return errors.Wrap(err, "keys: generate")
 	}
-	template := holder(id, now)
+	template := certificateTemplate(id, now)
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		return errors.Wrap(err, "keys: sign")
@@ -96,11 +97,11 @@
 	return writePEM(filepath.Join(dir, id.name+suffixCert), "CERTIFICATE", der)
 }
 
-// holder returns the template of an identity's certificate.
-func holder(id Identity, now time.Time) *x509.Certificate {
+// certificateTemplate returns the template of the certificate of an identity, for both ends of TLS connections.
+func certificateTemplate(id Identity, now time.Time) *x509.Certificate {
 	return &x509.Certificate{
-		SerialNumber: serial(), Subject: pkix.Name{CommonName: id.name},
-		NotBefore: now.Add(-backdate), NotAfter: now.Add(certificateLife),
+		SerialNumber: newSerial(), Subject: pkix.Name{CommonName: id.name},
+		NotBefore: now.Add(-backdate), NotAfter: now.Add(certificateValidity),
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
