--- a/front/conn.go
+++ b/front/conn.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// unknownHeader, unknownBody, unknownHeaderTime and unknownIdle hold before the first configuration.
-	unknownHeader     = 16 << 10
-	unknownBody       = 1 << 20
-	unknownHeaderTime = 3 * time.Second
-	unknownIdle       = 15 * time.Second
-	// bodyTime bounds the reading of a body; it is generous for the largest bodies over slow links.
-	bodyTime = 10 * time.Second
+	// defaultHeaderBytes, unknownBody, unknownHeaderTime and unknownIdle hold before the first configuration.
+	defaultHeaderBytes = 16 << 10
+	defaultBodyBytes   = 1 << 20
+	defaultHeaderTime  = 3 * time.Second
+	defaultIdleTime    = 15 * time.Second
+	// bodyReadTime bounds the reading of a body; it is generous for the largest bodies over slow links.
+	bodyReadTime = 10 * time.Second
 	// idleMargin is added to the idle time, so that a request sent just within it finds the connection open.
 	idleMargin = time.Second
 )
@@ -35,9 +35,9 @@
 	net    net.Conn
 	reader *bufio.Reader
 	limits catalog.Limits
-	// resting is true while no request is under way, since a moment in nanoseconds; whoever sets it to false decides what follows.
-	resting atomic.Bool
-	since   atomic.Int64
+	// idle is true while no request is under way, since a moment in nanoseconds; whoever sets it to false decides what follows.
+	idle      atomic.Bool
+	idleSince atomic.Int64
 	// answered tells the reading goroutine that the answer is out; false means that the connection must end.
 	answered chan bool
 }
@@ -46,30 +46,30 @@
 	limits := s.limits()
 	if limits.HeaderBytes == 0 {
 		limits = catalog.Limits{
-			HeaderBytes: unknownHeader, BodyBytes: unknownBody, HeaderTime: unknownHeaderTime, IdleTime: unknownIdle,
+			HeaderBytes: defaultHeaderBytes, BodyBytes: defaultBodyBytes, HeaderTime: defaultHeaderTime, IdleTime: defaultIdleTime,
 		}
 	}
 	out := &conn{
 		server: s, net: c, reader: bufio.NewReaderSize(c, limits.HeaderBytes), limits: limits, answered: make(chan bool, 1),
 	}
-	out.rest()
+	out.setIdle()
 	return out
 }
 
-// rest says that no request is under way from now on.
-func (c *conn) rest() {
-	c.since.Store(c.server.clock.Now().UnixNano())
-	c.resting.Store(true)
+// setIdle says that no request is under way from now on.
+func (c *conn) setIdle() {
+	c.idleSince.Store(c.server.clock.Now().UnixNano())
+	c.idle.Store(true)
 }
 
-// begin reports whether a request may be read; otherwise the connection was closed to make room.
-func (c *conn) begin() bool { return c.resting.CompareAndSwap(true, false) }
+// markBusy reports whether a request may be read; otherwise the connection was closed to make room.
+func (c *conn) markBusy() bool { return c.idle.CompareAndSwap(true, false) }
 
-// read takes requests from the connection until it ends.
-func (c *conn) read() {
-	defer c.server.forget(c)
+// serve takes requests from the connection until it ends.
+func (c *conn) serve() {
+	defer c.server.remove(c)
 	defer c.net.Close()
-	for c.awaitRequest() && c.begin() && c.serveOne() {
+	for c.awaitRequest() && c.markBusy() && c.serveRequest() {
 	}
 }
 
@@ -78,25 +78,25 @@
 	if c.reader.Buffered() > 0 {
 		return true
 	}
-	if err := c.net.SetReadDeadline(c.server.within(c.limits.IdleTime + idleMargin)); err != nil {
+	if err := c.net.SetReadDeadline(c.server.deadlineIn(c.limits.IdleTime + idleMargin)); err != nil {
 		return false
 	}
 	_, err := c.reader.Peek(1)
 	return err == nil
 }
 
-// serveOne reads and answers one request and reports whether the connection can take another.
-func (c *conn) serveOne() bool {
+// serveRequest reads and answers one request and reports whether the connection can take another.
+func (c *conn) serveRequest() bool {
 	x := acquireExchange(c)
-	if refusal := c.readRequest(x); refusal != nil {
+	if failure := c.readRequest(x); failure != nil {
 		c.server.stats.Counter("requests_unreadable_total").Inc(1)
-		x.refuseUnread(refusal)
+		x.refuseUnreadable(failure)
 		return false
 	}
 	if err := c.net.SetReadDeadline(time.Time{}); err != nil {
 		return false
 	}
-	if c.left() {
+	if c.callerDisconnected() {
 		// The request may have waited here for long; its caller has forgotten it.
 		c.server.stats.Counter("callers_gone_unserved_total").Inc(1)
 		releaseExchange(x)
@@ -123,8 +123,8 @@
 	return keep && err == nil
 }
 
-// left reports whether the caller has closed the connection and sent nothing more.
-func (c *conn) left() bool {
+// callerDisconnected reports whether the caller has closed the connection and sent nothing more.
+func (c *conn) callerDisconnected() bool {
 	socket, ok := c.net.(syscall.Conn)
 	if !ok || c.reader.Buffered() > 0 {
 		return false
@@ -133,28 +133,28 @@
 	if err != nil {
 		return true
 	}
-	ended := false
+	disconnected := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		ended = err == nil && n == 0 || errors.Is(err, unix.ECONNRESET)
+		disconnected = err == nil && n == 0 || errors.Is(err, unix.ECONNRESET)
 		return true
 	})
-	return err != nil || ended
+	return err != nil || disconnected
 }
 
-// unread says why a request could not be read.
-type unread struct {
+// readFailure says why a request could not be read.
+type readFailure struct {
 	status int
 	reason string
 }
 
-func (c *conn) readRequest(x *Exchange) *unread {
-	if err := c.net.SetReadDeadline(c.server.within(c.limits.HeaderTime)); err != nil {
-		return &unread{}
+func (c *conn) readRequest(x *Exchange) *readFailure {
+	if err := c.net.SetReadDeadline(c.server.deadlineIn(c.limits.HeaderTime)); err != nil {
+		return &readFailure{}
 	}
 	if err := x.request.Header.Read(c.reader); err != nil {
-		return headerProblem(err)
+		return headerFailure(err)
 	}
 	// What is known may be older than the clock told while the machine was suspended, and this may be the first that it does again.
 	if _, err := c.server.clock.Look(); err != nil {
@@ -163,44 +163,44 @@
 	x.arrived = c.server.clock.Now()
 	if x.request.MayContinue() {
 		if _, err := c.net.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
-			return &unread{}
+			return &readFailure{}
 		}
 	}
-	if err := c.net.SetReadDeadline(c.server.within(bodyTime)); err != nil {
-		return &unread{}
+	if err := c.net.SetReadDeadline(c.server.deadlineIn(bodyReadTime)); err != nil {
+		return &readFailure{}
 	}
 	if x.request.Header.ContentLength() != 0 {
 		if err := x.request.ContinueReadBody(c.reader, c.limits.BodyBytes); err != nil {
-			return bodyProblem(err)
+			return bodyFailure(err)
 		}
 	}
 	meta, err := c.server.codec.ReadRequest(&x.request.Header)
 	if err != nil {
-		return &unread{status: fasthttp.StatusBadRequest, reason: err.Error()}
+		return &readFailure{status: fasthttp.StatusBadRequest, reason: err.Error()}
 	}
 	x.meta = meta
 	return nil
 }
 
-func headerProblem(err error) *unread {
-	var small *fasthttp.ErrSmallBuffer
-	if errors.As(err, &small) {
-		return &unread{status: fasthttp.StatusRequestHeaderFieldsTooLarge, reason: "head is too large"}
+func headerFailure(err error) *readFailure {
+	var tooLarge *fasthttp.ErrSmallBuffer
+	if errors.As(err, &tooLarge) {
+		return &readFailure{status: fasthttp.StatusRequestHeaderFieldsTooLarge, reason: "head is too large"}
 	}
 	if connectionEnded(err) {
-		return &unread{}
+		return &readFailure{}
 	}
-	return &unread{status: fasthttp.StatusBadRequest, reason: "head is not readable"}
+	return &readFailure{status: fasthttp.StatusBadRequest, reason: "head is not readable"}
 }
 
-func bodyProblem(err error) *unread {
+func bodyFailure(err error) *readFailure {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		return &unread{status: fasthttp.StatusRequestEntityTooLarge, reason: "body is too large"}
+		return &readFailure{status: fasthttp.StatusRequestEntityTooLarge, reason: "body is too large"}
 	}
 	if connectionEnded(err) {
-		return &unread{}
+		return &readFailure{}
 	}
-	return &unread{status: fasthttp.StatusBadRequest, reason: "body is not readable"}
+	return &readFailure{status: fasthttp.StatusBadRequest, reason: "body is not readable"}
 }
 
 // connectionEnded reports whether the caller left or was too slow, so that nobody waits for an answer.
--- a/front/lack_test.go
+++ b/front/descriptors_test.go
@@ -16,8 +16,8 @@
 	"junctioncross/timer"
 )
 
-// soonEnough bounds waits for what happens at once on a sound machine; it is below writeSlack, after which a write ends anyway.
-const soonEnough = 20 * time.Second
+// testTimeout bounds waits for what happens at once on a sound machine; it is below writeSlack, after which a write ends anyway.
+const testTimeout = 20 * time.Second
 
 type handlerFunc func(ctx context.Context, x *Exchange)
 
@@ -32,7 +32,7 @@
 }
 
 // pair returns both ends of a connection.
-func pair(t *testing.T) (theirs, ours *net.TCPConn) {
+func pair(t *testing.T) (clientConn, serverConn *net.TCPConn) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -45,35 +45,35 @@
 	return c.(*net.TCPConn), o.(*net.TCPConn)
 }
 
-// TestALackOfDescriptorsMakesConnectionsThatRestGiveWay lets the listener have none until the connection that rests is closed.
-func TestALackOfDescriptorsMakesConnectionsThatRestGiveWay(t *testing.T) {
-	theirs, ours := pair(t)
+// TestIdleConnectionIsClosedWhenDescriptorsRunOut lets the listener have none until the connection that rests is closed.
+func TestIdleConnectionIsClosedWhenDescriptorsRunOut(t *testing.T) {
+	clientConn, serverConn := pair(t)
 	s := newServer(func(context.Context, *Exchange) {})
-	s.start(ours)
-	l := &scarce{failing: true, asked: make(chan struct{}), ended: make(chan struct{})}
+	s.start(serverConn)
+	l := &exhaustedListener{failing: true, acceptFailed: make(chan struct{}), testEnded: make(chan struct{})}
 	go func() { s.accept(l) }()
-	t.Cleanup(func() { close(l.ended) })
-	<-l.asked
-	require.NoError(t, theirs.SetReadDeadline(time.Now().Add(soonEnough)))
-	_, err := theirs.Read(make([]byte, 1))
+	t.Cleanup(func() { close(l.testEnded) })
+	<-l.acceptFailed
+	require.NoError(t, clientConn.SetReadDeadline(time.Now().Add(testTimeout)))
+	_, err := clientConn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// scarce is a listener that has no descriptor for the first connection, and afterwards waits until the test has ended.
-type scarce struct {
+// exhaustedListener is a listener that has no descriptor for the first connection, and afterwards waits until the test has ended.
+type exhaustedListener struct {
 	net.Listener
-	failing bool
-	asked   chan struct{}
-	ended   chan struct{}
+	failing      bool
+	acceptFailed chan struct{}
+	testEnded    chan struct{}
 }
 
 // Accept implements net.Listener.
-func (s *scarce) Accept() (net.Conn, error) {
+func (s *exhaustedListener) Accept() (net.Conn, error) {
 	if s.failing {
 		s.failing = false
-		close(s.asked)
+		close(s.acceptFailed)
 		return nil, &net.OpError{Op: "accept", Net: "tcp4", Err: unix.EMFILE}
 	}
-	<-s.ended
+	<-s.testEnded
 	return nil, net.ErrClosed
 }
--- a/front/leave_test.go
+++ b/front/disconnect_test.go
@@ -17,20 +17,20 @@
 // closeWait is the state of a TCP connection whose other end has closed it, as Linux numbers it.
 const closeWait = 8
 
-// TestARequestWhoseCallerHasLeftIsNotServed lets a caller send a request and leave before the server looks at the connection.
-func TestARequestWhoseCallerHasLeftIsNotServed(t *testing.T) {
-	theirs, ours := pair(t)
-	_, err := io.WriteString(theirs, oneRequest)
+// TestRequestOfDisconnectedCallerIsNotServed lets a caller send a request and leave before the server looks at the connection.
+func TestRequestOfDisconnectedCallerIsNotServed(t *testing.T) {
+	clientConn, serverConn := pair(t)
+	_, err := io.WriteString(clientConn, oneRequest)
 	require.NoError(t, err)
-	require.NoError(t, theirs.Close())
-	require.Eventually(t, func() bool { return stateOf(t, ours) == closeWait }, soonEnough, time.Millisecond)
+	require.NoError(t, clientConn.Close())
+	require.Eventually(t, func() bool { return stateOf(t, serverConn) == closeWait }, testTimeout, time.Millisecond)
 	s := newServer(func(context.Context, *Exchange) { t.Error("handled") })
-	s.start(ours)
+	s.start(serverConn)
 	require.Eventually(t, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.conns) == 0
-	}, soonEnough, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
 func stateOf(t *testing.T, c *net.TCPConn) uint8 {
@@ -44,10 +44,10 @@
 	return info.State
 }
 
-// TestAWriteEndsWhenACallerLeavesWhoDidNotRead fills the connection of a caller that reads nothing, and lets it leave for writing only,
+// TestBlockedWriteEndsWhenCallerDisconnects fills the connection of a caller that reads nothing, and lets it leave for writing only,
 // so that no reset comes.
-func TestAWriteEndsWhenACallerLeavesWhoDidNotRead(t *testing.T) {
-	theirs, ours := pair(t)
+func TestBlockedWriteEndsWhenCallerDisconnects(t *testing.T) {
+	clientConn, serverConn := pair(t)
 	var writing sync.Once
 	begun := make(chan struct{})
 	s := newServer(func(_ context.Context, x *Exchange) {
@@ -57,10 +57,10 @@
 			x.Stream(make([]byte, 64<<10))
 		}
 	})
-	s.start(ours)
-	_, err := io.WriteString(theirs, oneRequest)
+	s.start(serverConn)
+	_, err := io.WriteString(clientConn, oneRequest)
 	require.NoError(t, err)
 	<-begun
-	require.NoError(t, theirs.CloseWrite())
-	require.Eventually(t, func() bool { return s.Running() == 0 }, soonEnough, time.Millisecond)
+	require.NoError(t, clientConn.CloseWrite())
+	require.Eventually(t, func() bool { return s.Running() == 0 }, testTimeout, time.Millisecond)
 }
--- a/front/exchange.go
+++ b/front/exchange.go
@@ -11,20 +11,20 @@
 	"junctioncross/call"
 )
 
-// writeSlack is how much longer than the caller wants to wait an answer may take to write: what a caller that does not read
+// writeMargin is how much longer than the caller wants to wait an answer may take to write: what a caller that does not read
 // holds up is given up then.
-const writeSlack = 30 * time.Second
+const writeMargin = 30 * time.Second
 
 // Exchange is one request with the means to answer it.
 type Exchange struct {
-	conn    *conn
-	request fasthttp.Request
-	meta    call.Meta
-	arrived time.Time
-	head    []byte
-	begun   bool
-	whole   bool
-	failed  bool
+	conn     *conn
+	request  fasthttp.Request
+	meta     call.Meta
+	arrived  time.Time
+	buffer   []byte
+	begun    bool
+	complete bool
+	failed   bool
 }
 
 var exchanges = sync.Pool{New: func() any { return &Exchange{} }}
@@ -37,8 +37,8 @@
 
 func releaseExchange(x *Exchange) {
 	x.request.Reset()
-	x.conn, x.meta, x.arrived, x.head = nil, call.Meta{}, time.Time{}, x.head[:0]
-	x.begun, x.whole, x.failed = false, false, false
+	x.conn, x.meta, x.arrived, x.buffer = nil, call.Meta{}, time.Time{}, x.buffer[:0]
+	x.begun, x.complete, x.failed = false, false, false
 	exchanges.Put(x)
 }
 
@@ -64,45 +64,45 @@
 
 // Answer sends a whole answer; head holds the status line and the headers that do not frame the body.
 func (x *Exchange) Answer(head, body []byte) {
-	out := x.head[:0]
+	out := x.buffer[:0]
 	out = append(out, head...)
 	out = append(out, "Content-Length: "...)
 	out = strconv.AppendInt(out, int64(len(body)), 10)
 	out = append(out, "\r\n"...)
 	out = x.appendClose(out)
 	out = append(out, body...)
-	x.head = out
+	x.buffer = out
 	x.write(out)
-	x.whole = true
+	x.complete = true
 }
 
 // BeginStream sends the head of a stream together with its first bytes.
 func (x *Exchange) BeginStream(head, first []byte) {
-	out := x.head[:0]
+	out := x.buffer[:0]
 	out = append(out, head...)
 	out = append(out, "Transfer-Encoding: chunked\r\n"...)
 	out = x.appendClose(out)
 	out = appendChunk(out, first)
-	x.head = out
+	x.buffer = out
 	x.write(out)
 }
 
 // Stream sends further bytes of a stream.
 func (x *Exchange) Stream(p []byte) {
-	x.head = appendChunk(x.head[:0], p)
-	x.write(x.head)
+	x.buffer = appendChunk(x.buffer[:0], p)
+	x.write(x.buffer)
 }
 
 // EndStream sends the last bytes of a stream and marks it as whole.
 func (x *Exchange) EndStream(p []byte) {
-	out := x.head[:0]
+	out := x.buffer[:0]
 	if len(p) > 0 {
 		out = appendChunk(out, p)
 	}
 	out = append(out, "0\r\n\r\n"...)
-	x.head = out
+	x.buffer = out
 	x.write(out)
-	x.whole = true
+	x.complete = true
 }
 
 // Failed reports whether a write failed, which means that the caller cannot be reached any more.
@@ -128,7 +128,7 @@
 	}
 	if !x.begun {
 		x.begun = true
-		if err := x.conn.net.SetWriteDeadline(x.conn.server.within(x.meta.Wait + writeSlack)); err != nil {
+		if err := x.conn.net.SetWriteDeadline(x.conn.server.deadlineIn(x.meta.Wait + writeMargin)); err != nil {
 			x.failed = true
 			return
 		}
@@ -140,23 +140,23 @@
 
 // finish ends the exchange and reports whether the connection can take another request.
 func (x *Exchange) finish() bool {
-	if !x.whole || x.failed {
+	if !x.complete || x.failed {
 		// The answer is not whole, and closing is the only way to say so.
 		_ = x.conn.net.Close()
 		return false
 	}
 	if x.conn.server.Leaving() || x.request.Header.ConnectionClose() {
 		_ = closeWrite(x.conn.net)
-		x.wake()
+		x.wakeReader()
 		return false
 	}
 	// The reading goroutine may wait for the next request already; from now on it waits only for the idle time.
-	x.conn.rest()
-	return x.conn.net.SetReadDeadline(x.conn.server.within(x.conn.limits.IdleTime+idleMargin)) == nil
+	x.conn.setIdle()
+	return x.conn.net.SetReadDeadline(x.conn.server.deadlineIn(x.conn.limits.IdleTime+idleMargin)) == nil
 }
 
-// wake ends the wait of the reading goroutine.
-func (x *Exchange) wake() { _ = x.conn.net.SetReadDeadline(time.Unix(1, 0)) }
+// wakeReader ends the wait of the reading goroutine.
+func (x *Exchange) wakeReader() { _ = x.conn.net.SetReadDeadline(time.Unix(1, 0)) }
 
 func closeWrite(c net.Conn) error {
 	if t, ok := c.(*net.TCPConn); ok {
@@ -165,15 +165,15 @@
 	return c.Close()
 }
 
-// refuseUnread answers a request that could not be read; there is no answer when the caller is gone or too slow.
-func (x *Exchange) refuseUnread(u *unread) {
+// refuseUnreadable answers a request that could not be read; there is no answer when the caller is gone or too slow.
+func (x *Exchange) refuseUnreadable(failure *readFailure) {
 	defer releaseExchange(x)
-	if u.status == 0 {
+	if failure.status == 0 {
 		return
 	}
 	head := append([]byte(nil), "HTTP/1.1 "...)
-	head = strconv.AppendInt(head, int64(u.status), 10)
-	head = append(head, " "+fasthttp.StatusMessage(u.status)+"\r\nContent-Type: text/plain\r\n"...)
+	head = strconv.AppendInt(head, int64(failure.status), 10)
+	head = append(head, " "+fasthttp.StatusMessage(failure.status)+"\r\nContent-Type: text/plain\r\n"...)
 	x.request.Header.SetConnectionClose()
-	x.Answer(head, []byte(u.reason+"\n"))
+	x.Answer(head, []byte(failure.reason+"\n"))
 }
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -20,8 +20,8 @@
 	"junctioncross/timer"
 )
 
-// patience bounds waits that end at once on a sound machine.
-const patience = 20 * time.Second
+// testTimeout bounds waits that end at once on a sound machine.
+const testTimeout = 20 * time.Second
 
 // handler answers as its function says.
 type handler func(ctx context.Context, x *front.Exchange)
@@ -29,13 +29,13 @@
 // Handle implements front.Handler.
 func (h handler) Handle(ctx context.Context, x *front.Exchange) { h(ctx, x) }
 
-var limits = catalog.Limits{HeaderBytes: 4096, BodyBytes: 1000, HeaderTime: patience, IdleTime: patience}
+var limits = catalog.Limits{HeaderBytes: 4096, BodyBytes: 1000, HeaderTime: testTimeout, IdleTime: testTimeout}
 
-// most is the number of connections beyond which those that rest make room.
-const most = 8
+// maxConnections is the number of connections beyond which those that rest make room.
+const maxConnections = 8
 
 func serve(t *testing.T, h handler) *front.Server {
-	s := front.New(platform.Codec{}, h, func() catalog.Limits { return limits }, func() int { return most }, timer.NewReal(), metrics.New())
+	s := front.New(platform.Codec{}, h, func() catalog.Limits { return limits }, func() int { return maxConnections }, timer.NewReal(), metrics.New())
 	require.NoError(t, s.Listen("127.0.0.1:0"))
 	t.Cleanup(s.Close)
 	return s
@@ -45,7 +45,7 @@
 	c, err := net.Dial("tcp4", s.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	return c, bufio.NewReader(c)
 }
 
@@ -77,25 +77,25 @@
 	}
 }
 
-func TestTheHandlerIsToldWhenItsCallerLeaves(t *testing.T) {
-	left := make(chan struct{})
+func TestHandlerContextEndsWhenCallerDisconnects(t *testing.T) {
+	contextEnded := make(chan struct{})
 	s := serve(t, func(ctx context.Context, _ *front.Exchange) {
 		<-ctx.Done()
-		close(left)
+		close(contextEnded)
 	})
 	c, _ := dial(t, s)
 	_, err := io.WriteString(c, request("r1", ""))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return s.Running() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.Running() == 1 }, testTimeout, time.Millisecond)
 	require.NoError(t, c.Close())
 	select {
-	case <-left:
-	case <-time.After(patience):
+	case <-contextEnded:
+	case <-time.After(testTimeout):
 		t.Fatal("the handler was not told")
 	}
 }
 
-func TestAnAnswerThatIsNotWholeDoesNotLookWhole(t *testing.T) {
+func TestIncompleteAnswerEndsWithUnexpectedEOF(t *testing.T) {
 	c, r := dial(t, serve(t, func(_ context.Context, x *front.Exchange) {
 		x.BeginStream([]byte("HTTP/1.1 200 OK\r\n"), []byte("first"))
 	}))
@@ -108,7 +108,7 @@
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestAStreamComesWholeAndTheConnectionStays(t *testing.T) {
+func TestStreamIsCompleteAndConnectionIsReused(t *testing.T) {
 	c, r := dial(t, serve(t, func(_ context.Context, x *front.Exchange) {
 		x.BeginStream([]byte("HTTP/1.1 200 OK\r\n"), []byte("a"))
 		x.Stream([]byte("b"))
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestWhatCannotBeReadIsRefusedAndNotHandled(t *testing.T) {
+func TestUnreadableRequestsAreRefusedAndNotHandled(t *testing.T) {
 	s := serve(t, func(context.Context, *front.Exchange) { t.Error("handled") })
 	for name, one := range map[string]struct {
 		send   string
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestAServerThatIsLeavingAnswersAndTellsItsCallersToGo(t *testing.T) {
+func TestLeavingServerAnswersAndClosesConnection(t *testing.T) {
 	s := serve(t, echo)
 	s.Leave()
 	c, r := dial(t, s)
--- a/front/room_test.go
+++ b/front/idle_test.go
@@ -11,24 +11,24 @@
 	"junctioncross/front"
 )
 
-// TestConnectionsThatRestMakeRoomForNewOnes opens as many connections as there may be; the first one has a request under way.
-func TestConnectionsThatRestMakeRoomForNewOnes(t *testing.T) {
-	goOn := make(chan struct{})
+// TestOldestIdleConnectionIsClosedForNewOnes opens as many connections as there may be; the first one has a request under way.
+func TestOldestIdleConnectionIsClosedForNewOnes(t *testing.T) {
+	proceed := make(chan struct{})
 	s := serve(t, func(ctx context.Context, x *front.Exchange) {
 		if x.Meta().ID == "busy" {
-			<-goOn
+			<-proceed
 		}
 		echo(ctx, x)
 	})
 	busy, busyReader := dial(t, s)
 	_, err := io.WriteString(busy, request("busy", ""))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return s.Running() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.Running() == 1 }, testTimeout, time.Millisecond)
 	oldest, oldestReader := dial(t, s)
 	_, err = io.WriteString(oldest, request("old", ""))
 	require.NoError(t, err)
 	answer(t, oldestReader)
-	for range most {
+	for range maxConnections {
 		c, r := dial(t, s)
 		_, err := io.WriteString(c, request("new", "one"))
 		require.NoError(t, err)
@@ -38,26 +38,26 @@
 	_, err = oldestReader.ReadByte()
 	require.ErrorIs(t, err, io.EOF, "the one that rested longest has made room")
 	require.False(t, s.Full())
-	close(goOn)
+	close(proceed)
 	_, body := answer(t, busyReader)
 	require.Equal(t, "busy:", body, "a request under way is never cut")
 }
 
 // TestAServerWhoseConnectionsAreAllBusyIsFull lets the requests of all connections wait.
 func TestAServerWhoseConnectionsAreAllBusyIsFull(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	s := serve(t, func(ctx context.Context, x *front.Exchange) {
-		<-goOn
+		<-proceed
 		echo(ctx, x)
 	})
-	for n := range most {
+	for n := range maxConnections {
 		require.False(t, s.Full())
 		c, _ := dial(t, s)
 		_, err := io.WriteString(c, request("r", ""))
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return s.Running() == n+1 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return s.Running() == n+1 }, testTimeout, time.Millisecond)
 	}
 	require.True(t, s.Full())
-	close(goOn)
-	require.Eventually(t, func() bool { return !s.Full() }, patience, time.Millisecond)
+	close(proceed)
+	require.Eventually(t, func() bool { return !s.Full() }, testTimeout, time.Millisecond)
 }
--- a/front/server.go
+++ b/front/server.go
@@ -23,14 +23,14 @@
 
 // Server accepts callers' connections.
 type Server struct {
-	codec   call.Codec
-	handler Handler
-	limits  func() catalog.Limits
-	most    func() int
-	clock   *timer.Service
-	stats   *metrics.Registry
-	leaving atomic.Bool
-	running atomic.Int64
+	codec          call.Codec
+	handler        Handler
+	limits         func() catalog.Limits
+	maxConnections func() int
+	clock          *timer.Service
+	stats          *metrics.Registry
+	leaving        atomic.Bool
+	running        atomic.Int64
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -40,15 +40,15 @@
 // New returns a Server that hands requests to handler; limits tells the bounds on callers that are in force, most the number of
 // connections beyond which those that rest make room for new ones.
 func New(
-	codec call.Codec, handler Handler, limits func() catalog.Limits, most func() int, clock *timer.Service, stats *metrics.Registry,
+	codec call.Codec, handler Handler, limits func() catalog.Limits, maxConnections func() int, clock *timer.Service, stats *metrics.Registry,
 ) *Server {
 	return &Server{
-		codec: codec, handler: handler, limits: limits, most: most, clock: clock, stats: stats, conns: map[*conn]struct{}{},
+		codec: codec, handler: handler, limits: limits, maxConnections: maxConnections, clock: clock, stats: stats, conns: map[*conn]struct{}{},
 	}
 }
 
-// within returns when something must have happened that may take so long, as a connection's deadline.
-func (s *Server) within(limit time.Duration) time.Time {
+// deadlineIn returns when something must have happened that may take so long, as a connection's deadline.
+func (s *Server) deadlineIn(limit time.Duration) time.Time {
 	return s.clock.Steady(s.clock.Now().Add(limit))
 }
 
@@ -77,7 +77,7 @@
 		}
 		if err != nil {
 			s.stats.Counter("accept_errors_total").Inc(1)
-			if !s.makeRoom() {
+			if !s.closeOldestIdle() {
 				<-s.clock.After(acceptPause)
 			}
 			continue
@@ -91,26 +91,26 @@
 	one := newConn(s, c)
 	s.mu.Lock()
 	s.conns[one] = struct{}{}
-	full := len(s.conns) > s.most()
+	full := len(s.conns) > s.maxConnections()
 	s.mu.Unlock()
 	if full {
-		s.makeRoom()
+		s.closeOldestIdle()
 	}
-	go func() { one.read() }()
+	go func() { one.serve() }()
 }
 
-// makeRoom closes the connection that has rested longest and reports whether there was one. Its caller opens another one when it needs
+// closeOldestIdle closes the connection that has rested longest and reports whether there was one. Its caller opens another one when it needs
 // it; a caller that cannot connect at all is worse off.
-func (s *Server) makeRoom() bool {
+func (s *Server) closeOldestIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var oldest *conn
 	for c := range s.conns {
-		if c.resting.Load() && (oldest == nil || c.since.Load() < oldest.since.Load()) {
+		if c.idle.Load() && (oldest == nil || c.idleSince.Load() < oldest.idleSince.Load()) {
 			oldest = c
 		}
 	}
-	if oldest == nil || !oldest.resting.CompareAndSwap(true, false) {
+	if oldest == nil || !oldest.idle.CompareAndSwap(true, false) {
 		return false
 	}
 	s.stats.Counter("connections_made_room_total").Inc(1)
@@ -123,18 +123,18 @@
 func (s *Server) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.most() {
+	if len(s.conns) < s.maxConnections() {
 		return false
 	}
 	for c := range s.conns {
-		if c.resting.Load() {
+		if c.idle.Load() {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
