--- a/entry/answer.go
+++ b/entry/answer.go
@@ -32,18 +32,18 @@
 }
 
 // answer runs a prompt and writes the answer, whole or as a stream.
-func (h *Handler) answer(ctx *fasthttp.RequestCtx, c *call, p prompt, f format) *refusal {
-	if c.view.Index().Document().Model(p.model) == nil {
+func (h *Handler) answer(ctx *fasthttp.RequestCtx, c *call, p completionParams, f format) *refusal {
+	if c.snapshot.Index().Document().Model(p.model) == nil {
 		return notRun(fasthttp.StatusNotFound, models.ReasonUnknownModel, "no model "+p.model)
 	}
 	if !c.account.Allows(p.model) {
 		return notRun(fasthttp.StatusForbidden, models.ReasonModelNotAllowed, "the account's group may not use model "+p.model)
 	}
-	run, cancel := context.WithTimeout(context.Background(), h.limit)
-	ticket, err := h.gates.Gate(p.model).Enter(run, c.account.Owner())
+	runCtx, cancel := context.WithTimeout(context.Background(), h.requestTimeout)
+	ticket, err := h.gates.Gate(p.model).Enter(runCtx, c.account.Owner())
 	if err != nil {
 		cancel()
-		return h.notAdmitted(p, err)
+		return h.admissionRefusal(p, err)
 	}
 	s := newStream(c, p)
 	h.active.Add(1)
@@ -51,19 +51,19 @@
 		defer h.active.Done()
 		defer cancel()
 		defer ticket.Leave()
-		s.finish(h.run(run, c, p, ticket, s))
+		s.finish(h.runPipeline(runCtx, c, p, ticket, s))
 	}()
 	if first := s.first(); first != nil {
-		return h.failed(first)
+		return h.pipelineRefusal(first)
 	}
 	if p.stream {
 		h.writeStream(ctx, c, s, f)
 		return nil
 	}
-	return h.writeWhole(ctx, c, s, f)
+	return h.writeComplete(ctx, c, s, f)
 }
 
-func (h *Handler) notAdmitted(p prompt, err error) *refusal {
+func (h *Handler) admissionRefusal(p completionParams, err error) *refusal {
 	if errors.Is(err, admit.ErrOverloaded) {
 		r := notRun(fasthttp.StatusTooManyRequests, models.ReasonOverloaded, "the wait for model "+p.model+" would be too long")
 		r.retryAfter = h.gates.Gate(p.model).RetryAfter()
@@ -72,9 +72,9 @@
 	return notRun(fasthttp.StatusGatewayTimeout, models.ReasonDeadline, "the request's time was over before it was started")
 }
 
-func (h *Handler) run(ctx context.Context, c *call, p prompt, ticket *admit.Ticket, s *stream) error {
+func (h *Handler) runPipeline(ctx context.Context, c *call, p completionParams, ticket *admit.Ticket, s *stream) error {
 	q := &pipeline.Request{
-		ID: c.id, Account: c.account.Name(), Model: p.model, Prompt: p.text, Limit: p.limit,
+		ID: c.id, Account: c.account.Name(), Model: p.model, Prompt: p.prompt, Limit: p.maxTokens,
 		Graph: func() *route.Graph { return h.board.Current().Graph(p.model) },
 	}
 	charged := false
@@ -90,8 +90,8 @@
 	})
 }
 
-// failed turns the pipeline's error into the caller's answer.
-func (h *Handler) failed(err error) *refusal {
+// pipelineRefusal turns the pipeline's error into the caller's answer.
+func (h *Handler) pipelineRefusal(err error) *refusal {
 	var f *pipeline.Failure
 	if !errors.As(err, &f) {
 		return &refusal{status: fasthttp.StatusInternalServerError, reason: models.ReasonRetriesExhausted, fate: models.FateUnknown, message: "internal error"}
@@ -103,8 +103,8 @@
 	return r
 }
 
-// writeWhole waits for the whole answer and writes it at once.
-func (h *Handler) writeWhole(ctx *fasthttp.RequestCtx, c *call, s *stream, f format) *refusal {
+// writeComplete waits for the whole answer and writes it at once.
+func (h *Handler) writeComplete(ctx *fasthttp.RequestCtx, c *call, s *stream, f format) *refusal {
 	var text strings.Builder
 	for {
 		t, ok := s.next()
@@ -114,11 +114,11 @@
 		text.WriteString(t.Piece)
 	}
 	if err := s.err(); err != nil {
-		return h.failed(err)
+		return h.pipelineRefusal(err)
 	}
 	ctx.SetContentType("application/json")
 	ctx.Response.Header.Set(models.HeaderRequestID, c.id)
-	ctx.SetBody(f.whole(s.summary(), text.String()))
+	ctx.SetBody(f.complete(s.summary(), text.String()))
 	return nil
 }
 
--- a/entry/decode.go
+++ b/entry/decode.go
@@ -16,13 +16,13 @@
 	maxMessages      = 4096
 )
 
-// prompt is what a decoded body asks for.
-type prompt struct {
-	model  string
-	text   string
-	limit  int
-	stream bool
-	usage  bool
+// completionParams is what a decoded body asks for.
+type completionParams struct {
+	model        string
+	prompt       string
+	maxTokens    int
+	stream       bool
+	includeUsage bool
 }
 
 type commonBody struct {
@@ -59,39 +59,39 @@
 }
 
 // decodeChat reads the body of a chat completion.
-func decodeChat(body []byte) (prompt, error) {
+func decodeChat(body []byte) (completionParams, error) {
 	var b chatBody
 	if err := decodeJSON(body, &b); err != nil {
-		return prompt{}, err
+		return completionParams{}, err
 	}
 	if len(b.Messages) == 0 || len(b.Messages) > maxMessages {
-		return prompt{}, errors.Errorf("messages: %d given; accepted: 1 to %d", len(b.Messages), maxMessages)
+		return completionParams{}, errors.Errorf("messages: %d given; accepted: 1 to %d", len(b.Messages), maxMessages)
 	}
 	var text strings.Builder
 	for i, m := range b.Messages {
 		if m.Role == "" {
-			return prompt{}, errors.Errorf("messages[%d].role: is missing", i)
+			return completionParams{}, errors.Errorf("messages[%d].role: is missing", i)
 		}
 		content, err := textOf(m.Content)
 		if err != nil {
-			return prompt{}, errors.WithMessagef(err, "messages[%d].content", i)
+			return completionParams{}, errors.WithMessagef(err, "messages[%d].content", i)
 		}
 		fmt.Fprintf(&text, "%s: %s\n", m.Role, content)
 	}
-	return b.prompt(text.String())
+	return b.params(text.String())
 }
 
 // decodeCompletion reads the body of a completion.
-func decodeCompletion(body []byte) (prompt, error) {
+func decodeCompletion(body []byte) (completionParams, error) {
 	var b completionBody
 	if err := decodeJSON(body, &b); err != nil {
-		return prompt{}, err
+		return completionParams{}, err
 	}
 	text, err := textOf(b.Prompt)
 	if err != nil {
-		return prompt{}, errors.WithMessage(err, "prompt")
+		return completionParams{}, errors.WithMessage(err, "prompt")
 	}
-	return b.prompt(text)
+	return b.params(text)
 }
 
 func decodeJSON(body []byte, out any) error {
@@ -104,12 +104,12 @@
 	return nil
 }
 
-func (b *commonBody) prompt(text string) (prompt, error) {
+func (b *commonBody) params(text string) (completionParams, error) {
 	if b.Model == "" {
-		return prompt{}, errors.New("model: is missing")
+		return completionParams{}, errors.New("model: is missing")
 	}
 	if b.N != nil && *b.N != 1 {
-		return prompt{}, errors.New("n: accepted: 1")
+		return completionParams{}, errors.New("n: accepted: 1")
 	}
 	limit := defaultMaxTokens
 	if b.MaxTokens != nil {
@@ -119,10 +119,10 @@
 		limit = *b.MaxCompletionTokens
 	}
 	if limit < 1 || limit > maxMaxTokens {
-		return prompt{}, errors.Errorf("max_tokens: %d given; accepted: 1 to %d", limit, maxMaxTokens)
+		return completionParams{}, errors.Errorf("max_tokens: %d given; accepted: 1 to %d", limit, maxMaxTokens)
 	}
-	p := prompt{model: b.Model, text: text, limit: limit, stream: b.Stream}
-	p.usage = b.StreamOptions != nil && b.StreamOptions.IncludeUsage
+	p := completionParams{model: b.Model, prompt: text, maxTokens: limit, stream: b.Stream}
+	p.includeUsage = b.StreamOptions != nil && b.StreamOptions.IncludeUsage
 	return p, nil
 }
 
--- a/entry/decode_test.go
+++ b/entry/decode_test.go
@@ -23,10 +23,10 @@
 			return
 		}
 		require.NotEmpty(t, p.model)
-		require.NotEmpty(t, p.text)
-		require.True(t, utf8.ValidString(p.text))
-		require.Positive(t, p.limit)
-		require.LessOrEqual(t, p.limit, maxMaxTokens)
+		require.NotEmpty(t, p.prompt)
+		require.True(t, utf8.ValidString(p.prompt))
+		require.Positive(t, p.maxTokens)
+		require.LessOrEqual(t, p.maxTokens, maxMaxTokens)
 	})
 }
 
@@ -37,7 +37,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		p, err := decodeCompletion(body)
 		if err == nil {
-			require.NotEmpty(t, p.text)
+			require.NotEmpty(t, p.prompt)
 		}
 	})
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -87,7 +87,7 @@
 	} `json:"error"`
 }
 
-func TestBadInputGetsAClearErrorThatSaysNotRun(t *testing.T) {
+func TestInvalidRequestsAreRefusedAsNotRun(t *testing.T) {
 	good := `{"model":"m","messages":[{"role":"user","content":"hi"}]}`
 	tests := []struct {
 		name   string
@@ -152,7 +152,7 @@
 	return resp.StatusCode(), answer
 }
 
-func TestClaimsDecideOnKeyedCalls(t *testing.T) {
+func TestRequestsWithIdempotencyKeyFollowClaimVerdict(t *testing.T) {
 	tests := []struct {
 		name   string
 		claims stubClaims
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestHalfARequestDoesNotHoldTheOthersUp(t *testing.T) {
+func TestIncompleteRequestDoesNotBlockOthers(t *testing.T) {
 	listener := fasthttputil.NewInmemoryListener()
 	h, _ := newHandler(t, stubClaims{})
 	server := &fasthttp.Server{Handler: h.Routes(), ErrorHandler: h.Broken, ReadTimeout: 200 * time.Millisecond}
@@ -193,7 +193,7 @@
 	require.Contains(t, string(body), `"fate":"not_run"`)
 }
 
-func TestADrainedInstanceRefusesAndWaits(t *testing.T) {
+func TestDrainedInstanceRefusesRequests(t *testing.T) {
 	h, _ := newHandler(t, stubClaims{})
 	client := serve(t, h)
 	require.True(t, h.Drain(time.Second))
--- a/entry/format.go
+++ b/entry/format.go
@@ -4,24 +4,24 @@
 
 // summary is what the bodies of an answer say about it.
 type summary struct {
-	id         string
-	model      string
-	created    int64
-	prompt     int
-	completion int
-	ended      bool
+	id               string
+	model            string
+	created          int64
+	promptTokens     int
+	completionTokens int
+	stopped          bool
 }
 
-func (s summary) reason() *string {
+func (s summary) finishReason() *string {
 	reason := "length"
-	if s.ended {
+	if s.stopped {
 		reason = "stop"
 	}
 	return &reason
 }
 
 func (s summary) usage() *usageBody {
-	return &usageBody{Prompt: s.prompt, Completion: s.completion, Total: s.prompt + s.completion}
+	return &usageBody{Prompt: s.promptTokens, Completion: s.completionTokens, Total: s.promptTokens + s.completionTokens}
 }
 
 type usageBody struct {
@@ -66,11 +66,11 @@
 
 // format writes answers in the shape of one API call; the types below are its only implementations.
 type format interface {
-	whole(s summary, text string) []byte
-	open(s summary) []byte
-	piece(s summary, text string) []byte
-	close(s summary) []byte
-	usage(s summary) []byte
+	complete(s summary, text string) []byte
+	firstChunk(s summary) []byte
+	textChunk(s summary, text string) []byte
+	lastChunk(s summary) []byte
+	usageChunk(s summary) []byte
 }
 
 type chatFormat struct{}
@@ -82,46 +82,46 @@
 	roleAssistant   = "assistant"
 )
 
-func (chatFormat) whole(s summary, text string) []byte {
-	b := answerOf(s, objectChat, choiceBody{Message: &messageBody{Role: roleAssistant, Content: text}, Finish: s.reason()})
+func (chatFormat) complete(s summary, text string) []byte {
+	b := answerOf(s, objectChat, choiceBody{Message: &messageBody{Role: roleAssistant, Content: text}, Finish: s.finishReason()})
 	b.Usage = s.usage()
 	return encode(b)
 }
 
-func (chatFormat) open(s summary) []byte {
+func (chatFormat) firstChunk(s summary) []byte {
 	return encode(answerOf(s, objectChatChunk, choiceBody{Delta: &messageBody{Role: roleAssistant}}))
 }
 
-func (chatFormat) piece(s summary, text string) []byte {
+func (chatFormat) textChunk(s summary, text string) []byte {
 	return encode(answerOf(s, objectChatChunk, choiceBody{Delta: &messageBody{Content: text}}))
 }
 
-func (chatFormat) close(s summary) []byte {
-	return encode(answerOf(s, objectChatChunk, choiceBody{Delta: &messageBody{}, Finish: s.reason()}))
+func (chatFormat) lastChunk(s summary) []byte {
+	return encode(answerOf(s, objectChatChunk, choiceBody{Delta: &messageBody{}, Finish: s.finishReason()}))
 }
 
-func (chatFormat) usage(s summary) []byte { return usageOf(s, objectChatChunk) }
+func (chatFormat) usageChunk(s summary) []byte { return usageOf(s, objectChatChunk) }
 
 type completionFormat struct{}
 
-func (completionFormat) whole(s summary, text string) []byte {
-	b := answerOf(s, objectText, choiceBody{Text: &text, Finish: s.reason()})
+func (completionFormat) complete(s summary, text string) []byte {
+	b := answerOf(s, objectText, choiceBody{Text: &text, Finish: s.finishReason()})
 	b.Usage = s.usage()
 	return encode(b)
 }
 
-func (completionFormat) open(summary) []byte { return nil }
+func (completionFormat) firstChunk(summary) []byte { return nil }
 
-func (completionFormat) piece(s summary, text string) []byte {
+func (completionFormat) textChunk(s summary, text string) []byte {
 	return encode(answerOf(s, objectText, choiceBody{Text: &text}))
 }
 
-func (completionFormat) close(s summary) []byte {
+func (completionFormat) lastChunk(s summary) []byte {
 	empty := ""
-	return encode(answerOf(s, objectText, choiceBody{Text: &empty, Finish: s.reason()}))
+	return encode(answerOf(s, objectText, choiceBody{Text: &empty, Finish: s.finishReason()}))
 }
 
-func (completionFormat) usage(s summary) []byte { return usageOf(s, objectText) }
+func (completionFormat) usageChunk(s summary) []byte { return usageOf(s, objectText) }
 
 func answerOf(s summary, object string, c choiceBody) answerBody {
 	return answerBody{ID: s.id, Object: object, Created: s.created, Model: s.model, Choices: []choiceBody{c}}
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -27,15 +27,15 @@
 
 // Handler answers callers.
 type Handler struct {
-	board   *view.Board
-	gates   *admit.Gates
-	runner  *pipeline.Runner
-	forward *service.Forwarder
-	claims  claim.Asker
-	clock   *timer.Service
-	stats   *metrics.Registry
-	record  *decision.Recorder
-	limit   time.Duration
+	board          *view.Board
+	gates          *admit.Gates
+	runner         *pipeline.Runner
+	forward        *service.Forwarder
+	claims         claim.Asker
+	clock          *timer.Service
+	stats          *metrics.Registry
+	record         *decision.Recorder
+	requestTimeout time.Duration
 
 	draining atomic.Bool
 	active   sync.WaitGroup
@@ -45,22 +45,22 @@
 // New returns a Handler; limit bounds the time of one request.
 func New(
 	board *view.Board, gates *admit.Gates, runner *pipeline.Runner, forward *service.Forwarder, claims claim.Asker,
-	clock *timer.Service, stats *metrics.Registry, record *decision.Recorder, limit time.Duration,
+	clock *timer.Service, stats *metrics.Registry, record *decision.Recorder, requestTimeout time.Duration,
 ) *Handler {
 	return &Handler{
 		board: board, gates: gates, runner: runner, forward: forward, claims: claims,
-		clock: clock, stats: stats, record: record, limit: limit,
+		clock: clock, stats: stats, record: record, requestTimeout: requestTimeout,
 	}
 }
 
 // call is one caller's request on its way.
 type call struct {
-	id      string
-	account *view.Account
-	view    *view.Snapshot
-	start   time.Time
-	// streams is true when the answer is written after the handler has returned, and its end told there.
-	streams bool
+	id       string
+	account  *view.Account
+	snapshot *view.Snapshot
+	start    time.Time
+	// streaming is true when the answer is written after the handler has returned, and its end told there.
+	streaming bool
 }
 
 // fields adds what every line on a call tells.
@@ -69,7 +69,7 @@
 	if c.account != nil {
 		fields["account"] = c.account.Name()
 	}
-	if index := c.view.Index(); index != nil {
+	if index := c.snapshot.Index(); index != nil {
 		fields["config"] = index.Revision()
 	}
 	return fields
@@ -91,7 +91,7 @@
 // serve wraps a handler of authorized calls.
 func (h *Handler) serve(next func(*fasthttp.RequestCtx, *call) *refusal) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		c := &call{id: newRequestID(), view: h.board.Current(), start: h.clock.Now()}
+		c := &call{id: newRequestID(), snapshot: h.board.Current(), start: h.clock.Now()}
 		if !h.enter() {
 			ctx.SetConnectionClose()
 			h.refuse(ctx, c, notRun(fasthttp.StatusServiceUnavailable, models.ReasonDraining, "this instance is stopping; ask another one"))
@@ -105,7 +105,7 @@
 		switch {
 		case r != nil:
 			h.refuse(ctx, c, r)
-		case !c.streams:
+		case !c.streaming:
 			h.record.Routine(c.id, "finished", h.fields(c, decision.Fields{"outcome": "whole", "status": ctx.Response.StatusCode()}))
 		}
 	}
@@ -153,7 +153,7 @@
 }
 
 func (h *Handler) authorize(ctx *fasthttp.RequestCtx, c *call) *refusal {
-	index := c.view.Index()
+	index := c.snapshot.Index()
 	if index == nil {
 		r := notRun(fasthttp.StatusServiceUnavailable, models.ReasonNoConfiguration, "this instance has no configuration yet")
 		r.retryAfter = time.Second
@@ -175,7 +175,7 @@
 
 // Broken answers a request that could not be read as HTTP.
 func (h *Handler) Broken(ctx *fasthttp.RequestCtx, err error) {
-	c := &call{id: newRequestID(), view: h.board.Current(), start: h.clock.Now()}
+	c := &call{id: newRequestID(), snapshot: h.board.Current(), start: h.clock.Now()}
 	r := notRun(fasthttp.StatusBadRequest, models.ReasonBadRequest, "the request could not be read")
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		r = notRun(fasthttp.StatusRequestEntityTooLarge, models.ReasonBodyTooLarge, "the body is too large")
--- a/entry/linger_test.go
+++ b/entry/linger_test.go
@@ -14,9 +14,9 @@
 	"junctioncross/entry"
 )
 
-// TestACallerWhoStillWritesGetsTheAnswerToABodyThatIsTooLarge lets callers go on to write their bodies after the answer is there: an answer
+// TestCallerStillWritingReceivesBodyTooLargeAnswer lets callers go on to write their bodies after the answer is there: an answer
 // that waits to be read must not be lost by a reset.
-func TestACallerWhoStillWritesGetsTheAnswerToABodyThatIsTooLarge(t *testing.T) {
+func TestCallerStillWritingReceivesBodyTooLargeAnswer(t *testing.T) {
 	h, _ := newHandler(t, stubClaims{})
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/entry/service.go
+++ b/entry/service.go
@@ -16,24 +16,24 @@
 // service forwards a call to a plain service.
 func (h *Handler) service(ctx *fasthttp.RequestCtx, c *call) *refusal {
 	name := ctx.UserValue("name").(string)
-	s := c.view.Index().Document().Service(name)
+	s := c.snapshot.Index().Document().Service(name)
 	if s == nil {
 		return notRun(fasthttp.StatusNotFound, models.ReasonUnknownService, "no service "+name)
 	}
-	run, cancel := context.WithTimeout(context.Background(), h.limit)
+	runCtx, cancel := context.WithTimeout(context.Background(), h.requestTimeout)
 	defer cancel()
 	path := "/" + ctx.UserValue("path").(string)
 	repeatable := service.Repeatable(s, string(ctx.Method()), path)
 	key := string(ctx.Request.Header.Peek(models.HeaderIdempotencyKey))
 	if repeatable || key == "" {
-		return h.forwardCall(run, ctx, c, s, path, repeatable)
+		return h.forwardCall(runCtx, ctx, c, s, path, repeatable)
 	}
-	held := claim.Claim{Key: c.account.Name() + "/" + name + "/" + key, Body: bodyHash(ctx, path), Request: c.id}
-	if r := h.claim(run, held); r != nil {
+	keyClaim := claim.Claim{Key: c.account.Name() + "/" + name + "/" + key, Body: bodyHash(ctx, path), Request: c.id}
+	if r := h.claimKey(runCtx, keyClaim); r != nil {
 		return r
 	}
-	r := h.forwardCall(run, ctx, c, s, path, false)
-	h.recordOutcome(held, ctx, r)
+	r := h.forwardCall(runCtx, ctx, c, s, path, false)
+	h.recordOutcome(keyClaim, ctx, r)
 	return r
 }
 
@@ -46,8 +46,8 @@
 	return d.Sum64()
 }
 
-// claim makes sure that this request alone may run under its key; a refusal says why it may not.
-func (h *Handler) claim(ctx context.Context, c claim.Claim) *refusal {
+// claimKey makes sure that this request alone may run under its key; a refusal says why it may not.
+func (h *Handler) claimKey(ctx context.Context, c claim.Claim) *refusal {
 	verdict, err := h.claims.Ask(ctx, c)
 	if errors.Is(err, claim.ErrUnsure) {
 		return notRun(fasthttp.StatusServiceUnavailable, models.ReasonClaimUnsure, "it is not known whether the key was claimed; the request was not sent")
@@ -61,13 +61,13 @@
 	case claim.Reused:
 		return notRun(fasthttp.StatusUnprocessableEntity, models.ReasonKeyReused, "the idempotency key stands for another request")
 	case claim.Duplicate:
-		return duplicate(v)
+		return duplicateRefusal(v)
 	default:
 		return notRun(fasthttp.StatusInternalServerError, models.ReasonClaimUnsure, "unknown verdict")
 	}
 }
 
-func duplicate(d claim.Duplicate) *refusal {
+func duplicateRefusal(d claim.Duplicate) *refusal {
 	r := &refusal{status: fasthttp.StatusConflict, reason: models.ReasonDuplicate, fate: models.FateUnknown}
 	r.message = "a request with this idempotency key was accepted before; its outcome is not known"
 	if d.Status != 0 {
@@ -90,15 +90,15 @@
 	h.active.Add(1)
 	go func() {
 		defer h.active.Done()
-		run, cancel := context.WithTimeout(context.Background(), service.CallTimeout)
+		outcomeCtx, cancel := context.WithTimeout(context.Background(), service.CallTimeout)
 		defer cancel()
-		if _, err := h.claims.Ask(run, c); err != nil {
+		if _, err := h.claims.Ask(outcomeCtx, c); err != nil {
 			h.stats.Counter("claim_outcomes_lost_total").Inc(1)
 		}
 	}()
 }
 
-func (h *Handler) forwardCall(run context.Context, ctx *fasthttp.RequestCtx, c *call, s *intent.Service, path string, repeatable bool) *refusal {
+func (h *Handler) forwardCall(runCtx context.Context, ctx *fasthttp.RequestCtx, c *call, s *intent.Service, path string, repeatable bool) *refusal {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	ctx.Request.CopyTo(req)
@@ -106,7 +106,7 @@
 	req.Header.Set(models.HeaderRequestID, c.id)
 	req.URI().SetPath(path)
 	req.URI().SetScheme("http")
-	err := h.forward.Forward(run, s, req, &ctx.Response, repeatable)
+	err := h.forward.Forward(runCtx, s, req, &ctx.Response, repeatable)
 	switch {
 	case err == nil:
 		ctx.Response.Header.Set(models.HeaderRequestID, c.id)
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -19,69 +19,69 @@
 
 // stream carries the tokens of one answer from its pipeline to its caller.
 type stream struct {
-	call   *call
-	prompt prompt
-	tokens chan pipeline.Token
-	gone   chan struct{}
-	once   sync.Once
-	done   chan struct{}
-	failed error
+	call       *call
+	params     completionParams
+	tokens     chan pipeline.Token
+	callerGone chan struct{}
+	once       sync.Once
+	done       chan struct{}
+	failure    error
 
 	// The fields below belong to the reader.
-	head  *pipeline.Token
-	count int
-	input int
-	ended bool
+	peeked           *pipeline.Token
+	completionTokens int
+	promptTokens     int
+	stopped          bool
 }
 
-func newStream(c *call, p prompt) *stream {
+func newStream(c *call, p completionParams) *stream {
 	return &stream{
-		call: c, prompt: p, tokens: make(chan pipeline.Token, streamBuffer),
-		gone: make(chan struct{}), done: make(chan struct{}),
+		call: c, params: p, tokens: make(chan pipeline.Token, streamBuffer),
+		callerGone: make(chan struct{}), done: make(chan struct{}),
 	}
 }
 
 // put hands a token over; it fails when the caller has gone.
 func (s *stream) put(t pipeline.Token) error {
 	select {
-	case <-s.gone:
+	case <-s.callerGone:
 		return errCallerGone
 	default:
 	}
 	select {
 	case s.tokens <- t:
 		return nil
-	case <-s.gone:
+	case <-s.callerGone:
 		return errCallerGone
 	}
 }
 
 // finish ends the stream with the pipeline's outcome.
 func (s *stream) finish(err error) {
-	s.failed = err
+	s.failure = err
 	close(s.done)
 	close(s.tokens)
 }
 
 // abandon tells the pipeline that the caller has gone.
-func (s *stream) abandon() { s.once.Do(func() { close(s.gone) }) }
+func (s *stream) abandon() { s.once.Do(func() { close(s.callerGone) }) }
 
 // first waits for the first token; it returns the error of an answer that failed before it.
 func (s *stream) first() error {
 	t, ok := <-s.tokens
 	if !ok {
 		<-s.done
-		return s.failed
+		return s.failure
 	}
-	s.head = &t
+	s.peeked = &t
 	return nil
 }
 
 // next returns the next token, false behind the last.
 func (s *stream) next() (pipeline.Token, bool) {
-	if s.head != nil {
-		t := *s.head
-		s.head = nil
+	if s.peeked != nil {
+		t := *s.peeked
+		s.peeked = nil
 		return s.counted(t), true
 	}
 	t, ok := <-s.tokens
@@ -92,10 +92,10 @@
 }
 
 func (s *stream) counted(t pipeline.Token) pipeline.Token {
-	s.input = t.Prompt
-	s.ended = t.End
+	s.promptTokens = t.Prompt
+	s.stopped = t.End
 	if !t.End {
-		s.count++
+		s.completionTokens++
 	}
 	return t
 }
@@ -103,13 +103,13 @@
 // err returns the outcome, once next has returned false.
 func (s *stream) err() error {
 	<-s.done
-	return s.failed
+	return s.failure
 }
 
 func (s *stream) summary() summary {
 	return summary{
-		id: s.call.id, model: s.prompt.model, created: s.call.start.Unix(),
-		prompt: s.input, completion: s.count, ended: s.ended,
+		id: s.call.id, model: s.params.model, created: s.call.start.Unix(),
+		promptTokens: s.promptTokens, completionTokens: s.completionTokens, stopped: s.stopped,
 	}
 }
 
@@ -118,20 +118,20 @@
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set("Cache-Control", "no-cache")
 	ctx.Response.Header.Set(models.HeaderRequestID, c.id)
-	c.streams = true
+	c.streaming = true
 	h.active.Add(1)
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer h.active.Done()
 		defer s.abandon()
 		if err := h.writeEvents(w, s, f); err != nil {
 			h.stats.Refused(models.ReasonCallerGone, models.FateUnknown)
-			h.record.Last(c.id, "stream cut by the caller", h.fields(c, decision.Fields{"tokens": s.count, "error": err.Error()}))
+			h.record.Last(c.id, "stream cut by the caller", h.fields(c, decision.Fields{"tokens": s.completionTokens, "error": err.Error()}))
 		}
 	})
 }
 
 func (h *Handler) writeEvents(w *bufio.Writer, s *stream, f format) error {
-	if err := writeEvent(w, f.open(s.summary())); err != nil {
+	if err := writeEvent(w, f.firstChunk(s.summary())); err != nil {
 		return err
 	}
 	for {
@@ -142,15 +142,15 @@
 		if t.End {
 			continue
 		}
-		if err := writeEvent(w, f.piece(s.summary(), t.Piece)); err != nil {
+		if err := writeEvent(w, f.textChunk(s.summary(), t.Piece)); err != nil {
 			return err
 		}
 	}
 	if err := s.err(); err != nil {
-		r := h.failed(err)
+		r := h.pipelineRefusal(err)
 		h.stats.Refused(r.reason, r.fate)
 		h.record.Last(s.call.id, "broken off", h.fields(s.call, decision.Fields{
-			"reason": r.reason, "fate": r.fate, "tokens": s.count, "error": err.Error(),
+			"reason": r.reason, "fate": r.fate, "tokens": s.completionTokens, "error": err.Error(),
 		}))
 		return writeEvent(w, r.body(s.call.id))
 	}
@@ -158,17 +158,17 @@
 		return err
 	}
 	h.record.Routine(s.call.id, "finished", h.fields(s.call, decision.Fields{
-		"outcome": "whole", "status": fasthttp.StatusOK, "tokens": s.count,
+		"outcome": "whole", "status": fasthttp.StatusOK, "tokens": s.completionTokens,
 	}))
 	return nil
 }
 
 func writeEnd(w *bufio.Writer, s *stream, f format) error {
-	if err := writeEvent(w, f.close(s.summary())); err != nil {
+	if err := writeEvent(w, f.lastChunk(s.summary())); err != nil {
 		return err
 	}
-	if s.prompt.usage {
-		if err := writeEvent(w, f.usage(s.summary())); err != nil {
+	if s.params.includeUsage {
+		if err := writeEvent(w, f.usageChunk(s.summary())); err != nil {
 			return err
 		}
 	}
