--- a/models/layers.go
+++ b/models/layers.go
@@ -15,7 +15,7 @@
 func (l Layers) String() string { return fmt.Sprintf("[%d,%d)", l.First, l.End) }
 
 // Holds reports whether every layer of another range is in this one.
-func (l Layers) Holds(part Layers) bool { return l.First <= part.First && part.End <= l.End }
+func (l Layers) Holds(other Layers) bool { return l.First <= other.First && other.End <= l.End }
 
 // Tile reports whether the ranges cover [0, total) exactly once and in order.
 func Tile(ranges []Layers, total int) bool {
--- a/models/layers_test.go
+++ b/models/layers_test.go
@@ -9,23 +9,23 @@
 	"junctioncross/models"
 )
 
-func TestTileAcceptsExactlyTheCutsOfAModel(t *testing.T) {
+func TestTileAcceptsOnlyConsecutiveRanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 50).Draw(t, "total")
-		var cuts []models.Layers
+		var ranges []models.Layers
 		for at := 0; at < total; {
 			end := rapid.IntRange(at+1, total).Draw(t, "end")
-			cuts = append(cuts, models.Layers{First: at, End: end})
+			ranges = append(ranges, models.Layers{First: at, End: end})
 			at = end
 		}
-		require.True(t, models.Tile(cuts, total))
-		i := rapid.IntRange(0, len(cuts)-1).Draw(t, "broken")
-		broken := append([]models.Layers(nil), cuts...)
+		require.True(t, models.Tile(ranges, total))
+		i := rapid.IntRange(0, len(ranges)-1).Draw(t, "broken")
+		invalid := append([]models.Layers(nil), ranges...)
 		if rapid.Bool().Draw(t, "skip") {
-			broken = append(broken[:i], broken[i+1:]...)
+			invalid = append(invalid[:i], invalid[i+1:]...)
 		} else {
-			broken = append(broken[:i+1], cuts[i:]...)
+			invalid = append(invalid[:i+1], ranges[i:]...)
 		}
-		require.False(t, models.Tile(broken, total))
+		require.False(t, models.Tile(invalid, total))
 	})
 }
