--- a/front/conn.go
+++ b/front/conn.go
@@ -17,28 +17,30 @@
 )
 
 const (
-	// defaultHeaderBytes, unknownBody, unknownHeaderTime and unknownIdle hold before the first configuration.
+	// defaultHeaderBytes, defaultBodyBytes, defaultHeaderTime and defaultIdleTime apply before the first configuration.
 	defaultHeaderBytes = 16 << 10
 	defaultBodyBytes   = 1 << 20
 	defaultHeaderTime  = 3 * time.Second
 	defaultIdleTime    = 15 * time.Second
-	// bodyReadTime bounds the reading of a body; it is generous for the largest bodies over slow links.
+	// bodyReadTime bounds the time for reading a body; it is long enough for the largest bodies over slow links.
 	bodyReadTime = 10 * time.Second
-	// idleMargin is added to the idle time, so that a request sent just within it finds the connection open.
+	// idleMargin is added to the idle time, so that a request that is sent just before the idle time ends finds the connection open.
 	idleMargin = time.Second
 )
 
 // conn is one caller's connection. Its reading goroutine waits for requests and, while one is answered, for the caller to
-// leave; the answering goroutine runs the handler.
+// disconnect; the answering goroutine runs the handler.
 type conn struct {
 	server *Server
 	net    net.Conn
 	reader *bufio.Reader
 	limits catalog.Limits
-	// idle is true while no request is under way, since a moment in nanoseconds; whoever sets it to false decides what follows.
-	idle      atomic.Bool
+	// idle is true while no request is in progress. The goroutine that sets it from true to false decides what happens next: the
+	// reading goroutine serves a request, or the server closes the connection.
+	idle atomic.Bool
+	// idleSince is when the connection became idle, in nanoseconds since the Unix epoch.
 	idleSince atomic.Int64
-	// answered tells the reading goroutine that the answer is out; false means that the connection must end.
+	// answered tells the reading goroutine that the handler has finished; false means that the connection must be closed.
 	answered chan bool
 }
 
@@ -56,16 +58,16 @@
 	return out
 }
 
-// setIdle says that no request is under way from now on.
+// setIdle records that no request is in progress from now on.
 func (c *conn) setIdle() {
 	c.idleSince.Store(c.server.clock.Now().UnixNano())
 	c.idle.Store(true)
 }
 
-// markBusy reports whether a request may be read; otherwise the connection was closed to make room.
+// markBusy ends the idle state and reports true, or false if the server has closed the connection to make room for another one.
 func (c *conn) markBusy() bool { return c.idle.CompareAndSwap(true, false) }
 
-// serve takes requests from the connection until it ends.
+// serve reads and answers requests until the connection ends.
 func (c *conn) serve() {
 	defer c.server.remove(c)
 	defer c.net.Close()
@@ -73,7 +75,7 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request.
+// awaitRequest waits for the first byte of a request and reports whether it came before the idle time was over.
 func (c *conn) awaitRequest() bool {
 	if c.reader.Buffered() > 0 {
 		return true
@@ -97,7 +99,7 @@
 		return false
 	}
 	if c.callerDisconnected() {
-		// The request may have waited here for long; its caller has forgotten it.
+		// The request may have waited in the receive buffer until its caller gave up.
 		c.server.stats.Counter("callers_gone_unserved_total").Inc(1)
 		releaseExchange(x)
 		return false
@@ -110,12 +112,12 @@
 		c.server.handler.Handle(ctx, x)
 		c.answered <- x.finish()
 	}()
-	// This waits until the caller sends more or leaves, which ends the request, or until the answer is out and the
-	// connection has rested too long.
+	// Waits until the caller sends more; until it disconnects, which cancels the request; or until the answer has been sent and the
+	// connection has been idle for too long.
 	_, err := c.reader.Peek(1)
 	if err != nil {
 		cancel()
-		// Also ends a write that waits for a caller who did not read.
+		// Also ends a write that is blocked because the caller does not read.
 		_ = c.net.Close()
 	}
 	keep := <-c.answered
@@ -123,7 +125,7 @@
 	return keep && err == nil
 }
 
-// callerDisconnected reports whether the caller has closed the connection and sent nothing more.
+// callerDisconnected reports whether the caller has closed or reset the connection and no received data is left to read.
 func (c *conn) callerDisconnected() bool {
 	socket, ok := c.net.(syscall.Conn)
 	if !ok || c.reader.Buffered() > 0 {
@@ -143,7 +145,7 @@
 	return err != nil || disconnected
 }
 
-// readFailure says why a request could not be read.
+// readFailure says how to refuse a request that could not be read; status 0 means that the connection is closed without an answer.
 type readFailure struct {
 	status int
 	reason string
@@ -156,7 +158,8 @@
 	if err := x.request.Header.Read(c.reader); err != nil {
 		return headerFailure(err)
 	}
-	// What is known may be older than the clock told while the machine was suspended, and this may be the first that it does again.
+	// If the machine was suspended, what the instance knows is older than the clock says until the suspension is detected, and this
+	// request may come before the periodic check.
 	if _, err := c.server.clock.Look(); err != nil {
 		c.server.stats.Counter("clock_failures_total").Inc(1)
 	}
@@ -203,7 +206,7 @@
 	return &readFailure{status: fasthttp.StatusBadRequest, reason: "body is not readable"}
 }
 
-// connectionEnded reports whether the caller left or was too slow, so that nobody waits for an answer.
+// connectionEnded reports whether the caller disconnected or was too slow to send, so that nobody waits for an answer.
 func connectionEnded(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
--- a/front/descriptors_test.go
+++ b/front/descriptors_test.go
@@ -16,7 +16,7 @@
 	"junctioncross/timer"
 )
 
-// testTimeout bounds waits for what happens at once on a sound machine; it is below writeSlack, after which a write ends anyway.
+// testTimeout bounds waits that normally end at once; it is below writeMargin, after which a blocked write ends in any case.
 const testTimeout = 20 * time.Second
 
 type handlerFunc func(ctx context.Context, x *Exchange)
@@ -31,7 +31,7 @@
 	return New(platform.Codec{}, h, limits, func() int { return 8 }, timer.NewReal(), metrics.New())
 }
 
-// pair returns both ends of a connection.
+// pair returns both ends of a TCP connection.
 func pair(t *testing.T) (clientConn, serverConn *net.TCPConn) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -45,7 +45,8 @@
 	return c.(*net.TCPConn), o.(*net.TCPConn)
 }
 
-// TestIdleConnectionIsClosedWhenDescriptorsRunOut lets the listener have none until the connection that rests is closed.
+// TestIdleConnectionIsClosedWhenDescriptorsRunOut guards against idle connections that keep new callers out: when an accept
+// fails since no descriptor is free, the idle connection must be closed.
 func TestIdleConnectionIsClosedWhenDescriptorsRunOut(t *testing.T) {
 	clientConn, serverConn := pair(t)
 	s := newServer(func(context.Context, *Exchange) {})
@@ -59,7 +60,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// exhaustedListener is a listener that has no descriptor for the first connection, and afterwards waits until the test has ended.
+// exhaustedListener fails the first Accept for lack of descriptors; the second Accept waits until the test has ended.
 type exhaustedListener struct {
 	net.Listener
 	failing      bool
--- a/front/disconnect_test.go
+++ b/front/disconnect_test.go
@@ -14,10 +14,11 @@
 
 const oneRequest = "GET /a HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\n\r\n"
 
-// closeWait is the state of a TCP connection whose other end has closed it, as Linux numbers it.
+// closeWait is the number of the TCP state CLOSE_WAIT (the peer has closed the connection) in Linux.
 const closeWait = 8
 
-// TestRequestOfDisconnectedCallerIsNotServed lets a caller send a request and leave before the server looks at the connection.
+// TestRequestOfDisconnectedCallerIsNotServed guards against running a request that nobody waits for: the caller sends it and
+// disconnects before the server reads from the connection.
 func TestRequestOfDisconnectedCallerIsNotServed(t *testing.T) {
 	clientConn, serverConn := pair(t)
 	_, err := io.WriteString(clientConn, oneRequest)
@@ -44,8 +45,8 @@
 	return info.State
 }
 
-// TestBlockedWriteEndsWhenCallerDisconnects fills the connection of a caller that reads nothing, and lets it leave for writing only,
-// so that no reset comes.
+// TestBlockedWriteEndsWhenCallerDisconnects guards against a handler that stays in a blocked write. The caller reads nothing until the
+// connection's buffers are full, and then closes only its sending side, so that no reset ends the write.
 func TestBlockedWriteEndsWhenCallerDisconnects(t *testing.T) {
 	clientConn, serverConn := pair(t)
 	var writing sync.Once
--- a/front/exchange.go
+++ b/front/exchange.go
@@ -11,18 +11,20 @@
 	"junctioncross/call"
 )
 
-// writeMargin is how much longer than the caller wants to wait an answer may take to write: what a caller that does not read
-// holds up is given up then.
+// writeMargin plus the time for which the caller will wait bounds the writing of an answer, counted from its first write. After that the
+// answer is abandoned, so that a caller that does not read does not hold it up for longer.
 const writeMargin = 30 * time.Second
 
 // Exchange is one request with the means to answer it.
 type Exchange struct {
-	conn     *conn
-	request  fasthttp.Request
-	meta     call.Meta
-	arrived  time.Time
-	buffer   []byte
-	begun    bool
+	conn    *conn
+	request fasthttp.Request
+	meta    call.Meta
+	arrived time.Time
+	// buffer holds the bytes of the latest write; it is reused.
+	buffer []byte
+	begun  bool
+	// complete is true once the whole answer was passed to write.
 	complete bool
 	failed   bool
 }
@@ -42,7 +44,7 @@
 	exchanges.Put(x)
 }
 
-// Header returns the head of the request.
+// Header returns the request line and the headers of the request.
 func (x *Exchange) Header() *fasthttp.RequestHeader { return &x.request.Header }
 
 // Body returns the body of the request.
@@ -53,16 +55,16 @@
 	return len(x.request.Body()) > 0 || len(x.request.Header.Peek("Content-Length")) > 0
 }
 
-// Meta returns what the head says.
+// Meta returns what the codec has read from the head.
 func (x *Exchange) Meta() call.Meta { return x.meta }
 
 // Arrived returns when the head of the request was read.
 func (x *Exchange) Arrived() time.Time { return x.arrived }
 
-// Begun reports whether any part of an answer was sent.
+// Begun reports whether the first write of the answer was attempted.
 func (x *Exchange) Begun() bool { return x.begun }
 
-// Answer sends a whole answer; head holds the status line and the headers that do not frame the body.
+// Answer sends a complete answer; head holds the status line and the headers, without those that frame the body.
 func (x *Exchange) Answer(head, body []byte) {
 	out := x.buffer[:0]
 	out = append(out, head...)
@@ -76,7 +78,7 @@
 	x.complete = true
 }
 
-// BeginStream sends the head of a stream together with its first bytes.
+// BeginStream sends the head of a stream, to which it adds the header of the chunked encoding, together with the first bytes.
 func (x *Exchange) BeginStream(head, first []byte) {
 	out := x.buffer[:0]
 	out = append(out, head...)
@@ -93,7 +95,7 @@
 	x.write(x.buffer)
 }
 
-// EndStream sends the last bytes of a stream and marks it as whole.
+// EndStream sends the last bytes of a stream and marks it as complete.
 func (x *Exchange) EndStream(p []byte) {
 	out := x.buffer[:0]
 	if len(p) > 0 {
@@ -105,7 +107,7 @@
 	x.complete = true
 }
 
-// Failed reports whether a write failed, which means that the caller cannot be reached any more.
+// Failed reports whether a write failed, which means that the caller has disconnected or does not read.
 func (x *Exchange) Failed() bool { return x.failed }
 
 func (x *Exchange) appendClose(out []byte) []byte {
@@ -141,7 +143,7 @@
 // finish ends the exchange and reports whether the connection can take another request.
 func (x *Exchange) finish() bool {
 	if !x.complete || x.failed {
-		// The answer is not whole, and closing is the only way to say so.
+		// Closing the connection early is the only way to show the caller that the answer is incomplete.
 		_ = x.conn.net.Close()
 		return false
 	}
@@ -150,12 +152,12 @@
 		x.wakeReader()
 		return false
 	}
-	// The reading goroutine may wait for the next request already; from now on it waits only for the idle time.
+	// The reading goroutine may already wait for the next request, without a deadline: this one limits the wait to the idle time.
 	x.conn.setIdle()
 	return x.conn.net.SetReadDeadline(x.conn.server.deadlineIn(x.conn.limits.IdleTime+idleMargin)) == nil
 }
 
-// wakeReader ends the wait of the reading goroutine.
+// wakeReader ends the wait of the reading goroutine by a deadline in the past.
 func (x *Exchange) wakeReader() { _ = x.conn.net.SetReadDeadline(time.Unix(1, 0)) }
 
 func closeWrite(c net.Conn) error {
@@ -165,7 +167,7 @@
 	return c.Close()
 }
 
-// refuseUnreadable answers a request that could not be read; there is no answer when the caller is gone or too slow.
+// refuseUnreadable answers a request that could not be read; there is no answer if the caller has disconnected or was too slow.
 func (x *Exchange) refuseUnreadable(failure *readFailure) {
 	defer releaseExchange(x)
 	if failure.status == 0 {
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -20,10 +20,10 @@
 	"junctioncross/timer"
 )
 
-// testTimeout bounds waits that end at once on a sound machine.
+// testTimeout bounds waits that normally end at once.
 const testTimeout = 20 * time.Second
 
-// handler answers as its function says.
+// handler makes a function a front.Handler.
 type handler func(ctx context.Context, x *front.Exchange)
 
 // Handle implements front.Handler.
@@ -31,7 +31,7 @@
 
 var limits = catalog.Limits{HeaderBytes: 4096, BodyBytes: 1000, HeaderTime: testTimeout, IdleTime: testTimeout}
 
-// maxConnections is the number of connections beyond which those that rest make room.
+// maxConnections is the number of connections beyond which the oldest idle one is closed.
 const maxConnections = 8
 
 func serve(t *testing.T, h handler) *front.Server {
@@ -91,7 +91,7 @@
 	select {
 	case <-contextEnded:
 	case <-time.After(testTimeout):
-		t.Fatal("the handler was not told")
+		t.Fatal("the context of the request did not end")
 	}
 }
 
--- a/front/idle_test.go
+++ b/front/idle_test.go
@@ -11,7 +11,8 @@
 	"junctioncross/front"
 )
 
-// TestOldestIdleConnectionIsClosedForNewOnes opens as many connections as there may be; the first one has a request under way.
+// TestOldestIdleConnectionIsClosedForNewOnes opens more connections than the maximum while the first one has a request in
+// progress: the oldest idle one must be closed, not the busy one.
 func TestOldestIdleConnectionIsClosedForNewOnes(t *testing.T) {
 	proceed := make(chan struct{})
 	s := serve(t, func(ctx context.Context, x *front.Exchange) {
@@ -36,14 +37,14 @@
 		require.Equal(t, "new:one", body, "every new connection is served")
 	}
 	_, err = oldestReader.ReadByte()
-	require.ErrorIs(t, err, io.EOF, "the one that rested longest has made room")
+	require.ErrorIs(t, err, io.EOF, "the connection that was idle longest is closed")
 	require.False(t, s.Full())
 	close(proceed)
 	_, body := answer(t, busyReader)
-	require.Equal(t, "busy:", body, "a request under way is never cut")
+	require.Equal(t, "busy:", body, "a request in progress is never cut off")
 }
 
-// TestAServerWhoseConnectionsAreAllBusyIsFull lets the requests of all connections wait.
+// TestAServerWhoseConnectionsAreAllBusyIsFull blocks a request on each connection.
 func TestAServerWhoseConnectionsAreAllBusyIsFull(t *testing.T) {
 	proceed := make(chan struct{})
 	s := serve(t, func(ctx context.Context, x *front.Exchange) {
--- a/front/server.go
+++ b/front/server.go
@@ -17,11 +17,11 @@
 
 // Handler answers requests.
 type Handler interface {
-	// Handle answers one request; it must not keep the Exchange. The context ends when the caller leaves.
+	// Handle answers one request; it must not use the Exchange after it has returned. The context ends when the caller disconnects.
 	Handle(ctx context.Context, x *Exchange)
 }
 
-// Server accepts callers' connections.
+// Server accepts callers' connections and passes their requests to a Handler.
 type Server struct {
 	codec          call.Codec
 	handler        Handler
@@ -37,8 +37,8 @@
 	conns    map[*conn]struct{}
 }
 
-// New returns a Server that hands requests to handler; limits tells the bounds on callers that are in force, most the number of
-// connections beyond which those that rest make room for new ones.
+// New returns a Server that passes requests to handler; limits returns the limits on requests that are in force, maxConnections the
+// number of connections beyond which a new one causes the oldest idle one to be closed.
 func New(
 	codec call.Codec, handler Handler, limits func() catalog.Limits, maxConnections func() int, clock *timer.Service, stats *metrics.Registry,
 ) *Server {
@@ -47,12 +47,12 @@
 	}
 }
 
-// deadlineIn returns when something must have happened that may take so long, as a connection's deadline.
+// deadlineIn returns the deadline that is limit from now, in the monotonic time that connections use for deadlines.
 func (s *Server) deadlineIn(limit time.Duration) time.Time {
 	return s.clock.Steady(s.clock.Now().Add(limit))
 }
 
-// Listen starts to accept connections on an IP number and port.
+// Listen starts to accept connections on an IPv4 address and port.
 func (s *Server) Listen(addr string) error {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -66,7 +66,7 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// acceptPause keeps a server that is out of descriptors, with no connection that could make room, from spinning.
+// acceptPause keeps the accept loop from spinning while file descriptors are exhausted and no idle connection can be closed.
 const acceptPause = 20 * time.Millisecond
 
 func (s *Server) accept(listener net.Listener) {
@@ -99,8 +99,8 @@
 	go func() { one.serve() }()
 }
 
-// closeOldestIdle closes the connection that has rested longest and reports whether there was one. Its caller opens another one when it needs
-// it; a caller that cannot connect at all is worse off.
+// closeOldestIdle closes the connection that has been idle longest and reports whether it closed one. The caller of that connection
+// opens another one when it needs it; a caller that cannot connect at all is worse off.
 func (s *Server) closeOldestIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +119,7 @@
 	return true
 }
 
-// Full reports whether there is no room for further connections: all that there may be have a request under way.
+// Full reports whether the server has reached its maximum of connections and none of them is idle.
 func (s *Server) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,13 +140,13 @@
 	delete(s.conns, c)
 }
 
-// Leave makes every further answer tell its caller to use another connection.
+// Leave marks the server as about to stop: every further answer closes its connection and tells the caller to use another one.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
 // Leaving reports whether the server is about to stop.
 func (s *Server) Leaving() bool { return s.leaving.Load() }
 
-// Running returns the number of requests under way.
+// Running returns the number of requests in progress.
 func (s *Server) Running() int { return int(s.running.Load()) }
 
 // Close stops accepting and closes all connections.
