--- a/entry/answer.go
+++ b/entry/answer.go
@@ -31,7 +31,8 @@
 	return h.answer(ctx, c, p, completionFormat{})
 }
 
-// answer runs a prompt and writes the answer, whole or as a stream.
+// answer runs a completion and writes the answer, as one body or as a stream. It returns a refusal only if no part of the answer was
+// written.
 func (h *Handler) answer(ctx *fasthttp.RequestCtx, c *call, p completionParams, f format) *refusal {
 	if c.snapshot.Index().Document().Model(p.model) == nil {
 		return notRun(fasthttp.StatusNotFound, models.ReasonUnknownModel, "no model "+p.model)
@@ -90,7 +91,7 @@
 	})
 }
 
-// pipelineRefusal turns the pipeline's error into the caller's answer.
+// pipelineRefusal returns the refusal that reports the pipeline's error to the caller.
 func (h *Handler) pipelineRefusal(err error) *refusal {
 	var f *pipeline.Failure
 	if !errors.As(err, &f) {
@@ -103,7 +104,7 @@
 	return r
 }
 
-// writeComplete waits for the whole answer and writes it at once.
+// writeComplete waits for the complete answer and writes it as one body.
 func (h *Handler) writeComplete(ctx *fasthttp.RequestCtx, c *call, s *stream, f format) *refusal {
 	var text strings.Builder
 	for {
--- a/entry/decode.go
+++ b/entry/decode.go
@@ -16,7 +16,7 @@
 	maxMessages      = 4096
 )
 
-// completionParams is what a decoded body asks for.
+// completionParams holds the parameters of a chat completion or a completion.
 type completionParams struct {
 	model        string
 	prompt       string
@@ -58,7 +58,7 @@
 	Text string `json:"text"`
 }
 
-// decodeChat reads the body of a chat completion.
+// decodeChat decodes the body of a chat completion; the messages become one prompt with a line for each.
 func decodeChat(body []byte) (completionParams, error) {
 	var b chatBody
 	if err := decodeJSON(body, &b); err != nil {
@@ -81,7 +81,7 @@
 	return b.params(text.String())
 }
 
-// decodeCompletion reads the body of a completion.
+// decodeCompletion decodes the body of a completion.
 func decodeCompletion(body []byte) (completionParams, error) {
 	var b completionBody
 	if err := decodeJSON(body, &b); err != nil {
@@ -126,7 +126,7 @@
 	return p, nil
 }
 
-// textOf reads a text, or a list of texts or text parts.
+// textOf decodes a JSON string, a list of one string or a list of text parts.
 func textOf(raw json.RawMessage) (string, error) {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -32,7 +32,7 @@
 
 const key = "sk-test"
 
-// stubClaims answers every claim alike.
+// stubClaims answers every claim with the same verdict or error.
 type stubClaims struct {
 	verdict claim.Verdict
 	err     error
@@ -70,7 +70,7 @@
 	return entry.New(board, admit.NewGates(clock, time.Second), pipeline.New(p, clock, stats, log), service.New(stats), claims, clock, stats, decision.NewRecorder(log, clock, stats), 5*time.Second), stats
 }
 
-// serve runs the handler on an in-memory listener and returns a client of it.
+// serve runs the handler on an in-memory listener and returns a client that connects to it.
 func serve(t *testing.T, h *entry.Handler) *fasthttp.Client {
 	listener := fasthttputil.NewInmemoryListener()
 	server := &fasthttp.Server{Handler: h.Routes(), ErrorHandler: h.Broken, MaxRequestBodySize: 4096, ReadTimeout: time.Second}
@@ -109,7 +109,7 @@
 		{"too many tokens", "POST", "/v1/chat/completions", key, strings.Replace(good, "{", `{"max_tokens":99999999,`, 1), 400, models.ReasonBadRequest},
 		{"several answers", "POST", "/v1/chat/completions", key, strings.Replace(good, "{", `{"n":2,`, 1), 400, models.ReasonBadRequest},
 		{"unknown model", "POST", "/v1/chat/completions", key, strings.Replace(good, `"m"`, `"x"`, 1), 404, models.ReasonUnknownModel},
-		{"model of others", "POST", "/v1/chat/completions", key, strings.Replace(good, `"m"`, `"other"`, 1), 403, models.ReasonModelNotAllowed},
+		{"model of another group", "POST", "/v1/chat/completions", key, strings.Replace(good, `"m"`, `"other"`, 1), 403, models.ReasonModelNotAllowed},
 		{"no pipeline", "POST", "/v1/chat/completions", key, good, 503, models.ReasonNoPipeline},
 		{"no prompt", "POST", "/v1/completions", key, `{"model":"m"}`, 400, models.ReasonBadRequest},
 		{"two prompts", "POST", "/v1/completions", key, `{"model":"m","prompt":["a","b"]}`, 400, models.ReasonBadRequest},
@@ -159,11 +159,11 @@
 		status int
 		fate   models.Fate
 	}{
-		{"service of claims is down", stubClaims{err: claim.ErrUnavailable}, 503, models.FateNotRun},
-		{"claim unsure", stubClaims{err: claim.ErrUnsure}, 503, models.FateNotRun},
+		{"claim log is unavailable", stubClaims{err: claim.ErrUnavailable}, 503, models.FateNotRun},
+		{"outcome of the claim is unknown", stubClaims{err: claim.ErrUnsure}, 503, models.FateNotRun},
 		{"key of another request", stubClaims{verdict: claim.Reused{}}, 422, models.FateNotRun},
 		{"repeat of a request that ran", stubClaims{verdict: claim.Duplicate{Status: 200}}, 409, models.FateRan},
-		{"repeat of an open request", stubClaims{verdict: claim.Duplicate{}}, 409, models.FateUnknown},
+		{"repeat of a request without an outcome", stubClaims{verdict: claim.Duplicate{}}, 409, models.FateUnknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/entry/format.go
+++ b/entry/format.go
@@ -2,14 +2,15 @@
 
 import "encoding/json"
 
-// summary is what the bodies of an answer say about it.
+// summary holds what the bodies of an answer say about the answer so far.
 type summary struct {
 	id               string
 	model            string
 	created          int64
 	promptTokens     int
 	completionTokens int
-	stopped          bool
+	// stopped is true once the model has ended the answer by itself, not by the maximum number of tokens.
+	stopped bool
 }
 
 func (s summary) finishReason() *string {
@@ -64,7 +65,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// format writes answers in the shape of one API call; the types below are its only implementations.
+// format encodes the answers of one API call: complete as one body, or chunk by chunk, of which an empty chunk is not sent. The types
+// below are its only implementations.
 type format interface {
 	complete(s summary, text string) []byte
 	firstChunk(s summary) []byte
@@ -134,7 +136,7 @@
 	})
 }
 
-// encode turns a body that is known to be encodable into JSON.
+// encode returns the JSON of a body whose type can always be encoded.
 func encode(value any) []byte {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -25,7 +25,7 @@
 
 const requestIDBytes = 12
 
-// Handler answers callers.
+// Handler answers the requests of callers.
 type Handler struct {
 	board          *view.Board
 	gates          *admit.Gates
@@ -42,7 +42,7 @@
 	running  atomic.Int64
 }
 
-// New returns a Handler; limit bounds the time of one request.
+// New returns a Handler; requestTimeout bounds the time of one request.
 func New(
 	board *view.Board, gates *admit.Gates, runner *pipeline.Runner, forward *service.Forwarder, claims claim.Asker,
 	clock *timer.Service, stats *metrics.Registry, record *decision.Recorder, requestTimeout time.Duration,
@@ -53,17 +53,17 @@
 	}
 }
 
-// call is one caller's request on its way.
+// call is one request of a caller; it is checked against the snapshot that was current at its start.
 type call struct {
 	id       string
 	account  *view.Account
 	snapshot *view.Snapshot
 	start    time.Time
-	// streaming is true when the answer is written after the handler has returned, and its end told there.
+	// streaming is true when the answer is written, and its end is logged, after the handler has returned.
 	streaming bool
 }
 
-// fields adds what every line on a call tells.
+// fields adds the log fields that all lines on a call have.
 func (h *Handler) fields(c *call, fields decision.Fields) decision.Fields {
 	fields["account"], fields["held_ms"] = "", h.clock.Since(c.start).Milliseconds()
 	if c.account != nil {
@@ -75,7 +75,7 @@
 	return fields
 }
 
-// Routes returns the handler of all callers' paths.
+// Routes returns the HTTP handler of all paths that callers use.
 func (h *Handler) Routes() fasthttp.RequestHandler {
 	r := router.New()
 	r.POST("/v1/chat/completions", h.serve(h.chat))
@@ -88,7 +88,7 @@
 	return r.Handler
 }
 
-// serve wraps a handler of authorized calls.
+// serve returns an HTTP handler that authorizes calls, passes them to next, and writes and logs the outcome.
 func (h *Handler) serve(next func(*fasthttp.RequestCtx, *call) *refusal) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		c := &call{id: newRequestID(), snapshot: h.board.Current(), start: h.clock.Now()}
@@ -117,7 +117,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// enter counts a call that starts; it returns false once the instance refuses new ones.
+// enter counts a call that starts; it returns false, and counts nothing, once the instance refuses new calls.
 func (h *Handler) enter() bool {
 	h.active.Add(1)
 	h.running.Add(1)
@@ -133,10 +133,10 @@
 	h.active.Done()
 }
 
-// Running returns the number of calls under way.
+// Running returns the number of calls in progress.
 func (h *Handler) Running() int { return int(h.running.Load()) }
 
-// Drain refuses new calls and waits until those under way are done, at most for limit; it reports whether all are.
+// Drain refuses new calls and waits until those in progress are done, but no longer than limit; it reports whether all are done.
 func (h *Handler) Drain(limit time.Duration) bool {
 	h.draining.Store(true)
 	done := make(chan struct{})
--- a/entry/linger.go
+++ b/entry/linger.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// lingerTime is how long a connection is read on that is closed while its caller still writes: a few round trips of a slow caller.
+	// lingerTime is how long a connection is still read before it is closed while its caller may still write: a few round trips of a
+	// slow caller.
 	lingerTime = 500 * time.Millisecond
-	// lingerBytes bounds what is read and thrown away meanwhile.
+	// lingerBytes bounds the number of bytes that are read and discarded in that time.
 	lingerBytes = 16 << 20
 )
 
-// Lingering returns a listener whose connections may be closed after an answer that came before the request was read: without that the
-// closing resets the connection, and the caller loses the answer that waits to be read.
+// Lingering returns a listener whose connections can do a lingering close, for answers that are sent before the whole request was read:
+// a plain close with unread data resets the connection, and the caller loses an answer that it has not yet read.
 func Lingering(l net.Listener) net.Listener { return lingeringListener{l} }
 
 type lingeringListener struct{ net.Listener }
@@ -30,7 +31,7 @@
 	return &lingeringConn{Conn: c}, nil
 }
 
-// lingeringConn is a connection of which the rest of a request is read away before it is closed, if it is told so.
+// lingeringConn is a connection that reads and discards the rest of a request before it is closed, if lingers is set.
 type lingeringConn struct {
 	net.Conn
 	// lingers is set and read by the goroutine that serves the connection.
@@ -45,7 +46,7 @@
 	return c.Conn.Close()
 }
 
-// drain says that no more is written and reads what still comes.
+// drain closes the sending side, reads what the caller still sends, and discards it.
 func (c *lingeringConn) drain() {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() != nil {
 		return
@@ -53,11 +54,11 @@
 	if c.SetReadDeadline(time.Now().Add(lingerTime)) != nil {
 		return
 	}
-	// Whatever ends the reading, the connection is closed next.
+	// The error does not matter, since the connection is closed next.
 	_, _ = io.CopyN(io.Discard, c.Conn, lingerBytes)
 }
 
-// linger lets the connection of a call be read on before it is closed.
+// linger makes the connection of a call do a lingering close.
 func linger(ctx *fasthttp.RequestCtx) {
 	conn := ctx.Conn()
 	if secured, ok := conn.(interface{ NetConn() net.Conn }); ok {
--- a/entry/linger_test.go
+++ b/entry/linger_test.go
@@ -14,8 +14,8 @@
 	"junctioncross/entry"
 )
 
-// TestCallerStillWritingReceivesBodyTooLargeAnswer lets callers go on to write their bodies after the answer is there: an answer
-// that waits to be read must not be lost by a reset.
+// TestCallerStillWritingReceivesBodyTooLargeAnswer guards against a reset that discards the answer before the caller has read
+// it: callers go on writing their bodies after the server has refused the request.
 func TestCallerStillWritingReceivesBodyTooLargeAnswer(t *testing.T) {
 	h, _ := newHandler(t, stubClaims{})
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -11,7 +11,7 @@
 	"junctioncross/models"
 )
 
-// refusal is a final answer that is not the result the caller asked for.
+// refusal is an error answer, which ends a call.
 type refusal struct {
 	status     int
 	reason     models.Reason
@@ -51,7 +51,7 @@
 	return body
 }
 
-// refuse writes the refusal and counts it.
+// refuse writes the refusal as the answer, counts it and logs it.
 func (h *Handler) refuse(ctx *fasthttp.RequestCtx, c *call, r *refusal) {
 	h.stats.Refused(r.reason, r.fate)
 	h.record.Last(c.id, "refused", h.fields(c, decision.Fields{
--- a/entry/service.go
+++ b/entry/service.go
@@ -13,7 +13,7 @@
 	"junctioncross/service"
 )
 
-// service forwards a call to a plain service.
+// service forwards a call to a plain service. If the call must not be repeated and has an idempotency key, it claims the key first.
 func (h *Handler) service(ctx *fasthttp.RequestCtx, c *call) *refusal {
 	name := ctx.UserValue("name").(string)
 	s := c.snapshot.Index().Document().Service(name)
@@ -46,7 +46,7 @@
 	return d.Sum64()
 }
 
-// claimKey makes sure that this request alone may run under its key; a refusal says why it may not.
+// claimKey claims the idempotency key, so that no other request runs under it; it returns a refusal if this request may not run.
 func (h *Handler) claimKey(ctx context.Context, c claim.Claim) *refusal {
 	verdict, err := h.claims.Ask(ctx, c)
 	if errors.Is(err, claim.ErrUnsure) {
@@ -77,7 +77,8 @@
 	return r
 }
 
-// recordOutcome tells the log what became of the claimed request, so that a repeat can be told.
+// recordOutcome adds the outcome of the claimed request to the claim log in the background, so that a later request with the same key is
+// told that this one has run. A request that was not run releases its key; one that may have run keeps the claim without an outcome.
 func (h *Handler) recordOutcome(c claim.Claim, ctx *fasthttp.RequestCtx, r *refusal) {
 	switch {
 	case r == nil:
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -12,12 +12,12 @@
 	"junctioncross/pipeline"
 )
 
-// streamBuffer is the number of tokens that may wait for a slow caller.
+// streamBuffer is the number of tokens that are buffered for a slow caller; beyond it the pipeline waits.
 const streamBuffer = 256
 
-var errCallerGone = errors.New("entry: caller gone")
+var errCallerGone = errors.New("entry: caller has disconnected")
 
-// stream carries the tokens of one answer from its pipeline to its caller.
+// stream passes the tokens of one answer from the pipeline to the goroutine that writes the answer.
 type stream struct {
 	call       *call
 	params     completionParams
@@ -27,7 +27,7 @@
 	done       chan struct{}
 	failure    error
 
-	// The fields below belong to the reader.
+	// The fields below are used only by the goroutine that reads the tokens; peeked is the first token until next returns it.
 	peeked           *pipeline.Token
 	completionTokens int
 	promptTokens     int
@@ -41,7 +41,7 @@
 	}
 }
 
-// put hands a token over; it fails when the caller has gone.
+// put passes a token on, and waits while the buffer is full; it returns errCallerGone once the caller has disconnected.
 func (s *stream) put(t pipeline.Token) error {
 	select {
 	case <-s.callerGone:
@@ -56,17 +56,17 @@
 	}
 }
 
-// finish ends the stream with the pipeline's outcome.
+// finish ends the stream; err is the pipeline's error, nil for a complete answer.
 func (s *stream) finish(err error) {
 	s.failure = err
 	close(s.done)
 	close(s.tokens)
 }
 
-// abandon tells the pipeline that the caller has gone.
+// abandon makes put fail, which ends the pipeline of an answer whose caller has disconnected.
 func (s *stream) abandon() { s.once.Do(func() { close(s.callerGone) }) }
 
-// first waits for the first token; it returns the error of an answer that failed before it.
+// first waits for the first token; it returns the error of an answer that failed before that token.
 func (s *stream) first() error {
 	t, ok := <-s.tokens
 	if !ok {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// next returns the next token, false behind the last.
+// next waits for the next token and returns it, or false after the last one.
 func (s *stream) next() (pipeline.Token, bool) {
 	if s.peeked != nil {
 		t := *s.peeked
@@ -100,7 +100,7 @@
 	return t
 }
 
-// err returns the outcome, once next has returned false.
+// err returns the pipeline's error, nil for a complete answer; it waits until the stream has ended.
 func (s *stream) err() error {
 	<-s.done
 	return s.failure
