--- a/models/layers.go
+++ b/models/layers.go
@@ -17,7 +17,7 @@
 // Holds reports whether every layer of another range is in this one.
 func (l Layers) Holds(other Layers) bool { return l.First <= other.First && other.End <= l.End }
 
-// Tile reports whether the ranges cover [0, total) exactly once and in order.
+// Tile reports whether the ranges are in order and cover [0, total) without a gap or an overlap.
 func Tile(ranges []Layers, total int) bool {
 	next := 0
 	for _, r := range ranges {
