--- a/view/doc.go
+++ b/view/doc.go
@@ -1,2 +1,3 @@
-// Package view shows the control state to the request path: an immutable snapshot that is replaced as a whole.
+// Package view gives the request path the state that the control loop maintains (the configuration and the backend servers that are
+// known), as an immutable snapshot that is replaced as a whole.
 package view
--- a/view/snapshot.go
+++ b/view/snapshot.go
@@ -11,7 +11,7 @@
 	"junctioncross/share"
 )
 
-// Account is a client account with the group it belongs to.
+// Account is a client account with the group that it belongs to.
 type Account struct {
 	name  string
 	group *intent.Group
@@ -21,7 +21,7 @@
 // Name returns the account's name.
 func (a *Account) Name() string { return a.name }
 
-// Owner returns the account as the shares see it.
+// Owner returns the names and weights of the account and its group, by which package share orders requests.
 func (a *Account) Owner() share.Owner { return a.owner }
 
 // Models returns the names of the models that the account may use.
@@ -30,7 +30,7 @@
 // Allows reports whether the account may use the model.
 func (a *Account) Allows(model string) bool { return a.group.Allows(model) }
 
-// Index finds accounts and services in one configuration.
+// Index is one configuration, indexed for look-ups of accounts by bearer key.
 type Index struct {
 	revision revision.Number
 	document *intent.Document
@@ -56,39 +56,39 @@
 	return x
 }
 
-// Revision returns the configuration's number.
+// Revision returns the configuration's revision number.
 func (x *Index) Revision() revision.Number { return x.revision }
 
 // Document returns the configuration, which must not be changed.
 func (x *Index) Document() *intent.Document { return x.document }
 
-// Account returns the account of a bearer key or nil.
+// Account returns the account of a bearer key, or nil if there is none.
 func (x *Index) Account(key string) *Account { return x.accounts[HashKey(key)] }
 
-// HashKey returns the form in which a bearer key is kept.
+// HashKey returns the hash by which the configuration names a bearer key: SHA-256 in hexadecimal.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Snapshot is what the request path knows at one moment.
+// Snapshot is the configuration and the backend servers that the request path uses at one moment.
 type Snapshot struct {
 	index  *Index
 	graphs map[string]*route.Graph
 }
 
-// NewSnapshot joins a configuration's index with the graphs of the models' servers.
+// NewSnapshot returns a Snapshot of a configuration's index and the graphs of the models' servers, by the names of the models.
 func NewSnapshot(index *Index, graphs map[string]*route.Graph) *Snapshot {
 	return &Snapshot{index: index, graphs: graphs}
 }
 
-// Index returns the configuration's index, nil before there is one.
+// Index returns the configuration's index, or nil before the first configuration.
 func (s *Snapshot) Index() *Index { return s.index }
 
-// Graph returns the graph of a model's servers or nil.
+// Graph returns the graph of a model's servers, or nil if there is none.
 func (s *Snapshot) Graph(model string) *route.Graph { return s.graphs[model] }
 
-// Board holds the current snapshot.
+// Board holds the current snapshot; it is safe for concurrent use.
 type Board struct {
 	current atomic.Pointer[Snapshot]
 }
@@ -103,5 +103,5 @@
 // Current returns the current snapshot.
 func (b *Board) Current() *Snapshot { return b.current.Load() }
 
-// Publish replaces the snapshot.
+// Publish makes a snapshot the current one.
 func (b *Board) Publish(s *Snapshot) { b.current.Store(s) }
