--- a/census/census_test.go
+++ b/census/census_test.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	patience = 30 * time.Second
-	// whole is the number of records up to which every instance writes one.
-	whole = 24
+	timeout = 30 * time.Second
+	// relayThreshold is the number of records up to which every instance writes one.
+	relayThreshold = 24
 )
 
 // register is a census.Register in memory.
 type register struct {
-	mu      sync.Mutex
-	members map[int64]census.Instance
-	key     []byte
-	next    int64
-	founded int
-	down    bool
-	renewed map[int64]int
+	mu          sync.Mutex
+	members     map[int64]census.Instance
+	key         []byte
+	next        int64
+	keysWritten int
+	down        bool
+	renewed     map[int64]int
 	// slots holds the slot of each record; the lease of a record is its revision as well.
 	slots map[int64]int
 }
@@ -109,7 +109,7 @@
 	defer r.mu.Unlock()
 	if r.key == nil {
 		r.key = key
-		r.founded++
+		r.keysWritten++
 	}
 	return r.key, nil
 }
@@ -125,31 +125,31 @@
 	for i := range out {
 		self := census.Instance{Name: fmt.Sprint("i-", i), Domain: "east", Addr: fmt.Sprint("addr-", i)}
 		newKey := func() ([]byte, error) { return []byte(self.Name), nil }
-		out[i] = census.New(t.Context(), census.NewBoard(whole), r, self, newKey, clock, metrics.New(), log)
+		out[i] = census.New(t.Context(), census.NewBoard(relayThreshold), r, self, newKey, clock, metrics.New(), log)
 	}
 	return out
 }
 
-func TestInstancesCountEachOtherAndShareOneKey(t *testing.T) {
+func TestInstancesAgreeOnCountAndFleetKey(t *testing.T) {
 	r := &register{members: map[int64]census.Instance{}}
 	all := start(t, r, 4)
 	require.Equal(t, census.Unknown, all[0].Instances(), "nobody assumes to be alone before the first count")
 	for _, c := range all {
-		require.Eventually(t, func() bool { return c.Instances() == 4 && len(c.Key()) > 0 }, patience, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return c.Instances() == 4 && len(c.Key()) > 0 }, timeout, 20*time.Millisecond)
 		require.Equal(t, all[0].Key(), c.Key())
 	}
-	require.Equal(t, 1, r.founded)
+	require.Equal(t, 1, r.keysWritten)
 }
 
-func TestOneThatComesLaterKnowsTheOthersAtOnce(t *testing.T) {
+func TestLateInstanceKnowsTheOthersAtOnce(t *testing.T) {
 	r := &register{members: map[int64]census.Instance{1: {Name: "old"}, 2: {Name: "older"}}, next: 2, key: []byte("k")}
 	late := start(t, r, 1)[0]
-	require.Eventually(t, func() bool { return len(late.Members()) >= 2 && string(late.Key()) == "k" }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(late.Members()) >= 2 && string(late.Key()) == "k" }, timeout, time.Millisecond)
 }
 
-// TestOneThatStartsInAnOutageCountsTheOthersSoonAfterIt starts an instance while the store is down, as after the end of all: relays
+// TestInstanceStartedDuringAnOutageReadsTheRecordsSoonAfterIt starts an instance while the store is down, as after the end of all: relays
 // refuse each other until they know the fleet's key, so that a count which waits for seconds sends all of them to the store.
-func TestOneThatStartsInAnOutageCountsTheOthersSoonAfterIt(t *testing.T) {
+func TestInstanceStartedDuringAnOutageReadsTheRecordsSoonAfterIt(t *testing.T) {
 	const (
 		outage = 11 * time.Second
 		soon   = time.Second
@@ -175,38 +175,38 @@
 	require.Equal(t, "k", string(one.Key()))
 }
 
-// TestOneThatStartsAgainKeepsItsRecord starts an instance again within the time of its record, as all do after the end of all: a new
+// TestRestartedInstanceKeepsItsRecord starts an instance again within the time of its record, as all do after the end of all: a new
 // record would cost twenty times the calls.
-func TestOneThatStartsAgainKeepsItsRecord(t *testing.T) {
+func TestRestartedInstanceKeepsItsRecord(t *testing.T) {
 	r := &register{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "addr-0"}}, next: 7, key: []byte("k")}
 	start(t, r, 1)
-	require.Eventually(t, func() bool { return r.renewals(7) > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return r.renewals(7) > 0 }, timeout, time.Millisecond)
 	require.Equal(t, int64(7), r.newest())
 }
 
-// TestOneAtAnotherAddressWritesItsRecordAnew starts an instance whose record tells an address that is no longer its own.
-func TestOneAtAnotherAddressWritesItsRecordAnew(t *testing.T) {
+// TestInstanceAtANewAddressWritesANewRecord starts an instance whose record tells an address that is no longer its own.
+func TestInstanceAtANewAddressWritesANewRecord(t *testing.T) {
 	r := &register{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "former"}}, next: 7, key: []byte("k")}
 	start(t, r, 1)
-	require.Eventually(t, func() bool { return r.newest() == 8 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return r.newest() == 8 }, timeout, time.Millisecond)
 	require.Zero(t, r.renewals(7))
 }
 
-// TestNobodyTakesTheFirstRecordsForTheWholeFleet starts 40 instances together without any records: whoever knew of a few of them only
+// TestInstancesStartingTogetherDoNotPublishTheFirstRecords starts 40 instances together without any records: whoever knew of a few of them only
 // would take the fleet for one too small for relays.
-func TestNobodyTakesTheFirstRecordsForTheWholeFleet(t *testing.T) {
+func TestInstancesStartingTogetherDoNotPublishTheFirstRecords(t *testing.T) {
 	const fleet = 40
 	r := &register{members: map[int64]census.Instance{}}
 	for _, c := range start(t, r, fleet) {
-		require.Eventually(t, func() bool { return len(c.Members()) > 0 }, patience, time.Millisecond)
-		require.GreaterOrEqual(t, len(c.Members()), whole)
+		require.Eventually(t, func() bool { return len(c.Members()) > 0 }, timeout, time.Millisecond)
+		require.GreaterOrEqual(t, len(c.Members()), relayThreshold)
 	}
 }
 
-// TestAFleetThatFitsIsKnownWhole starts the most instances that all have records.
-func TestAFleetThatFitsIsKnownWhole(t *testing.T) {
+// TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted starts the most instances that all have records.
+func TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted(t *testing.T) {
 	r := &register{members: map[int64]census.Instance{}}
-	for _, c := range start(t, r, whole-1) {
-		require.Eventually(t, func() bool { return len(c.Members()) == whole-1 && c.Instances() == whole-1 }, patience, time.Millisecond)
+	for _, c := range start(t, r, relayThreshold-1) {
+		require.Eventually(t, func() bool { return len(c.Members()) == relayThreshold-1 && c.Instances() == relayThreshold-1 }, timeout, time.Millisecond)
 	}
 }
--- a/census/slot.go
+++ b/census/slot.go
@@ -1,10 +1,10 @@
 package census
 
 const (
-	// candidates is the number of instances of a domain that have records in any case: its relay and those that can take over.
-	candidates = 8
-	// leastSlots is the least number of slots of a domain.
-	leastSlots = 24
+	// relayCandidates is the number of instances of a domain that have records in any case: its relay and those that can take over.
+	relayCandidates = 8
+	// minSlots is the least number of slots of a domain.
+	minSlots = 24
 )
 
 // Slot is where a record can be written: one of the few that a domain has, so that the directory that every instance reads grows with the
@@ -23,12 +23,12 @@
 	Lease int64
 }
 
-// vacancy returns the slot that an instance should write its record to, if it should. A fleet of fewer records than whole is known whole; in
+// chooseSlot returns the slot that an instance should write its record to, if it should. A fleet of fewer records than whole is known whole; in
 // a larger one those of each domain have records that are strong enough to be among its candidates. IntN returns a number from 0 to n - 1.
-func vacancy(records []Record, self Instance, whole int, intN func(int) int) (Slot, bool) {
+func chooseSlot(records []Record, self Instance, relayThreshold int, intN func(int) int) (Slot, bool) {
 	taken := map[int]bool{}
 	var weakest *Record
-	stronger := 0
+	atLeastAsStrong := 0
 	for i := range records {
 		r := &records[i]
 		if r.Domain != self.Domain {
@@ -39,17 +39,17 @@
 		}
 		taken[r.Number] = true
 		if r.Power >= self.Power {
-			stronger++
+			atLeastAsStrong++
 		}
 		if weakest == nil || r.Power < weakest.Power {
 			weakest = r
 		}
 	}
-	if stronger >= candidates && len(records) >= whole {
+	if atLeastAsStrong >= relayCandidates && len(records) >= relayThreshold {
 		return Slot{}, false
 	}
 	var free []int
-	for n := range max(whole, leastSlots) {
+	for n := range max(relayThreshold, minSlots) {
 		if !taken[n] {
 			free = append(free, n)
 		}
--- a/census/slot_test.go
+++ b/census/slot_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-const whole = 24
+const relayThreshold = 24
 
-// first is the choice of the first free slot.
-func first(int) int { return 0 }
+// lowestFree is the choice of the lowestFree free slot.
+func lowestFree(int) int { return 0 }
 
 // recordsIn returns n records of a domain in the first slots.
 func recordsIn(domain string, n int, power float64) []Record {
@@ -25,41 +25,41 @@
 
 func TestEveryInstanceOfASmallFleetHasARecord(t *testing.T) {
 	records := recordsIn("east", 12, 1)
-	slot, ok := vacancy(records, Instance{Name: "new", Domain: "east", Power: 0.1}, whole, first)
+	slot, ok := chooseSlot(records, Instance{Name: "new", Domain: "east", Power: 0.1}, relayThreshold, lowestFree)
 	require.True(t, ok)
 	require.Equal(t, Slot{Number: 12}, slot)
 }
 
 func TestADomainOfALargeFleetHasFewRecords(t *testing.T) {
-	records := append(recordsIn("east", candidates, 1), recordsIn("west", whole, 1)...)
-	_, ok := vacancy(records, Instance{Name: "new", Domain: "east", Power: 0.1}, whole, first)
+	records := append(recordsIn("east", relayCandidates, 1), recordsIn("west", relayThreshold, 1)...)
+	_, ok := chooseSlot(records, Instance{Name: "new", Domain: "east", Power: 0.1}, relayThreshold, lowestFree)
 	require.False(t, ok, "enough are as strong")
-	_, ok = vacancy(records[1:], Instance{Name: "new", Domain: "east", Power: 0.1}, whole, first)
+	_, ok = chooseSlot(records[1:], Instance{Name: "new", Domain: "east", Power: 0.1}, relayThreshold, lowestFree)
 	require.True(t, ok, "one of them has gone")
 }
 
-func TestAStrongerInstanceReplacesTheWeakest(t *testing.T) {
-	records := recordsIn("east", whole, 0.2)
+func TestStrongerInstanceReplacesTheWeakestRecord(t *testing.T) {
+	records := recordsIn("east", relayThreshold, 0.2)
 	records[7].Power = 0.1
-	slot, ok := vacancy(records, Instance{Name: "new", Domain: "east", Power: 0.8}, whole, first)
+	slot, ok := chooseSlot(records, Instance{Name: "new", Domain: "east", Power: 0.8}, relayThreshold, lowestFree)
 	require.True(t, ok)
 	require.Equal(t, records[7].Slot, slot)
-	_, ok = vacancy(records, Instance{Name: "new", Domain: "east", Power: 0.1}, whole, first)
+	_, ok = chooseSlot(records, Instance{Name: "new", Domain: "east", Power: 0.1}, relayThreshold, lowestFree)
 	require.False(t, ok, "nobody is weaker")
 }
 
 func TestAnInstanceKeepsItsSlot(t *testing.T) {
 	records := recordsIn("east", 3, 1)
-	slot, ok := vacancy(records, Instance{Name: "east-1", Domain: "east", Addr: "another"}, whole, first)
+	slot, ok := chooseSlot(records, Instance{Name: "east-1", Domain: "east", Addr: "another"}, relayThreshold, lowestFree)
 	require.True(t, ok)
 	require.Equal(t, records[1].Slot, slot)
 }
 
-// TestInstancesAreNotCountedByTheRecordsOfAFew asks for the number of instances before the relay of a full domain has counted them: a part of
+// TestInstanceCountIsUnknownUntilRelaysHaveCounted asks for the number of instances before the relay of a full domain has counted them: a part of
 // a shared limit that is too large breaks it.
-func TestInstancesAreNotCountedByTheRecordsOfAFew(t *testing.T) {
-	b := NewBoard(whole)
-	b.show(&Roll{Records: append(recordsIn("east", candidates, 1), recordsIn("west", whole, 1)...)})
+func TestInstanceCountIsUnknownUntilRelaysHaveCounted(t *testing.T) {
+	b := NewBoard(relayThreshold)
+	b.setSnapshot(&Roll{Records: append(recordsIn("east", relayCandidates, 1), recordsIn("west", relayThreshold, 1)...)})
 	require.Equal(t, Unknown, b.Instances())
 	b.NoteCounts(map[string]int{"east": 200})
 	require.Equal(t, Unknown, b.Instances())
--- a/census/board.go
+++ b/census/view.go
@@ -8,11 +8,11 @@
 
 // Board shows what the records told last, and how many instances the relays of the domains have counted.
 type Board struct {
-	// whole is the number of records up to which every instance has one.
-	whole   int
-	roll    atomic.Pointer[Roll]
-	members atomic.Pointer[[]Instance]
-	empty   atomic.Bool
+	// relayThreshold is the number of records up to which every instance has one.
+	relayThreshold int
+	snapshot       atomic.Pointer[Roll]
+	members        atomic.Pointer[[]Instance]
+	empty          atomic.Bool
 	// instances is the number of instances: each request and each question to a relay asks for it.
 	instances atomic.Int64
 
@@ -24,37 +24,37 @@
 }
 
 // NewBoard returns a Board on which nobody is counted yet; in a fleet of fewer than whole every instance has a record.
-func NewBoard(whole int) *Board {
-	b := &Board{whole: whole, counts: map[string]int{}, changed: make(chan struct{})}
-	b.show(&Roll{})
+func NewBoard(relayThreshold int) *Board {
+	b := &Board{relayThreshold: relayThreshold, counts: map[string]int{}, changed: make(chan struct{})}
+	b.setSnapshot(&Roll{})
 	return b
 }
 
-// show replaces the roll and returns the number of records before and now.
-func (b *Board) show(roll *Roll) (before, now int) {
-	members := make([]Instance, len(roll.Records))
-	for i, r := range roll.Records {
+// setSnapshot replaces the roll and returns the number of records before and now.
+func (b *Board) setSnapshot(snapshot *Roll) (before, after int) {
+	members := make([]Instance, len(snapshot.Records))
+	for i, r := range snapshot.Records {
 		members[i] = r.Instance
 	}
 	b.members.Store(&members)
-	if old := b.roll.Swap(roll); old != nil {
+	if old := b.snapshot.Swap(snapshot); old != nil {
 		before = len(old.Records)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.instances.Store(int64(b.total()))
-	b.wakeLocked()
-	return before, len(roll.Records)
+	b.instances.Store(int64(b.totalLocked()))
+	b.notifyLocked()
+	return before, len(snapshot.Records)
 }
 
-// wake tells those that wait for a change.
-func (b *Board) wake() {
+// notify tells those that wait for a change.
+func (b *Board) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.wakeLocked()
+	b.notifyLocked()
 }
 
-func (b *Board) wakeLocked() {
+func (b *Board) notifyLocked() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
@@ -66,34 +66,34 @@
 	return b.changed
 }
 
-// noteEmpty keeps whether the records were read and there were none.
-func (b *Board) noteEmpty(empty bool) {
+// setEmpty keeps whether the records were read and there were none.
+func (b *Board) setEmpty(empty bool) {
 	if b.empty.Swap(empty) != empty {
-		b.wake()
+		b.notify()
 	}
 }
 
-// showKey adds the fleet's key to what is shown.
-func (b *Board) showKey(key []byte) {
-	roll := *b.roll.Load()
-	roll.Key = key
-	b.roll.Store(&roll)
-	b.wake()
+// setKey adds the fleet's key to what is shown.
+func (b *Board) setKey(key []byte) {
+	snapshot := *b.snapshot.Load()
+	snapshot.Key = key
+	b.snapshot.Store(&snapshot)
+	b.notify()
 }
 
 // Instances returns the number of instances; it is Unknown before the first count, and while a domain that not all instances of have records
 // is not counted.
 func (b *Board) Instances() int { return int(b.instances.Load()) }
 
-// total works out the number of instances; the caller holds the lock.
-func (b *Board) total() int {
-	records := b.roll.Load().Records
+// totalLocked works out the number of instances; the caller holds the lock.
+func (b *Board) totalLocked() int {
+	records := b.snapshot.Load().Records
 	if len(records) == 0 {
 		return Unknown
 	}
 	total := 0
 	for domain, n := range recordsByDomain(records) {
-		if len(records) >= b.whole && n >= candidates && b.counts[domain] == 0 {
+		if len(records) >= b.relayThreshold && n >= relayCandidates && b.counts[domain] == 0 {
 			return Unknown
 		}
 		total += max(n, b.counts[domain])
@@ -123,14 +123,14 @@
 			b.counts[domain] = n
 		}
 	}
-	b.instances.Store(int64(b.total()))
+	b.instances.Store(int64(b.totalLocked()))
 }
 
 // Members returns the instances that had records last; it is empty before the first count. In a large fleet they are some of each domain.
 func (b *Board) Members() []Instance { return *b.members.Load() }
 
 // Records returns the records that were read last; the caller does not change them.
-func (b *Board) Records() []Record { return b.roll.Load().Records }
+func (b *Board) Records() []Record { return b.snapshot.Load().Records }
 
 // Key returns what the instances prove themselves with to each other; it is empty while it is not known.
-func (b *Board) Key() []byte { return b.roll.Load().Key }
+func (b *Board) Key() []byte { return b.snapshot.Load().Key }
