--- a/census/census.go
+++ b/census/census.go
@@ -14,89 +14,94 @@
 )
 
 const (
-	// recordTTL is how long the record of an instance that died still counts: too many are safe, since limits are
-	// divided by them, and long records cost few calls.
+	// recordTTL is how long a record lasts unless it is renewed, so that an instance which died still counts for that long.
+	// Counting too many is safe, since shared limits are divided by the count, and a long TTL needs few calls.
 	recordTTL = 60 * time.Second
-	// emptyFleetDelay is how long an instance of full power that finds nobody waits before it joins. Those who start together with it have looked by
-	// then and found nobody either, so that none takes the first few records for the whole fleet and reads the store as if it needed no relay.
-	// Weaker ones wait longer, up to longestFirst, so that the strongest, which can serve as relays, have their records first.
+	// emptyFleetDelay is how long an instance of full power that finds no records waits before it joins. Instances that start
+	// together with it have read the records by then and found none either; otherwise some would take the first few records for
+	// the whole fleet and read the store directly, as a fleet too small for relays does. Weaker instances wait longer, up to
+	// maxEmptyFleetDelay, so that the strongest, which can serve as relays, register first.
 	emptyFleetDelay    = 300 * time.Millisecond
 	maxEmptyFleetDelay = 1500 * time.Millisecond
-	// startJitter spreads the records of instances that start together.
+	// startJitter bounds the random delay that spreads the registrations of instances that start together.
 	startJitter = 700 * time.Millisecond
-	// joinSettleDelay is how long after joining the others are counted: all that started together have joined by then.
+	// joinSettleDelay is the delay between joining and the next read of the records; all instances that started together have
+	// joined by then.
 	joinSettleDelay = time.Second
-	// recountDelay is how long after a look that found the same number of instances as before they are counted again, when the slowest of
-	// those who started together are there.
+	// recountDelay is the delay before the records are read once more after a read that found the same number of instances as
+	// the one before. By then even the slowest of the instances that started together have registered.
 	recountDelay = 2500 * time.Millisecond
-	// replacedAfter is how long an instance's record must be missing from the lists, which may be some seconds old, before it counts as replaced.
+	// replacedAfter is how long an instance's record must be missing from the list before it counts as replaced; the list may
+	// be some seconds old.
 	replacedAfter = 5 * time.Second
-	// slotTakenDelay bounds the pause after a slot turned out to be taken, half of which is random.
+	// slotTakenDelay bounds the delay after a slot turned out to be taken; half of it is random.
 	slotTakenDelay = time.Second
-	// missingKeyDelay is the pause between looks while the fleet's key is missing: nobody can ask another instance without it.
+	// missingKeyDelay is the delay between reads while the fleet key is missing; without it no instance can poll another one.
 	missingKeyDelay = 300 * time.Millisecond
-	// unknownCountDelay is the pause between looks of those that have records while the relays do not know how many others there are, or
-	// have just found another number.
+	// unknownCountDelay is the delay between reads of an instance that has a record, while the relays do not know the number of
+	// instances or have just found another number.
 	unknownCountDelay = time.Second
-	// countInterval is how often the records are counted and the own one is renewed.
+	// countInterval is how often the records are read and the own record is renewed.
 	countInterval = 15 * time.Second
-	// renewRetryDelay is the pause after a renewal that failed; the record lasts for many of them.
+	// renewRetryDelay is the delay after a failed renewal; a record outlasts many of them.
 	renewRetryDelay = 5 * time.Second
-	// retryDelay is the pause after a failed call.
+	// retryDelay is the delay after any other failed call.
 	retryDelay = 2 * time.Second
-	// firstCountRetryDelay bounds the pause after a first count that failed, half of which is random: until it succeeds the instance knows no
-	// relay and no key to prove itself with, and asks the store for all that it hears, which costs more than a count.
+	// firstCountRetryDelay bounds the delay after a failed first read; half of it is random. Until a read succeeds, the
+	// instance knows no relay and no key to authenticate with, and reads all feeds from the store, which costs more than
+	// reading the records.
 	firstCountRetryDelay = 500 * time.Millisecond
-	// callTimeout bounds one call.
+	// callTimeout bounds one call to the register.
 	callTimeout = time.Second
-	// Unknown is the number that is assumed until the instances are counted: twice the largest fleet, since each instance's part of a shared
-	// limit must be safe.
+	// Unknown is the number of instances that is assumed until they are counted. It is twice the size of the largest fleet, so
+	// that each instance's share of a shared limit is safe.
 	Unknown = 2000
 )
 
 // Errors of a Register.
 var (
-	// ErrOver means that the record of an instance has ended.
+	// ErrOver means that the record of an instance has expired.
 	ErrOver = errors.New("census: record has ended")
-	// ErrTaken means that another instance has written to the slot meanwhile.
+	// ErrTaken means that another instance has written to the slot in the meantime.
 	ErrTaken = errors.New("census: slot is taken")
 )
 
-// Instance is what an instance tells the others of itself.
+// Instance is what an instance publishes about itself.
 type Instance struct {
 	// Name is unique among the instances.
 	Name string
-	// Domain is the failure domain that the instance stands in.
+	// Domain is the failure domain of the instance.
 	Domain string
-	// Addr is the IP number and UDP port for calls of other instances; it is empty when there are none.
+	// Addr is the IP address and UDP port for calls of other instances; it is empty if there are none.
 	Addr string
-	// Power is the instance's processor power against that of others.
+	// Power is the instance's processor power relative to other instances.
 	Power float64
 }
 
-// Roll is what the records tell.
+// Roll is a snapshot of the registration records: what one read of them returned.
 type Roll struct {
 	Records []Record
-	// Key is what the instances prove themselves with to each other; it is empty before the first has written one.
+	// Key is the fleet key, by which instances authenticate to each other; it is empty before the first instance has written
+	// one.
 	Key []byte
-	// Era is how often the store had lost writes when the records were read.
+	// Era is the number of times that the store had lost writes when the records were read.
 	Era int64
 }
 
-// Register holds the records of the instances.
+// Register stores the registration records of the instances.
 type Register interface {
-	// Join writes a record that lasts for ttl to a slot of the instance's domain and returns the lease that it hangs on; it returns ErrTaken
-	// when the slot is no longer as it was.
+	// Join writes a record that expires after ttl to a slot of the instance's domain and returns the lease that the record is
+	// bound to; it returns ErrTaken if the slot has changed in the meantime.
 	Join(ctx context.Context, self Instance, slot Slot, ttl time.Duration) (lease int64, err error)
-	// Renew lets the record last for another ttl; it returns ErrOver when it has ended.
+	// Renew extends the record by another ttl; it returns ErrOver if it has expired.
 	Renew(ctx context.Context, lease int64) error
-	// List returns the records, which may be some seconds old.
+	// List returns the records and the fleet key; they may be some seconds old.
 	List(ctx context.Context) (Roll, error)
-	// Found writes the fleet's key if there is none, and returns the one that is there.
+	// Found writes the fleet key unless there is one, and returns the stored key.
 	Found(ctx context.Context, key []byte) ([]byte, error)
 }
 
-// Census counts the instances and keeps the record of its own.
+// Census counts the instances of the fleet and maintains the registration record of its own instance.
 type Census struct {
 	*Board
 	register Register
@@ -105,18 +110,20 @@
 	stats    *metrics.Registry
 	log      *logrus.Logger
 	newKey   func() ([]byte, error)
-	// snapshot is what was read last.
+	// snapshot is the result of the last read.
 	snapshot Roll
 	lease    int64
-	// renewedAt is when the record was last known to last for its whole time.
+	// renewedAt is when the record was last written or renewed for its full TTL.
 	renewedAt time.Time
-	// count is the count of instances that the latest look found, and sameCounts counts the looks in a row before it that found the sameCounts.
+	// count is the number of instances that the last read found; sameCounts is the number of earlier reads in a row that found
+	// the same number.
 	count, sameCounts int
-	// missingSince is since when the own record is not in the lists.
+	// missingSince is when the own record went missing from the list; zero while it is listed.
 	missingSince time.Time
 }
 
-// New returns a Census that shows its counts on board, and starts it; it stops when ctx ends. NewKey makes a key for a fleet that has none.
+// New starts a Census that publishes what it reads to board; it stops when ctx ends. NewKey generates a key for a fleet that
+// has none.
 func New(
 	ctx context.Context, board *Board, register Register, self Instance, newKey func() ([]byte, error), clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
@@ -131,8 +138,8 @@
 	return c
 }
 
-// startUp looks who there is. One that comes to a running fleet knows at once whom to ask; of those that find nobody the strongest write their
-// records first, and the others look again before they do.
+// startUp reads the records. An instance that joins a running fleet knows at once which instances to poll. Among instances
+// that find no records the strongest register first, and the others read once more before they do.
 func (c *Census) startUp(ctx context.Context) {
 	for !c.refresh(ctx) && c.clock.Sleep(ctx, halfJitter(firstCountRetryDelay)) {
 		continue
@@ -151,12 +158,13 @@
 	}
 }
 
-// halfJitter returns a pause of which half is random, so that instances which failed together do not come back together.
+// halfJitter returns a random delay between half of limit and limit, so that instances that failed together do not retry
+// together.
 func halfJitter(limit time.Duration) time.Duration {
 	return limit/2 + time.Duration(rand.Float64()*float64(limit/2))
 }
 
-// emptyFleetDelayOf returns how long an instance of some power waits that finds nobody.
+// emptyFleetDelayOf returns how long an instance of the given power that finds no records waits before it joins.
 func emptyFleetDelayOf(power float64) time.Duration {
 	if power <= 0 {
 		return maxEmptyFleetDelay
@@ -164,8 +172,8 @@
 	return min(time.Duration(float64(emptyFleetDelay)/min(power, 1)), maxEmptyFleetDelay)
 }
 
-// adoptRecord takes over the record that an earlier process of the instance has left, if it tells the same: renewing it costs a twentieth of
-// the calls for a new one, for each instance that starts again.
+// adoptRecord takes over the record that an earlier process of this instance has left, if its content is the same. Renewing
+// a record costs a twentieth of the calls that writing a new one does, for each instance that restarts.
 func (c *Census) adoptRecord() {
 	for _, r := range c.snapshot.Records {
 		if r.Instance == c.self {
@@ -174,7 +182,7 @@
 	}
 }
 
-// step joins, renews or counts, and returns when to go on.
+// step joins, renews the record or reads the records, and returns the delay until the next step.
 func (c *Census) step(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -195,13 +203,13 @@
 		return missingKeyDelay
 	}
 	if c.trackCount(); c.lease == 0 {
-		// Many of those without a record count at the same moment otherwise.
+		// Without the jitter many instances without a record would read at the same moment.
 		return halfJitter(c.nextReadDelayWithoutRecord())
 	}
 	return c.nextReadDelay()
 }
 
-// trackCount keeps how many looks in a row have found the same number of instances.
+// trackCount updates the number of reads in a row that have found the same number of instances.
 func (c *Census) trackCount() {
 	if n := c.Instances(); n != c.count {
 		c.count, c.sameCounts = n, 0
@@ -210,8 +218,8 @@
 	c.sameCounts++
 }
 
-// nextReadDelay returns when one with a record looks again. Limits are divided by the number, so that it must not stay what it was while the others
-// were still coming.
+// nextReadDelay returns the delay until an instance with a record reads again. Shared limits are divided by the number of
+// instances, so that a number that was read while others were still joining must soon be corrected.
 func (c *Census) nextReadDelay() time.Duration {
 	switch {
 	case c.sameCounts == 0 && c.count == Unknown, c.sameCounts == 1 && c.count != Unknown:
@@ -223,8 +231,8 @@
 	}
 }
 
-// nextReadDelayWithoutRecord bounds the pause until one without a record looks again. While the number changes or is not known, its list may lack the
-// relay of its domain, so that nobody counts it.
+// nextReadDelayWithoutRecord returns the longest delay until an instance without a record reads again. While the number
+// of instances changes or is unknown, its list may lack the relay of its domain, so that no relay counts the instance.
 func (c *Census) nextReadDelayWithoutRecord() time.Duration {
 	if c.sameCounts == 0 || c.count == Unknown {
 		return recountDelay
@@ -248,7 +256,7 @@
 	return joinSettleDelay
 }
 
-// renew lets the record last, or returns when to go on.
+// renew renews the record; if that fails, it returns the delay until the next step and false.
 func (c *Census) renew(ctx context.Context) (time.Duration, bool) {
 	err := c.register.Renew(ctx, c.lease)
 	switch {
@@ -264,12 +272,12 @@
 	return 0, true
 }
 
-// chooseSlot returns the slot that the own record should be written to, if it should.
+// chooseSlot returns the slot to write the own record to, and false if this instance needs no record.
 func (c *Census) chooseSlot() (Slot, bool) {
 	return chooseSlot(c.snapshot.Records, c.self, c.relayThreshold, rand.IntN)
 }
 
-// refresh reads the records, shows them, and reports whether it could.
+// refresh reads the records, publishes them, and reports whether that succeeded.
 func (c *Census) refresh(ctx context.Context) bool {
 	if !c.list(ctx) {
 		return false
@@ -281,7 +289,7 @@
 	return true
 }
 
-// list reads the records and reports whether it could.
+// list reads the records and reports whether that succeeded.
 func (c *Census) list(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -303,7 +311,8 @@
 	return true
 }
 
-// publish shows what was read last. Those that start together do not show the first few records, which look like the whole of a small fleet.
+// publish updates the view from the last snapshot. Instances that start together must not publish the first few records,
+// which look like the whole of a small fleet.
 func (c *Census) publish() {
 	snapshot := c.snapshot
 	before, after := c.setSnapshot(&snapshot)
@@ -314,7 +323,8 @@
 	}
 }
 
-// checkReplaced gives the record up that another instance has written over.
+// checkReplaced abandons the own record after it has been missing from the list for replacedAfter: another instance has
+// replaced it.
 func (c *Census) checkReplaced(records []Record) {
 	listed := c.lease == 0 || slices.ContainsFunc(records, func(r Record) bool { return r.Name == c.self.Name })
 	switch now := c.clock.Now(); {
@@ -328,8 +338,8 @@
 	}
 }
 
-// ensureKey makes the fleet's key when there is none and no other instance that has a record comes first; the others find it when they look
-// again.
+// ensureKey creates the fleet key if there is none and this instance has the lowest name of those with a record; the other
+// instances find the key at their next read.
 func (c *Census) ensureKey(ctx context.Context) {
 	if len(c.snapshot.Key) > 0 || c.lease == 0 {
 		return
--- a/census/census_test.go
+++ b/census/census_test.go
@@ -20,7 +20,7 @@
 
 const (
 	timeout = 30 * time.Second
-	// relayThreshold is the number of records up to which every instance writes one.
+	// relayThreshold is the number of records from which a fleet uses relays; in a smaller fleet every instance has a record.
 	relayThreshold = 24
 )
 
@@ -33,7 +33,7 @@
 	keysWritten int
 	down        bool
 	renewed     map[int64]int
-	// slots holds the slot of each record; the lease of a record is its revision as well.
+	// slots holds the slot of each record by lease; the lease of a record is also its revision.
 	slots map[int64]int
 }
 
@@ -133,7 +133,7 @@
 func TestInstancesAgreeOnCountAndFleetKey(t *testing.T) {
 	r := &register{members: map[int64]census.Instance{}}
 	all := start(t, r, 4)
-	require.Equal(t, census.Unknown, all[0].Instances(), "nobody assumes to be alone before the first count")
+	require.Equal(t, census.Unknown, all[0].Instances(), "no instance may assume that it is alone before its first read of the records")
 	for _, c := range all {
 		require.Eventually(t, func() bool { return c.Instances() == 4 && len(c.Key()) > 0 }, timeout, 20*time.Millisecond)
 		require.Equal(t, all[0].Key(), c.Key())
@@ -147,8 +147,9 @@
 	require.Eventually(t, func() bool { return len(late.Members()) >= 2 && string(late.Key()) == "k" }, timeout, time.Millisecond)
 }
 
-// TestInstanceStartedDuringAnOutageReadsTheRecordsSoonAfterIt starts an instance while the store is down, as after the end of all: relays
-// refuse each other until they know the fleet's key, so that a count which waits for seconds sends all of them to the store.
+// TestInstanceStartedDuringAnOutageReadsTheRecordsSoonAfterIt starts an instance while the store is down, as when the whole
+// fleet restarts during an outage. Relays refuse each other until they know the fleet key, so that an instance that delays
+// its next read for seconds polls the store instead, as all others do.
 func TestInstanceStartedDuringAnOutageReadsTheRecordsSoonAfterIt(t *testing.T) {
 	const (
 		outage = 11 * time.Second
@@ -175,8 +176,8 @@
 	require.Equal(t, "k", string(one.Key()))
 }
 
-// TestRestartedInstanceKeepsItsRecord starts an instance again within the time of its record, as all do after the end of all: a new
-// record would cost twenty times the calls.
+// TestRestartedInstanceKeepsItsRecord restarts an instance before its record has expired, as happens when the whole fleet
+// restarts: writing a new record costs twenty times the calls of renewing the old one.
 func TestRestartedInstanceKeepsItsRecord(t *testing.T) {
 	r := &register{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "addr-0"}}, next: 7, key: []byte("k")}
 	start(t, r, 1)
@@ -184,7 +185,7 @@
 	require.Equal(t, int64(7), r.newest())
 }
 
-// TestInstanceAtANewAddressWritesANewRecord starts an instance whose record tells an address that is no longer its own.
+// TestInstanceAtANewAddressWritesANewRecord starts an instance whose record holds an address that is no longer its own.
 func TestInstanceAtANewAddressWritesANewRecord(t *testing.T) {
 	r := &register{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "former"}}, next: 7, key: []byte("k")}
 	start(t, r, 1)
@@ -192,8 +193,8 @@
 	require.Zero(t, r.renewals(7))
 }
 
-// TestInstancesStartingTogetherDoNotPublishTheFirstRecords starts 40 instances together without any records: whoever knew of a few of them only
-// would take the fleet for one too small for relays.
+// TestInstancesStartingTogetherDoNotPublishTheFirstRecords starts 40 instances together without any records. An instance
+// that knew only the first few records would take the fleet for one too small for relays.
 func TestInstancesStartingTogetherDoNotPublishTheFirstRecords(t *testing.T) {
 	const fleet = 40
 	r := &register{members: map[int64]census.Instance{}}
@@ -203,7 +204,7 @@
 	}
 }
 
-// TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted starts the most instances that all have records.
+// TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted starts the largest fleet in which every instance has a record.
 func TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted(t *testing.T) {
 	r := &register{members: map[int64]census.Instance{}}
 	for _, c := range start(t, r, relayThreshold-1) {
--- a/census/slot.go
+++ b/census/slot.go
@@ -1,30 +1,32 @@
 package census
 
 const (
-	// relayCandidates is the number of instances of a domain that have records in any case: its relay and those that can take over.
+	// relayCandidates is the least number of instances of a domain that have records: its relay and those that can take over
+	// from it.
 	relayCandidates = 8
 	// minSlots is the least number of slots of a domain.
 	minSlots = 24
 )
 
-// Slot is where a record can be written: one of the few that a domain has, so that the directory that every instance reads grows with the
-// domains and not with the instances.
+// Slot is a place for one registration record. Each domain has few slots, so that the list that every instance reads grows
+// with the number of domains and not with the number of instances.
 type Slot struct {
 	Number int
-	// Revision is that of the record which is there and is replaced; 0 says that there is none.
+	// Revision is the revision of the record that stands in the slot and will be replaced; 0 if the slot is free.
 	Revision int64
 }
 
-// Record is what an instance has written of itself.
+// Record is the registration record of one instance.
 type Record struct {
 	Instance
 	Slot
-	// Lease is what the record hangs on.
+	// Lease is the store's lease that the record is bound to.
 	Lease int64
 }
 
-// chooseSlot returns the slot that an instance should write its record to, if it should. A fleet of fewer records than whole is known whole; in
-// a larger one those of each domain have records that are strong enough to be among its candidates. IntN returns a number from 0 to n - 1.
+// chooseSlot returns the slot that an instance should write its record to, and false if it needs none. In a fleet with fewer
+// records than relayThreshold every instance has a record; in a larger fleet an instance needs one if it is strong enough to
+// be among the relay candidates of its domain. IntN returns a random number in [0, n).
 func chooseSlot(records []Record, self Instance, relayThreshold int, intN func(int) int) (Slot, bool) {
 	taken := map[int]bool{}
 	var weakest *Record
--- a/census/slot_test.go
+++ b/census/slot_test.go
@@ -9,10 +9,10 @@
 
 const relayThreshold = 24
 
-// lowestFree is the choice of the lowestFree free slot.
+// lowestFree picks the free slot with the lowest number.
 func lowestFree(int) int { return 0 }
 
-// recordsIn returns n records of a domain in the first slots.
+// recordsIn returns n records of a domain in its first n slots.
 func recordsIn(domain string, n int, power float64) []Record {
 	out := make([]Record, n)
 	for i := range out {
@@ -33,9 +33,9 @@
 func TestADomainOfALargeFleetHasFewRecords(t *testing.T) {
 	records := append(recordsIn("east", relayCandidates, 1), recordsIn("west", relayThreshold, 1)...)
 	_, ok := chooseSlot(records, Instance{Name: "new", Domain: "east", Power: 0.1}, relayThreshold, lowestFree)
-	require.False(t, ok, "enough are as strong")
+	require.False(t, ok, "enough candidates are as strong")
 	_, ok = chooseSlot(records[1:], Instance{Name: "new", Domain: "east", Power: 0.1}, relayThreshold, lowestFree)
-	require.True(t, ok, "one of them has gone")
+	require.True(t, ok, "one of the candidates has left")
 }
 
 func TestStrongerInstanceReplacesTheWeakestRecord(t *testing.T) {
@@ -45,7 +45,7 @@
 	require.True(t, ok)
 	require.Equal(t, records[7].Slot, slot)
 	_, ok = chooseSlot(records, Instance{Name: "new", Domain: "east", Power: 0.1}, relayThreshold, lowestFree)
-	require.False(t, ok, "nobody is weaker")
+	require.False(t, ok, "no record is weaker")
 }
 
 func TestAnInstanceKeepsItsSlot(t *testing.T) {
@@ -55,8 +55,9 @@
 	require.Equal(t, records[1].Slot, slot)
 }
 
-// TestInstanceCountIsUnknownUntilRelaysHaveCounted asks for the number of instances before the relay of a full domain has counted them: a part of
-// a shared limit that is too large breaks it.
+// TestInstanceCountIsUnknownUntilRelaysHaveCounted asks for the number of instances before the relay of a domain in which
+// only some instances have records has counted them. With a number that is too low, the instances' shares add up to more
+// than the shared limit.
 func TestInstanceCountIsUnknownUntilRelaysHaveCounted(t *testing.T) {
 	b := NewBoard(relayThreshold)
 	b.setSnapshot(&Roll{Records: append(recordsIn("east", relayCandidates, 1), recordsIn("west", relayThreshold, 1)...)})
@@ -66,5 +67,5 @@
 	b.NoteCounts(map[string]int{"west": 180})
 	require.Equal(t, 380, b.Instances())
 	b.NoteCounts(map[string]int{"west": 0})
-	require.Equal(t, 380, b.Instances(), "a relay that has just begun does not know")
+	require.Equal(t, 380, b.Instances(), "a relay that has just started does not know the number yet")
 }
--- a/census/view.go
+++ b/census/view.go
@@ -6,31 +6,33 @@
 	"sync/atomic"
 )
 
-// Board shows what the records told last, and how many instances the relays of the domains have counted.
+// Board is this instance's view of the fleet: the registration records that were read last, and the number of instances that
+// the relay of each domain has counted.
 type Board struct {
-	// relayThreshold is the number of records up to which every instance has one.
+	// relayThreshold is the number of records from which a fleet uses relays; in a smaller fleet every instance has a record.
 	relayThreshold int
 	snapshot       atomic.Pointer[Roll]
 	members        atomic.Pointer[[]Instance]
 	empty          atomic.Bool
-	// instances is the number of instances: each request and each question to a relay asks for it.
+	// instances caches the number of instances, which every request and every poll of a relay needs.
 	instances atomic.Int64
 
 	mu sync.Mutex
-	// changed is closed when the records or the key change.
+	// changed is closed and replaced whenever the records or the fleet key change.
 	changed chan struct{}
-	// counts holds the number of instances of each domain as its relay counts them.
+	// counts holds, by domain, the number of instances that the domain's relay has counted.
 	counts map[string]int
 }
 
-// NewBoard returns a Board on which nobody is counted yet; in a fleet of fewer than whole every instance has a record.
+// NewBoard returns an empty Board. Fleets with fewer than relayThreshold records use no relays, and every instance has a
+// record.
 func NewBoard(relayThreshold int) *Board {
 	b := &Board{relayThreshold: relayThreshold, counts: map[string]int{}, changed: make(chan struct{})}
 	b.setSnapshot(&Roll{})
 	return b
 }
 
-// setSnapshot replaces the roll and returns the number of records before and now.
+// setSnapshot replaces the snapshot and returns the number of records before and after.
 func (b *Board) setSnapshot(snapshot *Roll) (before, after int) {
 	members := make([]Instance, len(snapshot.Records))
 	for i, r := range snapshot.Records {
@@ -47,7 +49,7 @@
 	return before, len(snapshot.Records)
 }
 
-// notify tells those that wait for a change.
+// notify wakes the goroutines that wait on Changed.
 func (b *Board) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,21 +61,21 @@
 	b.changed = make(chan struct{})
 }
 
-// Changed returns what is closed when the records or the key change.
+// Changed returns a channel that is closed when the records or the fleet key change.
 func (b *Board) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-// setEmpty keeps whether the records were read and there were none.
+// setEmpty notes whether the last successful read found no records.
 func (b *Board) setEmpty(empty bool) {
 	if b.empty.Swap(empty) != empty {
 		b.notify()
 	}
 }
 
-// setKey adds the fleet's key to what is shown.
+// setKey stores the fleet key in the current snapshot.
 func (b *Board) setKey(key []byte) {
 	snapshot := *b.snapshot.Load()
 	snapshot.Key = key
@@ -81,11 +83,11 @@
 	b.notify()
 }
 
-// Instances returns the number of instances; it is Unknown before the first count, and while a domain that not all instances of have records
-// is not counted.
+// Instances returns the number of instances. It is Unknown before the first read of the records, and while the relay of a
+// domain in which some instances have no record has not counted its instances.
 func (b *Board) Instances() int { return int(b.instances.Load()) }
 
-// totalLocked works out the number of instances; the caller holds the lock.
+// totalLocked computes the number of instances; the caller holds the lock.
 func (b *Board) totalLocked() int {
 	records := b.snapshot.Load().Records
 	if len(records) == 0 {
@@ -101,17 +103,17 @@
 	return total
 }
 
-// Empty reports whether the records were read and there were none.
+// Empty reports whether the last successful read found no records.
 func (b *Board) Empty() bool { return b.empty.Load() }
 
-// Counts returns the numbers of instances that the relays of the domains have counted.
+// Counts returns the number of instances of each domain, as its relay has counted them.
 func (b *Board) Counts() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.counts)
 }
 
-// NoteCounts keeps newer numbers.
+// NoteCounts stores newer counts by domain; counts of 0 are ignored.
 func (b *Board) NoteCounts(counts map[string]int) {
 	if len(counts) == 0 {
 		return
@@ -126,11 +128,12 @@
 	b.instances.Store(int64(b.totalLocked()))
 }
 
-// Members returns the instances that had records last; it is empty before the first count. In a large fleet they are some of each domain.
+// Members returns the instances that have records; it is empty before the first read. In a large fleet only some instances
+// of each domain have one.
 func (b *Board) Members() []Instance { return *b.members.Load() }
 
-// Records returns the records that were read last; the caller does not change them.
+// Records returns the records that were read last; the caller must not modify them.
 func (b *Board) Records() []Record { return b.snapshot.Load().Records }
 
-// Key returns what the instances prove themselves with to each other; it is empty while it is not known.
+// Key returns the fleet key, by which instances authenticate to each other; it is empty until it is known.
 func (b *Board) Key() []byte { return b.snapshot.Load().Key }
