--- a/census/census.go
+++ b/census/census.go
@@ -53,9 +53,9 @@
 	firstCountRetryDelay = 500 * time.Millisecond
 	// callTimeout bounds one call to the register.
 	callTimeout = time.Second
-	// Unknown is the number of instances that is assumed until they are counted. It is twice the size of the largest fleet, so
+	// AssumedInstances is the number of instances that is assumed until they are counted. It is twice the size of the largest fleet, so
 	// that each instance's share of a shared limit is safe.
-	Unknown = 2000
+	AssumedInstances = 2000
 )
 
 // Errors of a Register.
@@ -222,9 +222,9 @@
 // instances, so that a number that was read while others were still joining must soon be corrected.
 func (c *Census) nextReadDelay() time.Duration {
 	switch {
-	case c.sameCounts == 0 && c.count == Unknown, c.sameCounts == 1 && c.count != Unknown:
+	case c.sameCounts == 0 && c.count == AssumedInstances, c.sameCounts == 1 && c.count != AssumedInstances:
 		return recountDelay
-	case c.sameCounts == 0, c.count == Unknown:
+	case c.sameCounts == 0, c.count == AssumedInstances:
 		return unknownCountDelay
 	default:
 		return countInterval
@@ -234,7 +234,7 @@
 // nextReadDelayWithoutRecord returns the longest delay until an instance without a record reads again. While the number
 // of instances changes or is unknown, its list may lack the relay of its domain, so that no relay counts the instance.
 func (c *Census) nextReadDelayWithoutRecord() time.Duration {
-	if c.sameCounts == 0 || c.count == Unknown {
+	if c.sameCounts == 0 || c.count == AssumedInstances {
 		return recountDelay
 	}
 	return countInterval
--- a/census/slot_test.go
+++ b/census/slot_test.go
@@ -61,9 +61,9 @@
 func TestInstanceCountIsUnknownUntilRelaysHaveCounted(t *testing.T) {
 	b := NewBoard(relayThreshold)
 	b.setSnapshot(&Roll{Records: append(recordsIn("east", relayCandidates, 1), recordsIn("west", relayThreshold, 1)...)})
-	require.Equal(t, Unknown, b.Instances())
+	require.Equal(t, AssumedInstances, b.Instances())
 	b.NoteCounts(map[string]int{"east": 200})
-	require.Equal(t, Unknown, b.Instances())
+	require.Equal(t, AssumedInstances, b.Instances())
 	b.NoteCounts(map[string]int{"west": 180})
 	require.Equal(t, 380, b.Instances())
 	b.NoteCounts(map[string]int{"west": 0})
--- a/census/view.go
+++ b/census/view.go
@@ -91,12 +91,12 @@
 func (b *Board) totalLocked() int {
 	records := b.snapshot.Load().Records
 	if len(records) == 0 {
-		return Unknown
+		return AssumedInstances
 	}
 	total := 0
 	for domain, n := range recordsByDomain(records) {
 		if len(records) >= b.relayThreshold && n >= relayCandidates && b.counts[domain] == 0 {
-			return Unknown
+			return AssumedInstances
 		}
 		total += max(n, b.counts[domain])
 	}
