--- a/relay/compress.go
+++ b/relay/compress.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// packedFrom is the size of values from which records are compressed: entries of servers differ little, and weak instances have
+	// minCompressedSize is the size of values from which records are compressed: entries of servers differ little, and weak instances have
 	// thin lines.
-	packedFrom = 2 << 10
-	// mostUnpacked bounds what compressed records may grow to.
-	mostUnpacked = 64 << 20
-	// mostPacks bounds the answers that are kept compressed; those that wait for the same news ask from the same position.
-	mostPacks = 16
+	minCompressedSize = 2 << 10
+	// maxDecompressedSize bounds what compressed records may grow to.
+	maxDecompressedSize = 64 << 20
+	// maxCachedAnswers bounds the answers that are kept compressed; those that wait for the same news ask from the same position.
+	maxCachedAnswers = 16
 )
 
 // span is what part of a feed an answer holds.
@@ -27,35 +27,35 @@
 	whole     bool
 }
 
-// packs keeps the latest answers compressed, so that each is compressed once for all that ask. Its owner guards it.
-type packs struct {
+// compressedCache keeps the latest answers compressed, so that each is compressed once for all that ask. Its owner guards it.
+type compressedCache struct {
 	bySpan map[span][]byte
 }
 
 // get returns the compressed records of a span, and nothing when they are few.
-func (p *packs) get(s span, records []Record) ([]byte, error) {
+func (p *compressedCache) get(s span, records []Record) ([]byte, error) {
 	size := 0
 	for _, r := range records {
 		size += len(r.Value)
 	}
-	if size < packedFrom {
+	if size < minCompressedSize {
 		return nil, nil
 	}
 	if packed, ok := p.bySpan[s]; ok {
 		return packed, nil
 	}
-	packed, err := pack(records)
+	packed, err := compress(records)
 	if err != nil {
 		return nil, err
 	}
-	if len(p.bySpan) >= mostPacks || p.bySpan == nil {
+	if len(p.bySpan) >= maxCachedAnswers || p.bySpan == nil {
 		p.bySpan = map[span][]byte{}
 	}
 	p.bySpan[s] = packed
 	return packed, nil
 }
 
-func pack(records []Record) ([]byte, error) {
+func compress(records []Record) ([]byte, error) {
 	body, err := cbor.Marshal(records)
 	if err != nil {
 		return nil, errors.Wrap(err, "relay: encode records")
@@ -75,7 +75,7 @@
 }
 
 func unpack(packed []byte) ([]Record, error) {
-	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), mostUnpacked))
+	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDecompressedSize))
 	if err != nil {
 		return nil, errors.Wrap(err, "relay: decompress records")
 	}
--- a/relay/compress_test.go
+++ b/relay/compress_test.go
@@ -9,8 +9,8 @@
 	"junctioncross/follow"
 )
 
-// TestEntriesArePackedSmall packs entries as servers write them and reads them back.
-func TestEntriesArePackedSmall(t *testing.T) {
+// TestServerEntriesCompressWell packs entries as servers write them and reads them back.
+func TestServerEntriesCompressWell(t *testing.T) {
 	const most = 0.35
 	var records []Record
 	size := 0
@@ -21,7 +21,7 @@
 		records = append(records, Record{Key: fmt.Sprintf("servers/i-%010x", i*2654435761), Value: []byte(entry), Revision: follow.Position(i)})
 		size += len(entry)
 	}
-	var p packs
+	var p compressedCache
 	packed, err := p.get(span{at: 1, whole: true}, records)
 	require.NoError(t, err)
 	require.LessOrEqual(t, float64(len(packed)), most*float64(size))
@@ -36,8 +36,8 @@
 	require.Nil(t, few)
 }
 
-// TestDamagedRecordsAreAnError reads what no relay has packed.
-func TestDamagedRecordsAreAnError(t *testing.T) {
+// TestDecompressRejectsDamagedRecords reads what no relay has packed.
+func TestDecompressRejectsDamagedRecords(t *testing.T) {
 	_, err := unpack([]byte("damaged"))
 	require.Error(t, err)
 }
--- a/relay/ends_test.go
+++ b/relay/ends_test.go
@@ -19,28 +19,28 @@
 // Adopt implements relay.Ends.
 func (noEnds) Adopt([]quarantine.End) {}
 
-// endings is relay.Ends of an instance that cannot write, and notes what it takes over.
-type endings struct {
-	mu      sync.Mutex
-	own     []quarantine.End
-	adopted []quarantine.End
+// fakeEnds is relay.Ends of an instance that cannot write, and notes what it takes over.
+type fakeEnds struct {
+	mu          sync.Mutex
+	unpublished []quarantine.End
+	adopted     []quarantine.End
 }
 
 // Untold implements relay.Ends.
-func (e *endings) Untold() []quarantine.End {
+func (e *fakeEnds) Untold() []quarantine.End {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.own
+	return e.unpublished
 }
 
 // Adopt implements relay.Ends.
-func (e *endings) Adopt(ends []quarantine.End) {
+func (e *fakeEnds) Adopt(ends []quarantine.End) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.adopted = append(e.adopted, ends...)
 }
 
-func (e *endings) has(one quarantine.End) bool {
+func (e *fakeEnds) has(one quarantine.End) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, other := range e.adopted {
@@ -51,8 +51,8 @@
 	return false
 }
 
-// TestAllHearOfEndsThatOneRelayReads also lets the relay fall silent, after which the others hear all the same.
-func TestAllHearOfEndsThatOneRelayReads(t *testing.T) {
+// TestEndsReadByOneRelayReachAllInstances also lets the relay fall silent, after which the others hear all the same.
+func TestEndsReadByOneRelayReachAllInstances(t *testing.T) {
 	s := newStore()
 	all := run(t, s, 4)
 	soon(t, func() bool { return all[0].Direct() && !all[3].Direct() })
@@ -70,11 +70,11 @@
 	}
 }
 
-// TestAnInstanceThatTheStoreTurnsAwayTellsItsEndsToAnother lets the last of three be silent to the store from the start.
-func TestAnInstanceThatTheStoreTurnsAwayTellsItsEndsToAnother(t *testing.T) {
+// TestInstanceRejectedByTheStorePassesItsEndsToAnother lets the last of three be silent to the store from the start.
+func TestInstanceRejectedByTheStorePassesItsEndsToAnother(t *testing.T) {
 	s := newStore()
 	one := quarantine.NewEnd(quarantine.FingerprintOf(nil, []byte("/a"), "", nil), "server", "attempt")
-	ends := map[string]*endings{"i-0": {}, "i-1": {}, "i-2": {own: []quarantine.End{one}}}
+	ends := map[string]*fakeEnds{"i-0": {}, "i-1": {}, "i-2": {unpublished: []quarantine.End{one}}}
 	s.silence("i-2", true)
 	runWith(t, 3, func(int) string { return "east" }, func(caller string) relay.Store { return view{store: s, caller: caller} },
 		func(string) relay.Words { return follow.NewBoard() }, func(caller string) relay.Ends { return ends[caller] })
--- a/relay/log.go
+++ b/relay/log.go
@@ -10,18 +10,18 @@
 	"junctioncross/follow"
 )
 
-// leastHistory is the least number of changes that are kept for instances that ask for them. As many are kept as change when all of a feed
+// minHistory is the least number of changes that are kept for instances that ask for them. As many are kept as change when all of a feed
 // does, as after an outage of the store in which the entries of all servers have lapsed.
 const (
-	leastHistory = 1024
-	historyShare = 2
+	minHistory    = 1024
+	historyFactor = 2
 )
 
 // feedLog keeps the latest changes of one feed for other instances.
 type feedLog struct {
-	mu      sync.Mutex
-	at      follow.Position
-	history []Record
+	mu       sync.Mutex
+	position follow.Position
+	history  []Record
 	// floor is the position after which the history is whole.
 	floor follow.Position
 	// gaps are the parts of the history of which only what is different in the end is known.
@@ -30,78 +30,80 @@
 	known time.Time
 	// direct is true while the feed is followed in the store itself.
 	direct bool
-	// whole holds the feed's present content, by key.
-	whole map[string]Record
-	// largest is the largest number of keys that the feed has held.
-	largest int
+	// content holds the feed's present content, by key.
+	content map[string]Record
+	// maxKeys is the maxKeys number of keys that the feed has held.
+	maxKeys int
 	// changed is closed at the next news.
 	changed chan struct{}
 
-	packing sync.Mutex
-	packs   packs
+	cacheMu sync.Mutex
+	cache   compressedCache
 }
 
-func newFeedLog() *feedLog { return &feedLog{changed: make(chan struct{}), whole: map[string]Record{}} }
+func newFeedLog() *feedLog {
+	return &feedLog{changed: make(chan struct{}), content: map[string]Record{}}
+}
 
 // restart takes over a feed that was read whole. What differs from before is added to the history, so that others need not
 // read the store when it has forgotten its own.
-func (l *feedLog) restart(h heard, direct bool) {
+func (l *feedLog) restart(u heard, direct bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.at == 0 {
-		l.floor = h.at
-		l.put(h.records)
-		l.take(h, direct)
+	if l.position == 0 {
+		l.floor = u.at
+		l.apply(u.records)
+		l.advance(u, direct)
 		return
 	}
-	out := l.differences(h)
-	l.skip(h.at)
-	l.add(out)
-	l.take(h, direct)
+	out := l.diffLocked(u)
+	l.addGap(u.at)
+	l.appendLocked(out)
+	l.advance(u, direct)
 }
 
 // gap lies between a position and that of a reading of the whole feed. What came and went between them stands nowhere, so that those who
 // heard of it elsewhere would keep it.
 type gap struct{ from, to follow.Position }
 
-// mostGaps bounds the gaps that are kept.
-const mostGaps = 64
+// maxGaps bounds the gaps that are kept.
+const maxGaps = 64
 
-// skip notes that the history up to a position tells only what is different from what was known before; the caller holds the lock.
-func (l *feedLog) skip(to follow.Position) {
-	if to <= l.at {
+// addGap notes that the history up to a position tells only what is different from what was known before; the caller holds the lock.
+func (l *feedLog) addGap(to follow.Position) {
+	if to <= l.position {
 		return
 	}
-	if len(l.gaps) == mostGaps {
+	if len(l.gaps) == maxGaps {
 		l.floor = max(l.floor, l.gaps[0].to)
 		l.gaps = l.gaps[1:]
 	}
-	l.gaps = append(l.gaps, gap{from: l.at, to: to})
+	l.gaps = append(l.gaps, gap{from: l.position, to: to})
 }
 
-// differences returns the changes that lead from the present content to another; the caller holds the lock.
-func (l *feedLog) differences(h heard) []Record {
+// diffLocked returns the changes that lead from the present content to another; the caller holds the lock.
+func (l *feedLog) diffLocked(u heard) []Record {
 	var out []Record
-	listed := make(map[string]bool, len(h.records))
-	for _, r := range h.records {
+	listed := make(map[string]bool, len(u.records))
+	for _, r := range u.records {
 		listed[r.Key] = true
-		held, known := l.whole[r.Key]
+		held, known := l.content[r.Key]
 		if known && r.Revision.Era() != held.Revision.Era() && bytes.Equal(r.Value, held.Value) {
 			// A store that has lost writes gives old content new positions.
 			continue
 		}
-		if r.Revision.Era() != h.at.Era() && !bytes.Equal(r.Value, held.Value) {
+		if r.Revision.Era() != u.at.Era() && !bytes.Equal(r.Value, held.Value) {
 			// Whoever passes this on has held it since before the loss, while what is held here was lost.
-			r.Revision = h.at
+			r.Revision = u.at
 		}
 		if r.Revision > held.Revision {
 			out = append(out, r)
 		}
 	}
-	for key := range l.whole {
+	for key := range l.content {
 		if !listed[key] {
 			// When exactly the key was removed is not known; it was no later than the reading.
-			out = append(out, Record{Key: key, Revision: h.at, Gone: true})
+			out = append(out, Record{Key: key, Revision: u.at, Gone: true})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Revision < out[j].Revision })
@@ -109,63 +111,63 @@
 }
 
 // missing returns the changes that lead from the present content to another.
-func (l *feedLog) missing(h heard) []Record {
+func (l *feedLog) missing(u heard) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.differences(h)
+	return l.diffLocked(u)
 }
 
 // extend adds what was heard.
-func (l *feedLog) extend(h heard, direct bool) {
+func (l *feedLog) extend(u heard, direct bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if h.skips || h.at.Era() != l.at.Era() {
-		l.skip(h.at)
+	if u.skips || u.at.Era() != l.position.Era() {
+		l.addGap(u.at)
 	}
-	l.add(h.records)
-	l.take(h, direct)
+	l.appendLocked(u.records)
+	l.advance(u, direct)
 }
 
-// add adds changes to history and content; the caller holds the lock.
-func (l *feedLog) add(records []Record) {
+// appendLocked adds changes to history and content; the caller holds the lock.
+func (l *feedLog) appendLocked(records []Record) {
 	l.history = append(l.history, records...)
-	l.put(records)
-	if over := len(l.history) - max(leastHistory, historyShare*l.largest); over > 0 {
+	l.apply(records)
+	if over := len(l.history) - max(minHistory, historyFactor*l.maxKeys); over > 0 {
 		l.floor = l.history[over-1].Revision
 		l.history = append([]Record(nil), l.history[over:]...)
 	}
 }
 
-// put brings the content up to date; the caller holds the lock.
-func (l *feedLog) put(records []Record) {
+// apply brings the content up to date; the caller holds the lock.
+func (l *feedLog) apply(records []Record) {
 	for _, r := range records {
 		if r.Gone {
-			delete(l.whole, r.Key)
+			delete(l.content, r.Key)
 			continue
 		}
-		l.whole[r.Key] = r
+		l.content[r.Key] = r
 	}
-	l.largest = max(l.largest, len(l.whole))
+	l.maxKeys = max(l.maxKeys, len(l.content))
 }
 
-// take notes the position and wakes those that wait; the caller holds the lock.
-func (l *feedLog) take(h heard, direct bool) {
-	l.at = max(l.at, h.at)
-	if h.known.After(l.known) {
-		l.known = h.known
+// advance notes the position and wakes those that wait; the caller holds the lock.
+func (l *feedLog) advance(u heard, direct bool) {
+	l.position = max(l.position, u.at)
+	if u.known.After(l.known) {
+		l.known = u.known
 	}
 	l.direct = direct
-	l.wakeLocked()
+	l.notifyLocked()
 }
 
-// wake lets those that wait look again.
-func (l *feedLog) wake() {
+// notify lets those that wait look again.
+func (l *feedLog) notify() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wakeLocked()
+	l.notifyLocked()
 }
 
-func (l *feedLog) wakeLocked() {
+func (l *feedLog) notifyLocked() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -175,7 +177,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.direct = false
-	l.wakeLocked()
+	l.notifyLocked()
 }
 
 // followed reports whether the feed is followed in the store itself.
@@ -187,9 +189,9 @@
 
 // packed returns the compressed records of a part of the feed, and nothing when they are few.
 func (l *feedLog) packed(part span, records []Record) ([]byte, error) {
-	l.packing.Lock()
-	defer l.packing.Unlock()
-	return l.packs.get(part, records)
+	l.cacheMu.Lock()
+	defer l.cacheMu.Unlock()
+	return l.cache.get(part, records)
 }
 
 // news returns what is closed at the next news.
@@ -203,7 +205,7 @@
 func (l *feedLog) reached() (at follow.Position, known time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.at, l.known
+	return l.position, l.known
 }
 
 // view is what a feedLog can tell at one moment.
@@ -219,16 +221,16 @@
 func (l *feedLog) all() view {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := view{heard: heard{at: l.at, known: l.known}, whole: true, direct: l.direct, changed: l.changed}
-	for _, r := range l.whole {
+	v := view{heard: heard{at: l.position, known: l.known}, whole: true, direct: l.direct, changed: l.changed}
+	for _, r := range l.content {
 		v.records = append(v.records, r)
 	}
 	return v
 }
 
-// leadsFrom reports whether the history tells all that is different now from what was known at a position; the caller holds the lock.
-func (l *feedLog) leadsFrom(after follow.Position) bool {
-	if after < l.floor || after.Era() > l.at.Era() {
+// coversLocked reports whether the history tells all that is different now from what was known at a position; the caller holds the lock.
+func (l *feedLog) coversLocked(after follow.Position) bool {
+	if after < l.floor || after.Era() > l.position.Era() {
 		return false
 	}
 	return !slices.ContainsFunc(l.gaps, func(g gap) bool { return g.from < after && after < g.to })
@@ -238,7 +240,7 @@
 func (l *feedLog) since(after follow.Position) view {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := view{heard: heard{at: l.at, known: l.known}, whole: l.leadsFrom(after), direct: l.direct, changed: l.changed}
+	v := view{heard: heard{at: l.position, known: l.known}, whole: l.coversLocked(after), direct: l.direct, changed: l.changed}
 	for _, r := range l.history {
 		if r.Revision > after {
 			v.records = append(v.records, r)
--- a/relay/log_test.go
+++ b/relay/log_test.go
@@ -18,27 +18,27 @@
 	"junctioncross/timer"
 )
 
-func at(revision follow.Position, records ...Record) heard {
+func updateAt(revision follow.Position, records ...Record) heard {
 	return heard{records: records, at: revision, known: time.Unix(int64(revision), 0)}
 }
 
-// TestAReadingAfterTheStoreForgotServesThoseThatAreBehind changes, adds and removes keys between two whole readings.
-func TestAReadingAfterTheStoreForgotServesThoseThatAreBehind(t *testing.T) {
+// TestRereadingAddsTheDifferencesToTheHistory changes, adds and removes keys between two whole readings.
+func TestRereadingAddsTheDifferencesToTheHistory(t *testing.T) {
 	l := newFeedLog()
-	l.restart(at(5, Record{Key: "a", Revision: 1}, Record{Key: "b", Revision: 2}, Record{Key: "c", Revision: 3}), true)
-	l.restart(at(9, Record{Key: "a", Revision: 1}, Record{Key: "b", Revision: 7}, Record{Key: "d", Revision: 8}), true)
+	l.restart(updateAt(5, Record{Key: "a", Revision: 1}, Record{Key: "b", Revision: 2}, Record{Key: "c", Revision: 3}), true)
+	l.restart(updateAt(9, Record{Key: "a", Revision: 1}, Record{Key: "b", Revision: 7}, Record{Key: "d", Revision: 8}), true)
 	v := l.since(5)
 	require.True(t, v.whole)
 	require.Equal(t, []Record{{Key: "b", Revision: 7}, {Key: "d", Revision: 8}, {Key: "c", Revision: 9, Gone: true}}, v.records)
 	require.False(t, l.since(4).whole, "nobody is told of a history that was never read")
 }
 
-// TestWhoFollowsALogHasItsContent draws changes and whole readings, and followers that ask at any time.
-func TestWhoFollowsALogHasItsContent(t *testing.T) {
+// TestFollowersOfALogHaveItsContent draws changes and whole readings, and followers that ask at any time.
+func TestFollowersOfALogHaveItsContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store, revision := map[string]Record{}, follow.Position(1)
 		l := newFeedLog()
-		l.restart(at(revision), true)
+		l.restart(updateAt(revision), true)
 		follower, heardTo := map[string]Record{}, revision
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			revision++
@@ -50,9 +50,9 @@
 				for _, one := range store {
 					all = append(all, one)
 				}
-				l.restart(at(revision, all...), true)
+				l.restart(updateAt(revision, all...), true)
 			} else {
-				l.extend(at(revision, r), true)
+				l.extend(updateAt(revision, r), true)
 			}
 			if rapid.Bool().Draw(t, "asks") {
 				v := l.since(heardTo)
@@ -75,8 +75,8 @@
 	content[r.Key] = r
 }
 
-// TestTheHistoryReachesBackOverAllOfAFeed lets all entries of a large feed lapse and come back, as in an outage of the store.
-func TestTheHistoryReachesBackOverAllOfAFeed(t *testing.T) {
+// TestHistoryCoversAChangeOfTheWholeFeed lets all entries of a large feed lapse and come back, as in an outage of the store.
+func TestHistoryCoversAChangeOfTheWholeFeed(t *testing.T) {
 	const servers = 6000
 	key := func(i int) string { return fmt.Sprint("server-", i) }
 	l := newFeedLog()
@@ -84,12 +84,12 @@
 	for i := range servers {
 		all = append(all, Record{Key: key(i), Revision: follow.Position(i + 1)})
 	}
-	l.restart(at(servers, all...), true)
+	l.restart(updateAt(servers, all...), true)
 	revision := follow.Position(servers)
 	for _, gone := range []bool{true, false} {
 		for i := range servers {
 			revision++
-			l.extend(at(revision, Record{Key: key(i), Revision: revision, Gone: gone}), true)
+			l.extend(updateAt(revision, Record{Key: key(i), Revision: revision, Gone: gone}), true)
 		}
 	}
 	v := l.since(servers)
@@ -97,25 +97,25 @@
 	require.Len(t, v.records, 2*servers)
 }
 
-// later is a relay that has read a feed after the one that asks it; it implements peers.
-type later struct{ peers }
+// laterRelay is a relay that has read a feed after the one that asks it; it implements peers.
+type laterRelay struct{ peers }
 
-func (later) poll(_ context.Context, _ string, p poll) (told, error) {
+func (laterRelay) poll(_ context.Context, _ string, p poll) (told, error) {
 	if !p.Whole {
 		return told{Behind: true}, nil
 	}
 	return told{Records: []Record{{Key: "kept", Revision: 2}, {Key: "new", Revision: 8}}, At: 9}, nil
 }
 
-// TestOneThatIsBehindItsRelayAsksItForAll asks a relay whose history begins after what an instance has.
-func TestOneThatIsBehindItsRelayAsksItForAll(t *testing.T) {
+// TestInstanceBehindItsRelaysHistoryRequestsTheFullFeed asks a relay whose history begins after what an instance has.
+func TestInstanceBehindItsRelaysHistoryRequestsTheFullFeed(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	all := instances(1, 30)
 	self := Self{Name: all[9].Name, Domain: all[9].Domain, From: 24, ApplyTime: promise}
-	s := New(self, storeOf{p: newPlay(all, day{})}, known(all), nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
-	s.peers = later{}
-	s.logs[follow.FeedConfig].restart(at(5, Record{Key: "kept", Revision: 2}, Record{Key: "gone", Revision: 3}), false)
+	s := New(self, simStore{p: newPlay(all, day{})}, known(all), nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
+	s.peers = laterRelay{}
+	s.logs[follow.FeedConfig].restart(updateAt(5, Record{Key: "kept", Revision: 2}, Record{Key: "gone", Revision: 3}), false)
 	h, err := s.catchUp(t.Context(), s.ways()[0], follow.FeedConfig, 5)
 	require.NoError(t, err)
 	require.Equal(t, []Record{{Key: "new", Revision: 8}, {Key: "gone", Revision: 9, Gone: true}}, h.records)
@@ -123,28 +123,28 @@
 	require.ErrorIs(t, err, follow.ErrUnavailable, "a relay that knows less tells nothing")
 }
 
-// place returns the place of a revision in an era.
-func place(era, revision int64) follow.Position {
+// positionOf returns the positionOf of a revision in an era.
+func positionOf(era, revision int64) follow.Position {
 	p, _ := follow.PositionOf(era, revision)
 	return p
 }
 
-// TestChangesUnderRevisionsThatAreGivenOutAgainArePassedOn reads a feed anew after the store lost writes, and lets a key change under a revision
+// TestChangesUnderReusedRevisionsArePassedOn reads a feed anew after the store lost writes, and lets a key change under a revision
 // that was known.
-func TestChangesUnderRevisionsThatAreGivenOutAgainArePassedOn(t *testing.T) {
+func TestChangesUnderReusedRevisionsArePassedOn(t *testing.T) {
 	l := newFeedLog()
 	same, lost := []byte("same"), []byte("lost")
-	l.restart(at(place(1, 800), Record{Key: "a", Value: same, Revision: place(1, 700)}), true)
-	l.extend(at(place(1, 900), Record{Key: "b", Value: lost, Revision: place(1, 900)}), true)
-	l.restart(at(place(2, 870), Record{Key: "a", Value: same, Revision: place(2, 700)}), true)
-	changed := Record{Key: "a", Value: []byte("other"), Revision: place(2, 880)}
-	l.extend(at(place(2, 880), changed), true)
-	v := l.since(place(1, 900))
+	l.restart(updateAt(positionOf(1, 800), Record{Key: "a", Value: same, Revision: positionOf(1, 700)}), true)
+	l.extend(updateAt(positionOf(1, 900), Record{Key: "b", Value: lost, Revision: positionOf(1, 900)}), true)
+	l.restart(updateAt(positionOf(2, 870), Record{Key: "a", Value: same, Revision: positionOf(2, 700)}), true)
+	changed := Record{Key: "a", Value: []byte("other"), Revision: positionOf(2, 880)}
+	l.extend(updateAt(positionOf(2, 880), changed), true)
+	v := l.since(positionOf(1, 900))
 	require.True(t, v.whole)
-	require.Equal(t, []Record{{Key: "b", Revision: place(2, 870), Gone: true}, changed}, v.records, "what is as it was is not told again")
-	require.True(t, l.since(place(1, 850)).whole)
-	require.False(t, l.since(place(1, 901)).whole, "one that had heard more of the former era has to read all")
-	require.False(t, l.since(place(3, 1)).whole, "one of a later era hears nothing here")
+	require.Equal(t, []Record{{Key: "b", Revision: positionOf(2, 870), Gone: true}, changed}, v.records, "what is as it was is not told again")
+	require.True(t, l.since(positionOf(1, 850)).whole)
+	require.False(t, l.since(positionOf(1, 901)).whole, "one that had heard more of the former era has to read all")
+	require.False(t, l.since(positionOf(3, 1)).whole, "one of a later era hears nothing here")
 }
 
 // lossyStore is a store that may lose its latest writes.
@@ -162,13 +162,13 @@
 func (s *lossyStore) restore(kept *lossyStore) *lossyStore {
 	era := s.at.Era() + 1
 	out := kept.copy()
-	out.at = place(era, kept.at.Revision())
+	out.at = positionOf(era, kept.at.Revision())
 	for key, r := range out.content {
-		r.Revision = place(era, r.Revision.Revision())
+		r.Revision = positionOf(era, r.Revision.Revision())
 		out.content[key] = r
 	}
 	for i := range out.history {
-		out.history[i].Revision = place(era, out.history[i].Revision.Revision())
+		out.history[i].Revision = positionOf(era, out.history[i].Revision.Revision())
 	}
 	return out
 }
@@ -186,8 +186,8 @@
 	s.history = append(s.history, r)
 }
 
-// tell brings a log up to date as a relay does: from its position, or whole when the store does not have that.
-func (s *lossyStore) tell(l *feedLog) {
+// updateLog brings a log up to date as a relay does: from its position, or whole when the store does not have that.
+func (s *lossyStore) updateLog(l *feedLog) {
 	held, _ := l.reached()
 	if held.Era() != s.at.Era() {
 		l.restart(heard{records: slices.Collect(maps.Values(s.content)), at: s.at}, true)
@@ -202,8 +202,8 @@
 	l.extend(h, true)
 }
 
-// hear brings a log up to date from another one, as one that follows a relay does.
-func hear(l, from *feedLog) {
+// followLog brings a log up to date from another one, as one that follows a relay does.
+func followLog(l, from *feedLog) {
 	held, _ := l.reached()
 	v := from.since(held)
 	h := v.heard
@@ -225,10 +225,10 @@
 	return out
 }
 
-// TestAllThatFollowHoldTheContentOfAStoreThatLosesWrites draws changes, losses and the steps of two relays and a follower of either.
-func TestAllThatFollowHoldTheContentOfAStoreThatLosesWrites(t *testing.T) {
+// TestFollowersHoldTheContentOfAStoreThatLosesWrites draws changes, losses and the steps of two relays and a follower of either.
+func TestFollowersHoldTheContentOfAStoreThatLosesWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &lossyStore{at: place(1, 1), content: map[string]Record{}}
+		store := &lossyStore{at: positionOf(1, 1), content: map[string]Record{}}
 		kept := store.copy()
 		relays, follower := []*feedLog{newFeedLog(), newFeedLog()}, newFeedLog()
 		for _, l := range append(relays, follower) {
@@ -246,9 +246,9 @@
 				store = store.restore(kept)
 				kept = store.copy()
 			case "tell":
-				store.tell(one)
+				store.updateLog(one)
 			case "hear":
-				hear(follower, one)
+				followLog(follower, one)
 			}
 		}
 		want := map[string]string{}
@@ -256,36 +256,36 @@
 			want[key] = string(r.Value)
 		}
 		for _, l := range relays {
-			store.tell(l)
+			store.updateLog(l)
 			require.Equal(t, want, values(l))
 		}
-		hear(follower, relays[0])
+		followLog(follower, relays[0])
 		require.Equal(t, want, values(follower))
 	})
 }
 
-// TestOneThatHeardMoreThanTheRelayBetweenTwoReadingsReadsAll asks from between two readings, where a key may have come and gone.
-func TestOneThatHeardMoreThanTheRelayBetweenTwoReadingsReadsAll(t *testing.T) {
+// TestFollowerInsideAGapReadsTheFullFeed asks from between two readings, where a key may have come and gone.
+func TestFollowerInsideAGapReadsTheFullFeed(t *testing.T) {
 	l := newFeedLog()
-	l.restart(at(5), true)
-	l.restart(at(9), true)
+	l.restart(updateAt(5), true)
+	l.restart(updateAt(9), true)
 	require.True(t, l.since(5).whole)
 	require.False(t, l.since(7).whole)
 	require.True(t, l.since(9).whole)
-	for n := range follow.Position(2 * mostGaps) {
-		l.restart(at(20+10*n), true)
+	for n := range follow.Position(2 * maxGaps) {
+		l.restart(updateAt(20+10*n), true)
 	}
 	require.False(t, l.since(15).whole, "gaps that are kept no longer are part of what is forgotten")
 }
 
-// TestAnEntryThatACopyBringsBackKeepsItsRevision lets a key go, and the store come back from a copy that has it: those that hear of it through the
+// TestEntryRestoredFromABackupKeepsItsRevision lets a key go, and the store come back from a copy that has it: those that hear of it through the
 // relay tell by the revision that it is the old one.
-func TestAnEntryThatACopyBringsBackKeepsItsRevision(t *testing.T) {
+func TestEntryRestoredFromABackupKeepsItsRevision(t *testing.T) {
 	l := newFeedLog()
-	old := Record{Key: "a", Value: []byte("old"), Revision: place(1, 700)}
-	l.restart(at(place(1, 800), old), true)
-	l.extend(at(place(1, 900), Record{Key: "a", Revision: place(1, 900), Gone: true}), true)
-	old.Revision = place(2, 700)
-	l.restart(at(place(2, 870), old), true)
-	require.Equal(t, []Record{old}, l.since(place(1, 900)).records)
+	old := Record{Key: "a", Value: []byte("old"), Revision: positionOf(1, 700)}
+	l.restart(updateAt(positionOf(1, 800), old), true)
+	l.extend(updateAt(positionOf(1, 900), Record{Key: "a", Revision: positionOf(1, 900), Gone: true}), true)
+	old.Revision = positionOf(2, 700)
+	l.restart(updateAt(positionOf(2, 870), old), true)
+	require.Equal(t, []Record{old}, l.since(positionOf(1, 900)).records)
 }
--- a/relay/platform_test.go
+++ b/relay/platform_test.go
@@ -13,14 +13,14 @@
 	"junctioncross/quarantine"
 )
 
-// storeOf is the store as one instance sees it; it implements Store.
-type storeOf struct {
+// simStore is the store as one instance sees it; it implements Store.
+type simStore struct {
 	p *play
 	i int
 }
 
 // ask notes a call and lets it take its time.
-func (s storeOf) ask(ctx context.Context) error {
+func (s simStore) ask(ctx context.Context) error {
 	s.p.mu.Lock()
 	s.p.calls[s.i]++
 	s.p.mu.Unlock()
@@ -28,7 +28,7 @@
 	case served:
 		time.Sleep(storeAnswer)
 	case slow:
-		time.Sleep(slowAnswer)
+		time.Sleep(slowStoreLatency)
 	case refused:
 		time.Sleep(storeAnswer)
 		return follow.ErrUnavailable
@@ -42,10 +42,10 @@
 }
 
 // Reach implements Store.
-func (s storeOf) Reach(ctx context.Context) error { return s.ask(ctx) }
+func (s simStore) Reach(ctx context.Context) error { return s.ask(ctx) }
 
 // ReadFeed implements Store.
-func (s storeOf) ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error) {
+func (s simStore) ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error) {
 	ctx, cancel := context.WithTimeout(ctx, PageTime)
 	defer cancel()
 	if err := s.ask(ctx); err != nil {
@@ -76,13 +76,13 @@
 // keyOfConfig is where the configuration stands; all other records are ends.
 const keyOfConfig = "configuration"
 
-// endWith returns the end that was written with a version.
-func endWith(version int64) quarantine.End {
+// endOfVersion returns the end that was written with a version.
+func endOfVersion(version int64) quarantine.End {
 	return quarantine.NewEnd(quarantine.FingerprintOf(nil, fmt.Append(nil, version), "", nil), "server", "attempt")
 }
 
 // WatchFeed implements Store.
-func (s storeOf) WatchFeed(ctx context.Context, feed follow.Feed, after follow.Position, wait time.Duration) ([]Record, follow.Position, error) {
+func (s simStore) WatchFeed(ctx context.Context, feed follow.Feed, after follow.Position, wait time.Duration) ([]Record, follow.Position, error) {
 	if err := s.ask(ctx); err != nil {
 		return nil, 0, err
 	}
@@ -113,11 +113,11 @@
 }
 
 // Decode implements Store.
-func (s storeOf) Decode(records []Record) []follow.Change {
+func (s simStore) Decode(records []Record) []follow.Change {
 	var out []follow.Change
 	for _, r := range records {
 		if r.Key != keyOfConfig {
-			out = append(out, follow.EndSeen{End: endWith(int64(r.Revision))})
+			out = append(out, follow.EndSeen{End: endOfVersion(int64(r.Revision))})
 			continue
 		}
 		c, err := catalog.New(&catalog.Content{Version: int64(r.Revision), Services: []catalog.Service{{Name: "s"}}})
@@ -129,13 +129,13 @@
 	return out
 }
 
-// peersOf are the other instances as one sees them; it implements peers.
-type peersOf struct {
+// simPeers are the other instances as one sees them; it implements peers.
+type simPeers struct {
 	p *play
 	i int
 }
 
-func (o peersOf) poll(ctx context.Context, addr string, q poll) (told, error) {
+func (o simPeers) poll(ctx context.Context, addr string, q poll) (told, error) {
 	if err := o.reach(ctx, addr); err != nil {
 		return told{}, err
 	}
@@ -147,7 +147,7 @@
 		return told{}, link.ErrLost
 	}
 	t, err := s.serve(ctx, q)
-	if o.p.apart(o.i, j, o.p.now()) {
+	if o.p.partitioned(o.i, j, o.p.now()) {
 		<-ctx.Done()
 	}
 	switch {
@@ -159,13 +159,13 @@
 	return t, nil
 }
 
-func (o peersOf) roll(context.Context, string, rollAsked) (rollTold, error) {
+func (o simPeers) roll(context.Context, string, rollAsked) (rollTold, error) {
 	return rollTold{}, link.ErrRefused
 }
 
-func (o peersOf) reach(ctx context.Context, addr string) error {
+func (o simPeers) reach(ctx context.Context, addr string) error {
 	j, now := o.p.index[addr], o.p.now()
-	if o.p.apart(o.i, j, now) || o.p.killed(j, now) {
+	if o.p.partitioned(o.i, j, now) || o.p.killed(j, now) {
 		<-ctx.Done()
 		return errors.Wrap(link.ErrUnreachable, ctx.Err().Error())
 	}
--- a/relay/pollers.go
+++ b/relay/pollers.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// tallyTime is how long an instance must have been asked for news before it knows how many ask it: several of their questions.
-	tallyTime = 3 * time.Second
-	// tallyKeep is how long one that asks no more still counts: too many are safe, since limits are divided by them.
-	tallyKeep = 60 * time.Second
+	// pollerCountDelay is how long an instance must have been asked for news before it knows how many ask it: several of their questions.
+	pollerCountDelay = 3 * time.Second
+	// pollerTTL is how long one that asks no more still counts: too many are safe, since limits are divided by them.
+	pollerTTL = 60 * time.Second
 )
 
 // tally counts the instances of a domain that ask its relay for news. Most instances of a large fleet have no record in the store.
 type tally struct {
 	clock *timer.Service
 
-	mu    sync.Mutex
-	begun time.Time
-	// asked holds when each instance asked last, by name.
-	asked map[string]time.Time
-	swept time.Time
+	mu        sync.Mutex
+	startedAt time.Time
+	// lastPoll holds when each instance lastPoll last, by name.
+	lastPoll map[string]time.Time
+	sweptAt  time.Time
 }
 
 func newTally(clock *timer.Service) *tally {
-	return &tally{clock: clock, asked: map[string]time.Time{}}
+	return &tally{clock: clock, lastPoll: map[string]time.Time{}}
 }
 
-// note keeps that an instance has asked.
-func (t *tally) note(name string) {
+// add keeps that an instance has asked.
+func (t *tally) add(name string) {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.begun.IsZero() {
-		t.begun = now
+	if t.startedAt.IsZero() {
+		t.startedAt = now
 	}
-	t.asked[name] = now
-	if now.Sub(t.swept) < tallyTime {
+	t.lastPoll[name] = now
+	if now.Sub(t.sweptAt) < pollerCountDelay {
 		return
 	}
-	t.swept = now
-	for name, at := range t.asked {
-		if now.Sub(at) > tallyKeep {
-			delete(t.asked, name)
+	t.sweptAt = now
+	for name, at := range t.lastPoll {
+		if now.Sub(at) > pollerTTL {
+			delete(t.lastPoll, name)
 		}
 	}
 }
@@ -53,16 +53,16 @@
 func (t *tally) size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.begun.IsZero() || t.clock.Since(t.begun) < tallyTime {
+	if t.startedAt.IsZero() || t.clock.Since(t.startedAt) < pollerCountDelay {
 		return 0
 	}
-	return len(t.asked)
+	return len(t.lastPoll)
 }
 
 // noteAsker counts the asker of a question if it stands in the domain of this instance.
 func (s *Source) noteAsker(p poll) {
 	if p.Domain == s.self.Domain && p.Name != "" {
-		s.tally.note(p.Name)
+		s.tally.add(p.Name)
 	}
 }
 
--- a/relay/pollers_test.go
+++ b/relay/pollers_test.go
@@ -10,19 +10,19 @@
 	"junctioncross/timer"
 )
 
-// TestARelayCountsThoseThatAsk lets instances ask, of whom one asks no more.
-func TestARelayCountsThoseThatAsk(t *testing.T) {
+// TestRelayCountsItsPollers lets instances ask, of whom one asks no more.
+func TestRelayCountsItsPollers(t *testing.T) {
 	fake := clockwork.NewFakeClock()
 	asked := newTally(timer.New(fake))
 	for _, name := range []string{"a", "b", "c", "a"} {
-		asked.note(name)
+		asked.add(name)
 	}
 	require.Zero(t, asked.size(), "others may not have asked yet")
-	fake.Advance(tallyTime)
+	fake.Advance(pollerCountDelay)
 	require.Equal(t, 3, asked.size())
-	fake.Advance(tallyKeep)
-	asked.note("a")
-	asked.note("b")
+	fake.Advance(pollerTTL)
+	asked.add("a")
+	asked.add("b")
 	require.Equal(t, 2, asked.size())
 	fake.Advance(time.Second)
 	require.Equal(t, 2, asked.size())
--- a/relay/register.go
+++ b/relay/register.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// rollTime is how old a count may be that is passed on: instances that start together are all counted by one reading a domain.
-	rollTime = 3 * time.Second
-	// rollAnswer is how long the answer of another instance may take: a reading of the records at a slow store.
-	rollAnswer = 700 * time.Millisecond
-	// lostTime is how long records count that the store has lost: their instances find that out when they renew them, and write them again.
-	lostTime = 30 * time.Second
+	// maxSnapshotAge is how old a count may be that is passed on: instances that start together are all counted by one reading a domain.
+	maxSnapshotAge = 3 * time.Second
+	// recordsTimeout is how long the answer of another instance may take: a reading of the records at a slow store.
+	recordsTimeout = 700 * time.Millisecond
+	// lostRecordTTL is how long records count that the store has lost: their instances find that out when they renew them, and write them again.
+	lostRecordTTL = 30 * time.Second
 )
 
-// errNotCounted means that the records could not be read for another instance.
-var errNotCounted = errors.New("relay: instances not counted")
+// errNoRecords means that the records could not be read for another instance.
+var errNoRecords = errors.New("relay: instances not counted")
 
 // rollAsked asks an instance who there is.
 type rollAsked struct {
@@ -53,19 +53,19 @@
 	peers peers
 	clock *timer.Service
 
-	// reading is full while the records are read; roll and read are what was read last, and when.
-	reading chan struct{}
-	roll    census.Roll
-	read    time.Time
-	// lost holds the records from before the store lost writes, which count until a moment.
-	lost      []census.Record
-	lostUntil time.Time
+	// readLock is full while the records are read; roll and read are what was read last, and when.
+	readLock chan struct{}
+	snapshot census.Roll
+	readAt   time.Time
+	// lostRecords holds the records from before the store lostRecords writes, which count until a moment.
+	lostRecords []census.Record
+	lostUntil   time.Time
 }
 
 // NewRolls returns Rolls over the records of the store.
 func NewRolls(self Self, records census.Register, fleet Fleet, links *link.Client, clock *timer.Service) *Rolls {
 	return &Rolls{
-		Register: records, self: self, fleet: fleet, peers: linked{client: links}, clock: clock, reading: make(chan struct{}, 1),
+		Register: records, self: self, fleet: fleet, peers: linked{client: links}, clock: clock, readLock: make(chan struct{}, 1),
 	}
 }
 
@@ -80,40 +80,40 @@
 func (r *Rolls) List(ctx context.Context) (census.Roll, error) {
 	members := r.fleet.Members()
 	if !r.self.relays(len(members), r.fleet.Instances()) || len(r.fleet.Key()) == 0 {
-		return r.count(ctx, 0)
+		return r.readRecords(ctx, 0)
 	}
 	for i, w := range waysOf(r.self.Name, r.self.Domain, members) {
 		if w.direct() && i == 0 {
-			r.askCounts(ctx, members)
+			r.fetchCounts(ctx, members)
 		}
 		if w.direct() {
 			break
 		}
-		if records, err := r.ask(ctx, w.addr, r.fleet.Records()); err == nil {
+		if records, err := r.fetchRecords(ctx, w.addr, r.fleet.Records()); err == nil {
 			return census.Roll{Records: records, Key: r.fleet.Key()}, nil
 		}
 	}
-	return r.count(ctx, 0)
+	return r.readRecords(ctx, 0)
 }
 
-// ask returns the records that the one at addr has read.
-func (r *Rolls) ask(ctx context.Context, addr string, known []census.Record) ([]census.Record, error) {
-	ctx, cancel := r.clock.WithTimeout(ctx, rollAnswer)
+// fetchRecords returns the records that the one at addr has read.
+func (r *Rolls) fetchRecords(ctx context.Context, addr string, known []census.Record) ([]census.Record, error) {
+	ctx, cancel := r.clock.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
-	told, err := r.peers.roll(ctx, addr, rollAsked{Known: digest(known)})
+	reply, err := r.peers.roll(ctx, addr, rollAsked{Known: digest(known)})
 	if err != nil {
 		return nil, err
 	}
-	r.fleet.NoteCounts(told.Counts)
-	if told.Same {
+	r.fleet.NoteCounts(reply.Counts)
+	if reply.Same {
 		return known, nil
 	}
-	return told.Records, nil
+	return reply.Records, nil
 }
 
-// askCounts asks the relay of each other domain how many instances it counts there.
-func (r *Rolls) askCounts(ctx context.Context, members []census.Instance) {
-	ctx, cancel := r.clock.WithTimeout(ctx, rollAnswer)
+// fetchCounts asks the relay of each other domain how many instances it counts there.
+func (r *Rolls) fetchCounts(ctx context.Context, members []census.Instance) {
+	ctx, cancel := r.clock.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
 	var all sync.WaitGroup
 	for domain, list := range ranked(members) {
@@ -121,9 +121,9 @@
 			continue
 		}
 		all.Go(func() {
-			told, err := r.peers.roll(ctx, list[0].Addr, rollAsked{Known: digest(r.fleet.Records())})
+			reply, err := r.peers.roll(ctx, list[0].Addr, rollAsked{Known: digest(r.fleet.Records())})
 			if err == nil {
-				r.fleet.NoteCounts(map[string]int{domain: told.Counts[domain]})
+				r.fleet.NoteCounts(map[string]int{domain: reply.Counts[domain]})
 			}
 		})
 	}
@@ -131,62 +131,62 @@
 }
 
 func (r *Rolls) serve(ctx context.Context, q rollAsked) (rollTold, error) {
-	ctx, cancel := context.WithTimeout(ctx, rollAnswer)
+	ctx, cancel := context.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
-	roll, err := r.count(ctx, rollTime)
+	snapshot, err := r.readRecords(ctx, maxSnapshotAge)
 	switch {
-	case err != nil || len(roll.Records) == 0:
-		return rollTold{}, errNotCounted
-	case digest(roll.Records) == q.Known:
+	case err != nil || len(snapshot.Records) == 0:
+		return rollTold{}, errNoRecords
+	case digest(snapshot.Records) == q.Known:
 		return rollTold{Same: true, Counts: r.fleet.Counts()}, nil
 	default:
-		return rollTold{Records: roll.Records, Counts: r.fleet.Counts()}, nil
+		return rollTold{Records: snapshot.Records, Counts: r.fleet.Counts()}, nil
 	}
 }
 
-// count returns what the records told within an age; those that ask at the same moment share one reading.
-func (r *Rolls) count(ctx context.Context, age time.Duration) (census.Roll, error) {
+// readRecords returns what the records told within an age; those that ask at the same moment share one reading.
+func (r *Rolls) readRecords(ctx context.Context, age time.Duration) (census.Roll, error) {
 	select {
-	case r.reading <- struct{}{}:
+	case r.readLock <- struct{}{}:
 	case <-ctx.Done():
-		return census.Roll{}, errors.Wrap(errNotCounted, ctx.Err().Error())
+		return census.Roll{}, errors.Wrap(errNoRecords, ctx.Err().Error())
 	}
-	defer func() { <-r.reading }()
-	if !r.read.IsZero() && len(r.roll.Records) > 0 && len(r.roll.Key) > 0 && r.clock.Since(r.read) < age {
-		return r.roll, nil
+	defer func() { <-r.readLock }()
+	if !r.readAt.IsZero() && len(r.snapshot.Records) > 0 && len(r.snapshot.Key) > 0 && r.clock.Since(r.readAt) < age {
+		return r.snapshot, nil
 	}
-	begun := r.clock.Now()
-	roll, err := r.Register.List(ctx)
+	startedAt := r.clock.Now()
+	snapshot, err := r.Register.List(ctx)
 	if err == nil {
-		roll = r.withLost(roll)
-		r.roll, r.read = roll, begun
+		snapshot = r.withLostRecords(snapshot)
+		r.snapshot, r.readAt = snapshot, startedAt
 	}
-	return roll, err
+	return snapshot, err
 }
 
-// withLost adds the records that the store has lost, for a while: limits that all share must not be divided by the instances that are left in
+// withLostRecords adds the records that the store has lost, for a while: limits that all share must not be divided by the instances that are left in
 // it. Nobody has written to their slots, as far as known. The caller is the one that reads.
-func (r *Rolls) withLost(roll census.Roll) census.Roll {
+func (r *Rolls) withLostRecords(snapshot census.Roll) census.Roll {
 	now := r.clock.Now()
-	if !r.read.IsZero() && roll.Era > r.roll.Era {
-		r.lost, r.lostUntil = r.roll.Records, now.Add(lostTime)
+	if !r.readAt.IsZero() && snapshot.Era > r.snapshot.Era {
+		r.lostRecords, r.lostUntil = r.snapshot.Records, now.Add(lostRecordTTL)
 	}
 	if !now.Before(r.lostUntil) {
-		r.lost = nil
-		return roll
+		r.lostRecords = nil
+		return snapshot
 	}
-	listed := make(map[string]bool, len(roll.Records))
-	for _, one := range roll.Records {
+	listed := make(map[string]bool, len(snapshot.Records))
+	for _, one := range snapshot.Records {
 		listed[one.Name] = true
 	}
-	roll.Records = slices.Clone(roll.Records)
-	for _, one := range r.lost {
+	snapshot.Records = slices.Clone(snapshot.Records)
+	for _, one := range r.lostRecords {
 		if !listed[one.Name] {
 			one.Revision = 0
-			roll.Records = append(roll.Records, one)
+			snapshot.Records = append(snapshot.Records, one)
 		}
 	}
-	return roll
+	return snapshot
 }
 
 // digest tells two lists of records apart whatever their order.
--- a/relay/register_test.go
+++ b/relay/register_test.go
@@ -22,61 +22,61 @@
 	"junctioncross/timer"
 )
 
-// records are those of a fleet in the store, as one instance reads them.
-type records struct {
+// fakeRegister are those of a fleet in the store, as one instance reads them.
+type fakeRegister struct {
 	census.Register
-	mu   sync.Mutex
-	roll census.Roll
-	down bool
-	read int
+	mu    sync.Mutex
+	roll  census.Roll
+	down  bool
+	reads int
 }
 
 // List implements census.Register.
-func (r *records) List(context.Context) (census.Roll, error) {
+func (r *fakeRegister) List(context.Context) (census.Roll, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.read++
+	r.reads++
 	if r.down {
 		return census.Roll{}, errors.New("down")
 	}
 	return r.roll, nil
 }
 
-func (r *records) readings() int {
+func (r *fakeRegister) readCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.read
+	return r.reads
 }
 
-// hold makes members the instances that have records.
-func (r *records) hold(members []census.Instance) {
+// setMembers makes members the instances that have records.
+func (r *fakeRegister) setMembers(members []census.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.roll.Records = recordsOf(members)
 }
 
-// fail makes the store turn the readings away.
-func (r *records) fail() {
+// setDown makes the store turn the readings away.
+func (r *fakeRegister) setDown() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = true
 }
 
-// counting are instances of one domain that count each other, the relay first.
-type counting struct {
+// registerFleet are instances of one domain that count each other, the relay first.
+type registerFleet struct {
 	members []census.Instance
-	records []*records
+	records []*fakeRegister
 	rolls   []*relay.Rolls
 	servers []*link.Server
 }
 
-func countingFleet(t *testing.T, n int) counting {
+func newRegisterFleet(t *testing.T, n int) registerFleet {
 	key, err := keys.NewFleetKey(time.Now())
 	require.NoError(t, err)
 	trust := keys.NewFleetKeyFrom(func() []byte { return key })
 	addrs, err := ports.Free(n)
 	require.NoError(t, err)
-	var c counting
+	var c registerFleet
 	for i, addr := range addrs {
 		c.members = append(c.members, census.Instance{Name: addr, Domain: "east", Addr: addr, Power: float64(n - i)})
 	}
@@ -85,7 +85,7 @@
 	for _, m := range c.members {
 		links := link.NewClient(trust, metrics.New())
 		t.Cleanup(links.Close)
-		own := &records{roll: census.Roll{Records: recordsOf(c.members), Key: key}}
+		own := &fakeRegister{roll: census.Roll{Records: recordsOf(c.members), Key: key}}
 		self := relay.Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 2, ApplyTime: 3 * time.Second}
 		rolls := relay.NewRolls(self, own, fleet{members: c.members, key: key}, links, timer.NewReal())
 		mux := link.NewMux()
@@ -98,52 +98,52 @@
 	return c
 }
 
-func TestTheRelayCountsForItsDomain(t *testing.T) {
-	c := countingFleet(t, 6)
+func TestRelayReadsTheRecordsForItsDomain(t *testing.T) {
+	c := newRegisterFleet(t, 6)
 	for _, r := range c.rolls {
 		roll, err := r.List(t.Context())
 		require.NoError(t, err)
 		require.ElementsMatch(t, recordsOf(c.members), roll.Records)
 		require.NotEmpty(t, roll.Key)
 	}
-	require.Equal(t, 1, c.records[0].readings(), "one reading for those who ask together")
+	require.Equal(t, 1, c.records[0].readCount(), "one reading for those who ask together")
 	for _, r := range c.records[1:] {
-		require.Zero(t, r.readings())
+		require.Zero(t, r.readCount())
 	}
 }
 
-// TestAnInstanceThatCameIsTold adds one to the records that those who ask do not know yet.
-func TestAnInstanceThatCameIsTold(t *testing.T) {
-	c := countingFleet(t, 3)
+// TestNewInstanceIsListed adds one to the records that those who ask do not know yet.
+func TestNewInstanceIsListed(t *testing.T) {
+	c := newRegisterFleet(t, 3)
 	more := append([]census.Instance{{Name: "new", Domain: "east", Addr: "127.0.0.1:1", Power: 0.5}}, c.members...)
-	c.records[0].hold(more)
+	c.records[0].setMembers(more)
 	roll, err := c.rolls[2].List(t.Context())
 	require.NoError(t, err)
 	require.ElementsMatch(t, recordsOf(more), roll.Records)
 }
 
-// TestWithoutARelayTheRecordsAreReadInTheStore ends the relay, and lets the stand-in hear nothing of the store.
-func TestWithoutARelayTheRecordsAreReadInTheStore(t *testing.T) {
-	c := countingFleet(t, 4)
+// TestRecordsAreReadFromTheStoreWithoutARelay ends the relay, and lets the stand-in hear nothing of the store.
+func TestRecordsAreReadFromTheStoreWithoutARelay(t *testing.T) {
+	c := newRegisterFleet(t, 4)
 	require.NoError(t, c.servers[0].Close())
-	c.records[1].fail()
+	c.records[1].setDown()
 	roll, err := c.rolls[3].List(t.Context())
 	require.NoError(t, err)
 	require.Len(t, roll.Records, 4)
-	require.Equal(t, 1, c.records[1].readings())
-	require.Equal(t, 1, c.records[3].readings())
+	require.Equal(t, 1, c.records[1].readCount())
+	require.Equal(t, 1, c.records[3].readCount())
 }
 
-// TestInstancesWhoseRecordsTheStoreLostCountUntilTheyAreWrittenAgain lets a store come back without three of eight records, of which one is
+// TestRecordsLostByTheStoreCountUntilTheyAreWrittenAgain lets a store come back without three of eight records, of which one is
 // written again.
-func TestInstancesWhoseRecordsTheStoreLostCountUntilTheyAreWrittenAgain(t *testing.T) {
+func TestRecordsLostByTheStoreCountUntilTheyAreWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var members []census.Instance
 		for n := range 8 {
 			members = append(members, census.Instance{Name: fmt.Sprint(n), Domain: "east", Power: 1})
 		}
-		r := &records{roll: census.Roll{Era: 1}}
-		r.hold(members)
+		r := &fakeRegister{roll: census.Roll{Era: 1}}
+		r.setMembers(members)
 		rolls := relay.NewRolls(relay.Self{Name: "0", Domain: "east", From: 24}, r, census.NewBoard(24), nil, timer.NewReal())
 		count := func() []census.Record {
 			roll, err := rolls.List(t.Context())
@@ -152,10 +152,10 @@
 		}
 		require.Len(t, count(), 8)
 		r.roll.Era = 2
-		r.hold(members[:5])
+		r.setMembers(members[:5])
 		require.Len(t, count(), 8)
 		require.Zero(t, count()[7].Revision, "its slot is free in the store")
-		r.hold(members[:6])
+		r.setMembers(members[:6])
 		time.Sleep(time.Minute / 4)
 		require.Len(t, count(), 8)
 		time.Sleep(time.Minute / 4)
--- a/relay/reports.go
+++ b/relay/reports.go
@@ -14,8 +14,8 @@
 	// wordsShare is the relay's time for each instance that asks it: in a large domain words are passed on less often, so that their questions do
 	// not grow to more than a relay answers.
 	wordsShare = 4 * time.Millisecond
-	// wordsBack is how old the words are that are passed on at first.
-	wordsBack = time.Second
+	// initialReportAge is how old the words are that are passed on at first.
+	initialReportAge = time.Second
 )
 
 // Words holds what the instance knows of the state of servers. Relays pass it on within their domain: an instance of hundreds has
@@ -58,13 +58,13 @@
 		return
 	}
 	s.worse.Store(int64(now.Sub(s.begun)))
-	s.logs[follow.FeedServers].wake()
+	s.logs[follow.FeedServers].notify()
 }
 
 // pass returns the words for one that has heard those up to mark, and the next mark.
 func (s *Source) pass(mark time.Duration) ([]backend.Word, time.Duration) {
 	now := s.clock.Now()
-	after := now.Add(-wordsBack)
+	after := now.Add(-initialReportAge)
 	if reached := now.Sub(s.begun); mark > 0 && mark <= reached {
 		after = s.begun.Add(mark)
 	}
--- a/relay/scenario_test.go
+++ b/relay/scenario_test.go
@@ -71,8 +71,8 @@
 	return false
 }
 
-// apart reports whether two instances do not reach each other.
-func (d day) apart(i, j int, now time.Duration) bool {
+// partitioned reports whether two instances do not reach each other.
+func (d day) partitioned(i, j int, now time.Duration) bool {
 	for _, f := range d.faults {
 		if f.cut && f.on(now) && f.hits[i] != f.hits[j] {
 			return true
@@ -81,8 +81,8 @@
 	return false
 }
 
-// during reports whether something holds all the time; states change at the bounds of faults only.
-func (d day) during(from, until time.Duration, holds func(time.Duration) bool) bool {
+// always reports whether something holds all the time; states change at the bounds of faults only.
+func (d day) always(from, until time.Duration, holds func(time.Duration) bool) bool {
 	if !holds(from) {
 		return false
 	}
@@ -96,8 +96,8 @@
 	return true
 }
 
-// bounds returns the moments at which something changes.
-func (d day) bounds() []time.Duration {
+// events returns the moments at which something changes.
+func (d day) events() []time.Duration {
 	var out []time.Duration
 	for _, f := range d.faults {
 		out = append(out, f.from, f.until)
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -23,14 +23,14 @@
 	// for a fleet of hundreds.
 	promise     = 3 * time.Second
 	longPromise = 4 * time.Second
-	// endSlack is how much longer an end under a request may take: what the platform allows fleets of 72 and 295 more than for a configuration.
-	endSlack = time.Second
+	// endExtraTime is how much longer an end under a request may take: what the platform allows fleets of 72 and 295 more than for a configuration.
+	endExtraTime = time.Second
 	// settled is how long an instance must have run to be held to the promise.
 	settled = 6 * time.Second
 	// storeAnswer and linkAnswer are how long the store and another instance take on a calm day, slowAnswer the store on a bad one.
-	storeAnswer = 4 * time.Millisecond
-	linkAnswer  = time.Millisecond
-	slowAnswer  = 200 * time.Millisecond
+	storeAnswer      = 4 * time.Millisecond
+	linkAnswer       = time.Millisecond
+	slowStoreLatency = 200 * time.Millisecond
 	// mostCalls is the most that an instance may ask the store in a day: four times a second.
 	mostCalls = 120
 )
@@ -86,8 +86,8 @@
 func (p *play) start(i int) {
 	m := p.members[i]
 	board, book, clock := follow.NewBoard(), quarantine.NewBook(quarantine.Terms{Keep: time.Hour, Most: 1000}), timer.NewReal()
-	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 24, ApplyTime: p.promise}, storeOf{p, i}, known(p.members), board, noEnds{}, nil, clock, metrics.New(), p.log)
-	s.peers = peersOf{p, i}
+	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 24, ApplyTime: p.promise}, simStore{p, i}, known(p.members), board, noEnds{}, nil, clock, metrics.New(), p.log)
+	s.peers = simPeers{p, i}
 	ctx, stop := context.WithCancel(context.Background())
 	p.mu.Lock()
 	p.sources[i], p.boards[i], p.books[i], p.stops[i] = s, board, book, stop
@@ -134,9 +134,9 @@
 func (p *play) run() []string {
 	p.turn()
 	var broken []string
-	at := p.bounds()
+	at := p.events()
 	for _, accepted := range p.accepted {
-		at = append(at, accepted+p.promise, accepted+p.promise+endSlack)
+		at = append(at, accepted+p.promise, accepted+p.promise+endExtraTime)
 	}
 	sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
 	for _, next := range at {
@@ -146,7 +146,7 @@
 		time.Sleep(next - p.now())
 		p.turn()
 		synctest.Wait()
-		broken = append(broken, p.check()...)
+		broken = append(broken, p.checkDeadlines()...)
 	}
 	p.end()
 	return broken
@@ -169,60 +169,60 @@
 	clear(p.calls)
 }
 
-// check returns which instances lack a configuration, or an end that was written with one, whose time is over.
-func (p *play) check() []string {
+// checkDeadlines returns which instances lack a configuration, or an end that was written with one, whose time is over.
+func (p *play) checkDeadlines() []string {
 	now := p.now()
 	var out []string
 	for n, accepted := range p.accepted {
 		version := int64(n + 2)
 		switch now {
 		case accepted + p.promise:
-			out = append(out, p.missing("configuration", version, accepted, p.promise, func(i int) bool { return p.has(i) >= version })...)
-		case accepted + p.promise + endSlack:
-			request := endWith(version).Request
-			out = append(out, p.missing("end", version, accepted, p.promise+endSlack, func(i int) bool { return p.books[i].Ends(request) > 0 })...)
+			out = append(out, p.lacking("configuration", version, accepted, p.promise, func(i int) bool { return p.configVersion(i) >= version })...)
+		case accepted + p.promise + endExtraTime:
+			request := endOfVersion(version).Request
+			out = append(out, p.lacking("end", version, accepted, p.promise+endExtraTime, func(i int) bool { return p.books[i].Ends(request) > 0 })...)
 		}
 	}
 	return out
 }
 
-// missing returns which instances lack something that was written at a moment and had its time.
-func (p *play) missing(what string, version int64, written, within time.Duration, has func(i int) bool) []string {
+// lacking returns which instances lack something that was written at a moment and had its time.
+func (p *play) lacking(what string, version int64, written, within time.Duration, has func(i int) bool) []string {
 	var out []string
 	for i := range p.members {
-		if p.owes(i, written, within) && !has(i) {
+		if p.mustHave(i, written, within) && !has(i) {
 			out = append(out, fmt.Sprintf("%s lacks %s %d, %s after it was written at %s", p.members[i].Name, what, version, within, written))
 		}
 	}
 	return out
 }
 
-func (p *play) has(i int) int64 {
+func (p *play) configVersion(i int) int64 {
 	if c := p.boards[i].Current().Catalog(); c != nil {
 		return c.Version()
 	}
 	return 0
 }
 
-// owes reports whether an instance could hear of what was written all the time: from the store, or from the relay of its domain.
-func (p *play) owes(i int, accepted, within time.Duration) bool {
+// mustHave reports whether an instance could hear of what was written all the time: from the store, or from the relay of its domain.
+func (p *play) mustHave(i int, accepted, within time.Duration) bool {
 	until := accepted + within
-	if !p.during(accepted-settled, until, func(now time.Duration) bool { return !p.killed(i, now) }) {
+	if !p.always(accepted-settled, until, func(now time.Duration) bool { return !p.killed(i, now) }) {
 		return false
 	}
-	if p.during(accepted, until, func(now time.Duration) bool { return p.access(i, now) < refused }) {
+	if p.always(accepted, until, func(now time.Duration) bool { return p.access(i, now) < refused }) {
 		return true
 	}
 	for j, m := range p.members {
-		if m.Domain != p.members[i].Domain || !p.sources[i].first(m.Addr) {
+		if m.Domain != p.members[i].Domain || !p.sources[i].pollsFirst(m.Addr) {
 			continue
 		}
-		return p.during(accepted-settled, until, func(now time.Duration) bool {
-			return !p.killed(j, now) && p.access(j, now) < refused && !p.apart(i, j, now)
+		return p.always(accepted-settled, until, func(now time.Duration) bool {
+			return !p.killed(j, now) && p.access(j, now) < refused && !p.partitioned(i, j, now)
 		})
 	}
 	return false
 }
 
-// first reports whether an instance asks the one at addr before all others.
-func (s *Source) first(addr string) bool { return s.ways()[0].addr == addr }
+// pollsFirst reports whether an instance asks the one at addr before all others.
+func (s *Source) pollsFirst(addr string) bool { return s.ways()[0].addr == addr }
--- a/relay/startcount_test.go
+++ b/relay/startcount_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fewest returns the least number of instances that one of the fleet divides shared limits by.
-func (b *beginning) fewest() int {
+// minInstances returns the least number of instances that one of the fleet divides shared limits by.
+func (b *beginning) minInstances() int {
 	least := b.boards[0].Instances()
 	for _, board := range b.boards {
 		least = min(least, board.Instances())
@@ -19,9 +19,9 @@
 	return least
 }
 
-// TestAfterAStartSharedLimitsAreNotDividedByTooFew starts fleets in which most have no record in the store, and looks from the end of the
+// TestSharedLimitsAreNotDividedByTooFewInstancesAfterAStart starts fleets in which most have no record in the store, and looks from the end of the
 // first window of the limit on repeats on.
-func TestAfterAStartSharedLimitsAreNotDividedByTooFew(t *testing.T) {
+func TestSharedLimitsAreNotDividedByTooFewInstancesAfterAStart(t *testing.T) {
 	const window = 10 * time.Second
 	for _, c := range []struct{ domains, each, strong int }{{3, 24, 8}, {3, 25, 8}, {3, 98, 10}, {5, 197, 10}} {
 		t.Run(fmt.Sprintf("%d instances", c.domains*c.each), func(t *testing.T) {
@@ -32,7 +32,7 @@
 				b := newBeginning(c.domains, c.each, c.strong, 90)
 				b.start(ctx)
 				for time.Sleep(window); time.Since(b.begun) < window+5*time.Second; time.Sleep(time.Second) {
-					counts = append(counts, b.fewest())
+					counts = append(counts, b.minInstances())
 				}
 				cancel()
 				time.Sleep(settled + readTime)
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -16,15 +16,15 @@
 	"junctioncross/timer"
 )
 
-// counting is a Store that is down or answers at once, and counts its calls.
-type counting struct {
+// countingStore is a Store that is down or answers at once, and counts its calls.
+type countingStore struct {
 	Store
 	down  bool
 	calls int
 }
 
 // Reach implements Store.
-func (c *counting) Reach(context.Context) error {
+func (c *countingStore) Reach(context.Context) error {
 	c.calls++
 	if c.down {
 		return follow.ErrUnavailable
@@ -33,7 +33,7 @@
 }
 
 // WatchFeed implements Store.
-func (c *counting) WatchFeed(_ context.Context, _ follow.Feed, after follow.Position, _ time.Duration) ([]Record, follow.Position, error) {
+func (c *countingStore) WatchFeed(_ context.Context, _ follow.Feed, after follow.Position, _ time.Duration) ([]Record, follow.Position, error) {
 	c.calls++
 	if c.down {
 		return nil, 0, follow.ErrUnavailable
@@ -42,13 +42,13 @@
 }
 
 // Decode implements Store.
-func (*counting) Decode([]Record) []follow.Change { return nil }
+func (*countingStore) Decode([]Record) []follow.Change { return nil }
 
-// TestTheFeedOfEndsAsksNothingOfAStoreInDoubt lets the store go down and come back: the question for the configuration finds out both, and
+// TestEndsFeedDoesNotPollASuspectStore lets the store go down and come back: the question for the configuration finds out both, and
 // that the feed of ends was not asked for says nothing of the store.
-func TestTheFeedOfEndsAsksNothingOfAStoreInDoubt(t *testing.T) {
+func TestEndsFeedDoesNotPollASuspectStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &counting{}
+		store := &countingStore{}
 		log := logrus.New()
 		log.SetLevel(logrus.PanicLevel)
 		one := known{census.Instance{Name: "self", Domain: "east"}}
