--- a/relay/compress.go
+++ b/relay/compress.go
@@ -12,27 +12,30 @@
 )
 
 const (
-	// minCompressedSize is the size of values from which records are compressed: entries of servers differ little, and weak instances have
-	// thin lines.
+	// minCompressedSize is the total size of values from which records are compressed: the entries of servers differ little,
+	// and weak instances have little bandwidth.
 	minCompressedSize = 2 << 10
-	// maxDecompressedSize bounds what compressed records may grow to.
+	// maxDecompressedSize bounds the decompressed size of records.
 	maxDecompressedSize = 64 << 20
-	// maxCachedAnswers bounds the answers that are kept compressed; those that wait for the same news ask from the same position.
+	// maxCachedAnswers bounds the compressed answers that are kept. Polls that wait for the same update usually ask from the
+	// same position.
 	maxCachedAnswers = 16
 )
 
-// span is what part of a feed an answer holds.
+// span is the part of a feed that an answer holds: the changes after one position up to another, or the full content at a
+// position.
 type span struct {
 	after, at follow.Position
 	whole     bool
 }
 
-// compressedCache keeps the latest answers compressed, so that each is compressed once for all that ask. Its owner guards it.
+// compressedCache keeps the latest answers compressed, so that each is compressed only once for all polling instances. It is
+// not safe for concurrent use.
 type compressedCache struct {
 	bySpan map[span][]byte
 }
 
-// get returns the compressed records of a span, and nothing when they are few.
+// get returns the compressed records of a span; it returns nil if they are too small to be worth compressing.
 func (p *compressedCache) get(s span, records []Record) ([]byte, error) {
 	size := 0
 	for _, r := range records {
--- a/relay/compress_test.go
+++ b/relay/compress_test.go
@@ -9,7 +9,7 @@
 	"junctioncross/follow"
 )
 
-// TestServerEntriesCompressWell packs entries as servers write them and reads them back.
+// TestServerEntriesCompressWell compresses entries like those that servers write and reads them back.
 func TestServerEntriesCompressWell(t *testing.T) {
 	const most = 0.35
 	var records []Record
@@ -30,13 +30,13 @@
 	require.Equal(t, records, back)
 	again, err := p.get(span{at: 1, whole: true}, records)
 	require.NoError(t, err)
-	require.Equal(t, &packed[0], &again[0], "compressed once for all that ask")
+	require.Equal(t, &packed[0], &again[0], "compressed only once for all polling instances")
 	few, err := p.get(span{at: 1}, records[:2])
 	require.NoError(t, err)
 	require.Nil(t, few)
 }
 
-// TestDecompressRejectsDamagedRecords reads what no relay has packed.
+// TestDecompressRejectsDamagedRecords decompresses bytes that no relay has written.
 func TestDecompressRejectsDamagedRecords(t *testing.T) {
 	_, err := unpack([]byte("damaged"))
 	require.Error(t, err)
--- a/relay/ends.go
+++ b/relay/ends.go
@@ -2,10 +2,11 @@
 
 import "junctioncross/quarantine"
 
-// Ends holds which servers ended under which requests. An instance that cannot write to the store tells those that it asks for news.
+// Ends holds which servers terminated while they ran which requests. An instance that cannot write to the store passes its
+// ends to the instances that it polls.
 type Ends interface {
-	// Untold returns what the store was not told yet.
+	// Untold returns the ends that are not yet written to the store.
 	Untold() []quarantine.End
-	// Adopt takes over what another instance could not tell the store.
+	// Adopt takes over ends that another instance could not write to the store.
 	Adopt(ends []quarantine.End)
 }
--- a/relay/ends_test.go
+++ b/relay/ends_test.go
@@ -10,7 +10,7 @@
 	"junctioncross/relay"
 )
 
-// noEnds is relay.Ends of an instance under which no server has ended.
+// noEnds is the relay.Ends of an instance that has seen no server terminate.
 type noEnds struct{}
 
 // Untold implements relay.Ends.
@@ -19,7 +19,7 @@
 // Adopt implements relay.Ends.
 func (noEnds) Adopt([]quarantine.End) {}
 
-// fakeEnds is relay.Ends of an instance that cannot write, and notes what it takes over.
+// fakeEnds is the relay.Ends of an instance that cannot write to the store; it records what it adopts.
 type fakeEnds struct {
 	mu          sync.Mutex
 	unpublished []quarantine.End
@@ -51,7 +51,7 @@
 	return false
 }
 
-// TestEndsReadByOneRelayReachAllInstances also lets the relay fall silent, after which the others hear all the same.
+// TestEndsReadByOneRelayReachAllInstances also stops the relay, after which the other instances still learn of new ends.
 func TestEndsReadByOneRelayReachAllInstances(t *testing.T) {
 	s := newStore()
 	all := run(t, s, 4)
@@ -70,7 +70,8 @@
 	}
 }
 
-// TestInstanceRejectedByTheStorePassesItsEndsToAnother lets the last of three be silent to the store from the start.
+// TestInstanceRejectedByTheStorePassesItsEndsToAnother lets the store be silent to the last of three instances from the
+// start.
 func TestInstanceRejectedByTheStorePassesItsEndsToAnother(t *testing.T) {
 	s := newStore()
 	one := quarantine.NewEnd(quarantine.FingerprintOf(nil, []byte("/a"), "", nil), "server", "attempt")
--- a/relay/log.go
+++ b/relay/log.go
@@ -10,31 +10,32 @@
 	"junctioncross/follow"
 )
 
-// minHistory is the least number of changes that are kept for instances that ask for them. As many are kept as change when all of a feed
-// does, as after an outage of the store in which the entries of all servers have lapsed.
+// The history keeps at least minHistory changes, and at least historyFactor times as many as the feed has held keys. The
+// latter covers a change of the whole feed, as after an outage of the store in which the entries of all servers have
+// expired.
 const (
 	minHistory    = 1024
 	historyFactor = 2
 )
 
-// feedLog keeps the latest changes of one feed for other instances.
+// feedLog keeps the content and the latest changes of one feed, to pass them on to other instances.
 type feedLog struct {
 	mu       sync.Mutex
 	position follow.Position
 	history  []Record
-	// floor is the position after which the history is whole.
+	// floor is the position after which the history holds all changes, except those in gaps.
 	floor follow.Position
-	// gaps are the parts of the history of which only what is different in the end is known.
+	// gaps are the parts of the history of which only the net changes are known.
 	gaps []gap
-	// known is the moment up to which nothing but the history has changed.
+	// known is the time up to which the content is known to be current.
 	known time.Time
-	// direct is true while the feed is followed in the store itself.
+	// direct is true while this instance follows the feed in the store itself.
 	direct bool
-	// content holds the feed's present content, by key.
+	// content holds the feed's current content, by key.
 	content map[string]Record
-	// maxKeys is the maxKeys number of keys that the feed has held.
+	// maxKeys is the largest number of keys that the feed has held.
 	maxKeys int
-	// changed is closed at the next news.
+	// changed is closed and replaced at the next update.
 	changed chan struct{}
 
 	cacheMu sync.Mutex
@@ -45,8 +46,8 @@
 	return &feedLog{changed: make(chan struct{}), content: map[string]Record{}}
 }
 
-// restart takes over a feed that was read whole. What differs from before is added to the history, so that others need not
-// read the store when it has forgotten its own.
+// restart takes over the result of a full read of the feed. Its differences from the former content are added to the
+// history, so that other instances need not read the whole feed from the store after the store has dropped its own history.
 func (l *feedLog) restart(u heard, direct bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,14 +63,14 @@
 	l.advance(u, direct)
 }
 
-// gap lies between a position and that of a reading of the whole feed. What came and went between them stands nowhere, so that those who
-// heard of it elsewhere would keep it.
+// gap spans the positions between an update and a later full read of the feed. A key that was added and removed in between
+// appears in no record, so that an instance which learned of it elsewhere would keep it.
 type gap struct{ from, to follow.Position }
 
-// maxGaps bounds the gaps that are kept.
+// maxGaps bounds the number of gaps that are kept.
 const maxGaps = 64
 
-// addGap notes that the history up to a position tells only what is different from what was known before; the caller holds the lock.
+// addGap notes that the history from the present position up to another holds only net changes; the caller holds the lock.
 func (l *feedLog) addGap(to follow.Position) {
 	if to <= l.position {
 		return
@@ -81,7 +82,7 @@
 	l.gaps = append(l.gaps, gap{from: l.position, to: to})
 }
 
-// diffLocked returns the changes that lead from the present content to another; the caller holds the lock.
+// diffLocked returns the changes that lead from the present content to that of a full read; the caller holds the lock.
 func (l *feedLog) diffLocked(u heard) []Record {
 	var out []Record
 	listed := make(map[string]bool, len(u.records))
@@ -89,11 +90,11 @@
 		listed[r.Key] = true
 		held, known := l.content[r.Key]
 		if known && r.Revision.Era() != held.Revision.Era() && bytes.Equal(r.Value, held.Value) {
-			// A store that has lost writes gives old content new positions.
+			// A store that has lost writes gives unchanged content new positions.
 			continue
 		}
 		if r.Revision.Era() != u.at.Era() && !bytes.Equal(r.Value, held.Value) {
-			// Whoever passes this on has held it since before the loss, while what is held here was lost.
+			// The instance that passed this record on has held it since before the loss, while the value that is held here was lost.
 			r.Revision = u.at
 		}
 		if r.Revision > held.Revision {
@@ -102,7 +103,7 @@
 	}
 	for key := range l.content {
 		if !listed[key] {
-			// When exactly the key was removed is not known; it was no later than the reading.
+			// When the key was removed is unknown, but it was no later than the full read.
 			out = append(out, Record{Key: key, Revision: u.at, Gone: true})
 		}
 	}
@@ -110,14 +111,14 @@
 	return out
 }
 
-// missing returns the changes that lead from the present content to another.
+// missing returns the changes that lead from the present content to that of a full read.
 func (l *feedLog) missing(u heard) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.diffLocked(u)
 }
 
-// extend adds what was heard.
+// extend adds an update.
 func (l *feedLog) extend(u heard, direct bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +129,7 @@
 	l.advance(u, direct)
 }
 
-// appendLocked adds changes to history and content; the caller holds the lock.
+// appendLocked adds changes to the history and applies them to the content; the caller holds the lock.
 func (l *feedLog) appendLocked(records []Record) {
 	l.history = append(l.history, records...)
 	l.apply(records)
@@ -138,7 +139,7 @@
 	}
 }
 
-// apply brings the content up to date; the caller holds the lock.
+// apply applies changes to the content; the caller holds the lock.
 func (l *feedLog) apply(records []Record) {
 	for _, r := range records {
 		if r.Gone {
@@ -150,7 +151,7 @@
 	l.maxKeys = max(l.maxKeys, len(l.content))
 }
 
-// advance notes the position and wakes those that wait; the caller holds the lock.
+// advance updates the position and wakes the waiting polls; the caller holds the lock.
 func (l *feedLog) advance(u heard, direct bool) {
 	l.position = max(l.position, u.at)
 	if u.known.After(l.known) {
@@ -160,7 +161,7 @@
 	l.notifyLocked()
 }
 
-// notify lets those that wait look again.
+// notify wakes the waiting polls, which check again whether they can be answered.
 func (l *feedLog) notify() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -172,7 +173,7 @@
 	l.changed = make(chan struct{})
 }
 
-// lose notes that the store cannot be followed at present.
+// lose notes that this instance does not follow the feed in the store at present.
 func (l *feedLog) lose() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,44 +181,44 @@
 	l.notifyLocked()
 }
 
-// followed reports whether the feed is followed in the store itself.
+// followed reports whether this instance follows the feed in the store itself.
 func (l *feedLog) followed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.direct
 }
 
-// packed returns the compressed records of a part of the feed, and nothing when they are few.
+// packed returns the compressed records of a span of the feed; it returns nil if they are too small to be worth compressing.
 func (l *feedLog) packed(part span, records []Record) ([]byte, error) {
 	l.cacheMu.Lock()
 	defer l.cacheMu.Unlock()
 	return l.cache.get(part, records)
 }
 
-// news returns what is closed at the next news.
+// news returns a channel that is closed at the next update.
 func (l *feedLog) news() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// reached returns how far the feed is known, and the moment up to which nothing else has changed.
+// reached returns the position up to which the feed is known, and the time up to which that is known to be current.
 func (l *feedLog) reached() (at follow.Position, known time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.position, l.known
 }
 
-// view is what a feedLog can tell at one moment.
+// view is the content or the changes of a feedLog at one moment.
 type view struct {
 	heard
-	// whole is false when changes after the position are missing.
+	// whole is false if changes after the requested position are missing.
 	whole   bool
 	direct  bool
 	changed <-chan struct{}
 }
 
-// all returns the whole content.
+// all returns the full content.
 func (l *feedLog) all() view {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -228,7 +229,8 @@
 	return v
 }
 
-// coversLocked reports whether the history tells all that is different now from what was known at a position; the caller holds the lock.
+// coversLocked reports whether the history holds all differences between the content at a position and the present one; the
+// caller holds the lock.
 func (l *feedLog) coversLocked(after follow.Position) bool {
 	if after < l.floor || after.Era() > l.position.Era() {
 		return false
--- a/relay/log_test.go
+++ b/relay/log_test.go
@@ -22,7 +22,7 @@
 	return heard{records: records, at: revision, known: time.Unix(int64(revision), 0)}
 }
 
-// TestRereadingAddsTheDifferencesToTheHistory changes, adds and removes keys between two whole readings.
+// TestRereadingAddsTheDifferencesToTheHistory changes, adds and removes keys between two full reads of a feed.
 func TestRereadingAddsTheDifferencesToTheHistory(t *testing.T) {
 	l := newFeedLog()
 	l.restart(updateAt(5, Record{Key: "a", Revision: 1}, Record{Key: "b", Revision: 2}, Record{Key: "c", Revision: 3}), true)
@@ -30,10 +30,10 @@
 	v := l.since(5)
 	require.True(t, v.whole)
 	require.Equal(t, []Record{{Key: "b", Revision: 7}, {Key: "d", Revision: 8}, {Key: "c", Revision: 9, Gone: true}}, v.records)
-	require.False(t, l.since(4).whole, "nobody is told of a history that was never read")
+	require.False(t, l.since(4).whole, "the history begins with the first full read")
 }
 
-// TestFollowersOfALogHaveItsContent draws changes and whole readings, and followers that ask at any time.
+// TestFollowersOfALogHaveItsContent draws random changes and full reads, and a follower that asks at random times.
 func TestFollowersOfALogHaveItsContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store, revision := map[string]Record{}, follow.Position(1)
@@ -75,7 +75,7 @@
 	content[r.Key] = r
 }
 
-// TestHistoryCoversAChangeOfTheWholeFeed lets all entries of a large feed lapse and come back, as in an outage of the store.
+// TestHistoryCoversAChangeOfTheWholeFeed lets all entries of a large feed expire and return, as in an outage of the store.
 func TestHistoryCoversAChangeOfTheWholeFeed(t *testing.T) {
 	const servers = 6000
 	key := func(i int) string { return fmt.Sprint("server-", i) }
@@ -97,7 +97,7 @@
 	require.Len(t, v.records, 2*servers)
 }
 
-// laterRelay is a relay that has read a feed after the one that asks it; it implements peers.
+// laterRelay is a relay that has read a feed later than the instance that polls it; it implements peers.
 type laterRelay struct{ peers }
 
 func (laterRelay) poll(_ context.Context, _ string, p poll) (told, error) {
@@ -107,7 +107,7 @@
 	return told{Records: []Record{{Key: "kept", Revision: 2}, {Key: "new", Revision: 8}}, At: 9}, nil
 }
 
-// TestInstanceBehindItsRelaysHistoryRequestsTheFullFeed asks a relay whose history begins after what an instance has.
+// TestInstanceBehindItsRelaysHistoryRequestsTheFullFeed polls a relay whose history begins after the instance's position.
 func TestInstanceBehindItsRelaysHistoryRequestsTheFullFeed(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -120,17 +120,17 @@
 	require.NoError(t, err)
 	require.Equal(t, []Record{{Key: "new", Revision: 8}, {Key: "gone", Revision: 9, Gone: true}}, h.records)
 	_, err = s.catchUp(t.Context(), s.ways()[0], follow.FeedConfig, 10)
-	require.ErrorIs(t, err, follow.ErrUnavailable, "a relay that knows less tells nothing")
+	require.ErrorIs(t, err, follow.ErrUnavailable, "a relay that knows less cannot serve")
 }
 
-// positionOf returns the positionOf of a revision in an era.
+// positionOf returns the position of a revision in an era.
 func positionOf(era, revision int64) follow.Position {
 	p, _ := follow.PositionOf(era, revision)
 	return p
 }
 
-// TestChangesUnderReusedRevisionsArePassedOn reads a feed anew after the store lost writes, and lets a key change under a revision
-// that was known.
+// TestChangesUnderReusedRevisionsArePassedOn reads a feed again after the store lost writes, and then changes a key under a
+// revision that was already used before the loss.
 func TestChangesUnderReusedRevisionsArePassedOn(t *testing.T) {
 	l := newFeedLog()
 	same, lost := []byte("same"), []byte("lost")
@@ -141,10 +141,10 @@
 	l.extend(updateAt(positionOf(2, 880), changed), true)
 	v := l.since(positionOf(1, 900))
 	require.True(t, v.whole)
-	require.Equal(t, []Record{{Key: "b", Revision: positionOf(2, 870), Gone: true}, changed}, v.records, "what is as it was is not told again")
+	require.Equal(t, []Record{{Key: "b", Revision: positionOf(2, 870), Gone: true}, changed}, v.records, "unchanged records are not passed on again")
 	require.True(t, l.since(positionOf(1, 850)).whole)
-	require.False(t, l.since(positionOf(1, 901)).whole, "one that had heard more of the former era has to read all")
-	require.False(t, l.since(positionOf(3, 1)).whole, "one of a later era hears nothing here")
+	require.False(t, l.since(positionOf(1, 901)).whole, "a follower that knows more of the former era needs a full read")
+	require.False(t, l.since(positionOf(3, 1)).whole, "the log cannot serve a follower of a later era")
 }
 
 // lossyStore is a store that may lose its latest writes.
@@ -158,7 +158,7 @@
 	return &lossyStore{at: s.at, content: maps.Clone(s.content), history: slices.Clone(s.history)}
 }
 
-// restore returns the store as it comes back from a copy in the next era.
+// restore returns the store as restored from a backup, in the next era.
 func (s *lossyStore) restore(kept *lossyStore) *lossyStore {
 	era := s.at.Era() + 1
 	out := kept.copy()
@@ -186,7 +186,8 @@
 	s.history = append(s.history, r)
 }
 
-// updateLog brings a log up to date as a relay does: from its position, or whole when the store does not have that.
+// updateLog updates a log from the store as a relay does: with the changes after its position, or with a full read after the
+// store has lost writes.
 func (s *lossyStore) updateLog(l *feedLog) {
 	held, _ := l.reached()
 	if held.Era() != s.at.Era() {
@@ -202,7 +203,7 @@
 	l.extend(h, true)
 }
 
-// followLog brings a log up to date from another one, as one that follows a relay does.
+// followLog updates a log from another one, as an instance that follows a relay does.
 func followLog(l, from *feedLog) {
 	held, _ := l.reached()
 	v := from.since(held)
@@ -225,7 +226,8 @@
 	return out
 }
 
-// TestFollowersHoldTheContentOfAStoreThatLosesWrites draws changes, losses and the steps of two relays and a follower of either.
+// TestFollowersHoldTheContentOfAStoreThatLosesWrites draws random changes, losses and the steps of two relays and of a
+// follower that polls either of them.
 func TestFollowersHoldTheContentOfAStoreThatLosesWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &lossyStore{at: positionOf(1, 1), content: map[string]Record{}}
@@ -264,7 +266,8 @@
 	})
 }
 
-// TestFollowerInsideAGapReadsTheFullFeed asks from between two readings, where a key may have come and gone.
+// TestFollowerInsideAGapReadsTheFullFeed asks from a position between two full reads, where a key may have been added and
+// removed.
 func TestFollowerInsideAGapReadsTheFullFeed(t *testing.T) {
 	l := newFeedLog()
 	l.restart(updateAt(5), true)
@@ -275,11 +278,11 @@
 	for n := range follow.Position(2 * maxGaps) {
 		l.restart(updateAt(20+10*n), true)
 	}
-	require.False(t, l.since(15).whole, "gaps that are kept no longer are part of what is forgotten")
+	require.False(t, l.since(15).whole, "the history begins after a gap that has been dropped")
 }
 
-// TestEntryRestoredFromABackupKeepsItsRevision lets a key go, and the store come back from a copy that has it: those that hear of it through the
-// relay tell by the revision that it is the old one.
+// TestEntryRestoredFromABackupKeepsItsRevision removes a key and restores the store from a backup that still holds it. The
+// followers of the relay recognize the old entry by its revision.
 func TestEntryRestoredFromABackupKeepsItsRevision(t *testing.T) {
 	l := newFeedLog()
 	old := Record{Key: "a", Value: []byte("old"), Revision: positionOf(1, 700)}
--- a/relay/peers.go
+++ b/relay/peers.go
@@ -6,17 +6,17 @@
 	"junctioncross/link"
 )
 
-// peers asks other instances; its errors are those of package link.
+// peers calls other instances; its errors are those of package link.
 type peers interface {
-	// poll asks the relay at addr for news.
+	// poll polls the relay at addr for updates of a feed.
 	poll(ctx context.Context, addr string, p poll) (told, error)
-	// roll asks the relay at addr who there is.
+	// roll requests the registration records from the relay at addr.
 	roll(ctx context.Context, addr string, q rollAsked) (rollTold, error)
-	// reach connects to the instance at addr unless it is connected already.
+	// reach connects to the instance at addr unless there is a connection already.
 	reach(ctx context.Context, addr string) error
 }
 
-// linked asks over the instance's own connections; it implements peers.
+// linked calls other instances over the connections of package link; it implements peers.
 type linked struct{ client *link.Client }
 
 func (l linked) poll(ctx context.Context, addr string, p poll) (told, error) {
--- a/relay/platform_test.go
+++ b/relay/platform_test.go
@@ -13,13 +13,13 @@
 	"junctioncross/quarantine"
 )
 
-// simStore is the store as one instance sees it; it implements Store.
+// simStore is the simulated store as one instance sees it; it implements Store.
 type simStore struct {
 	p *play
 	i int
 }
 
-// ask notes a call and lets it take its time.
+// ask counts a call and simulates its latency and its failure.
 func (s simStore) ask(ctx context.Context) error {
 	s.p.mu.Lock()
 	s.p.calls[s.i]++
@@ -56,8 +56,8 @@
 	return recordsOf(feed, 1, s.p.version), follow.Position(s.p.version), nil
 }
 
-// recordsOf returns what a feed tells of the versions after one up to another: the newest configuration, and an end under a request that was
-// written with each.
+// recordsOf returns the records of a feed for the versions after one up to another: the newest configuration, and for each
+// version an end that was written with it.
 func recordsOf(feed follow.Feed, after, version int64) []Record {
 	switch feed {
 	case follow.FeedConfig:
@@ -73,7 +73,7 @@
 	}
 }
 
-// keyOfConfig is where the configuration stands; all other records are ends.
+// keyOfConfig is the key of the configuration; all other records are ends.
 const keyOfConfig = "configuration"
 
 // endOfVersion returns the end that was written with a version.
@@ -129,7 +129,7 @@
 	return out
 }
 
-// simPeers are the other instances as one sees them; it implements peers.
+// simPeers are the other instances of a simulation as one instance sees them; it implements peers.
 type simPeers struct {
 	p *play
 	i int
--- a/relay/pollers.go
+++ b/relay/pollers.go
@@ -8,19 +8,22 @@
 )
 
 const (
-	// pollerCountDelay is how long an instance must have been asked for news before it knows how many ask it: several of their questions.
+	// pollerCountDelay is how long after its first poll an instance has to wait until it knows the number of its pollers:
+	// several poll intervals.
 	pollerCountDelay = 3 * time.Second
-	// pollerTTL is how long one that asks no more still counts: too many are safe, since limits are divided by them.
+	// pollerTTL is how long an instance still counts after its last poll. Counting too many is safe, since shared limits are
+	// divided by the count.
 	pollerTTL = 60 * time.Second
 )
 
-// tally counts the instances of a domain that ask its relay for news. Most instances of a large fleet have no record in the store.
+// tally counts the instances of a domain that poll its relay, because most instances of a large fleet have no record in the
+// store.
 type tally struct {
 	clock *timer.Service
 
 	mu        sync.Mutex
 	startedAt time.Time
-	// lastPoll holds when each instance lastPoll last, by name.
+	// lastPoll holds the time of each instance's last poll, by name.
 	lastPoll map[string]time.Time
 	sweptAt  time.Time
 }
@@ -29,7 +32,7 @@
 	return &tally{clock: clock, lastPoll: map[string]time.Time{}}
 }
 
-// add keeps that an instance has asked.
+// add notes a poll of an instance.
 func (t *tally) add(name string) {
 	now := t.clock.Now()
 	t.mu.Lock()
@@ -49,7 +52,7 @@
 	}
 }
 
-// size returns the number of instances that ask, and 0 while it is not known.
+// size returns the number of polling instances, and 0 while it is unknown.
 func (t *tally) size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +62,7 @@
 	return len(t.lastPoll)
 }
 
-// noteAsker counts the asker of a question if it stands in the domain of this instance.
+// noteAsker counts the polling instance if it belongs to the domain of this instance.
 func (s *Source) noteAsker(p poll) {
 	if p.Domain == s.self.Domain && p.Name != "" {
 		s.tally.add(p.Name)
@@ -69,7 +72,7 @@
 // counts returns the number of instances of each domain, as far as it is known.
 func (s *Source) counts() map[string]int {
 	if n := s.tally.size(); n > 0 && s.relay() {
-		// The relay itself asks nobody.
+		// The relay itself polls nobody.
 		s.fleet.NoteCounts(map[string]int{s.self.Domain: n + 1})
 	}
 	return s.fleet.Counts()
--- a/relay/pollers_test.go
+++ b/relay/pollers_test.go
@@ -10,14 +10,14 @@
 	"junctioncross/timer"
 )
 
-// TestRelayCountsItsPollers lets instances ask, of whom one asks no more.
+// TestRelayCountsItsPollers lets three instances poll, one of which stops polling.
 func TestRelayCountsItsPollers(t *testing.T) {
 	fake := clockwork.NewFakeClock()
 	asked := newTally(timer.New(fake))
 	for _, name := range []string{"a", "b", "c", "a"} {
 		asked.add(name)
 	}
-	require.Zero(t, asked.size(), "others may not have asked yet")
+	require.Zero(t, asked.size(), "others may not have polled yet")
 	fake.Advance(pollerCountDelay)
 	require.Equal(t, 3, asked.size())
 	fake.Advance(pollerTTL)
--- a/relay/record.go
+++ b/relay/record.go
@@ -12,33 +12,35 @@
 	Key      string          `cbor:"1,keyasint"`
 	Value    []byte          `cbor:"2,keyasint,omitempty"`
 	Revision follow.Position `cbor:"3,keyasint"`
-	// Gone is true when the key was removed.
+	// Gone is true if the key was removed.
 	Gone bool `cbor:"4,keyasint,omitempty"`
 }
 
-// PageTime is how long a store may take for each page of a feed: a hundred times what it takes on a calm day.
+// PageTime is how long a store may take for each page of a feed: a hundred times what it takes under normal load.
 const PageTime = 2 * time.Second
 
-// Store is what the relay needs of the platform's store.
+// Store is the part of the platform's store that package relay needs.
 type Store interface {
-	// Reach asks for nothing but an answer, for a tenth of what the other calls cost; it returns follow.ErrUnavailable.
+	// Reach checks that the store answers, at a tenth of the cost of the other calls; it returns follow.ErrUnavailable if it
+	// does not.
 	Reach(ctx context.Context) error
-	// ReadFeed returns everything that a feed holds and the position before the first page; it returns follow.ErrUnavailable, at the latest
-	// when a page has taken PageTime.
+	// ReadFeed returns the full content of a feed and the position before the first page. It returns follow.ErrUnavailable, at
+	// the latest when a page has taken PageTime.
 	ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error)
-	// WatchFeed returns what changed after a position, with nothing when wait has passed without a change; it returns
+	// WatchFeed returns the changes after a position, and none if wait has passed without a change. It returns
 	// follow.ErrHistoryGone or follow.ErrUnavailable.
 	WatchFeed(ctx context.Context, feed follow.Feed, after follow.Position, wait time.Duration) ([]Record, follow.Position, error)
 	// Decode turns records into changes.
 	Decode(records []Record) []follow.Change
 }
 
-// heard is what one call, to the store or to a relay, brought.
+// heard is the result of one call to the store or to a relay.
 type heard struct {
 	records []Record
 	at      follow.Position
-	// known is the moment up to which nothing else has changed.
+	// known is the time up to which the records are known to be current.
 	known time.Time
-	// skips is true when the records lead to the position from what was known here, without what came and went between.
+	// skips is true if the records are only the net changes between the former content and that at the position; keys that were
+	// added and removed in between are missing.
 	skips bool
 }
--- a/relay/register.go
+++ b/relay/register.go
@@ -18,34 +18,36 @@
 )
 
 const (
-	// maxSnapshotAge is how old a count may be that is passed on: instances that start together are all counted by one reading a domain.
+	// maxSnapshotAge is the greatest age of a snapshot that is passed on to other instances. One read in each domain is enough
+	// for all instances that start together.
 	maxSnapshotAge = 3 * time.Second
-	// recordsTimeout is how long the answer of another instance may take: a reading of the records at a slow store.
+	// recordsTimeout bounds a call to another instance for the records, which includes a read from a slow store.
 	recordsTimeout = 700 * time.Millisecond
-	// lostRecordTTL is how long records count that the store has lost: their instances find that out when they renew them, and write them again.
+	// lostRecordTTL is how long records that the store has lost still count. Their instances find out at their next renewal and
+	// write them again.
 	lostRecordTTL = 30 * time.Second
 )
 
-// errNoRecords means that the records could not be read for another instance.
+// errNoRecords means that the records could not be read on behalf of another instance.
 var errNoRecords = errors.New("relay: instances not counted")
 
-// rollAsked asks an instance who there is.
+// rollAsked requests the registration records from another instance.
 type rollAsked struct {
-	// Known is the digest of what the asker knows.
+	// Known is the digest of the records that the requesting instance knows.
 	Known uint64 `cbor:"1,keyasint"`
 }
 
-// rollTold answers rollAsked.
+// rollTold is the answer to a request for the records.
 type rollTold struct {
-	// Same is true when the asker knows all; the records are left out then.
+	// Same is true if the requesting instance knows all records already; Records is empty then.
 	Same    bool            `cbor:"1,keyasint,omitempty"`
 	Records []census.Record `cbor:"2,keyasint,omitempty"`
-	// Counts holds the numbers of instances of the domains.
+	// Counts holds the number of instances of each domain.
 	Counts map[string]int `cbor:"3,keyasint,omitempty"`
 }
 
-// Rolls counts the instances through the relay of the domain, so that the records are read once a domain and not by each instance. It
-// implements census.Register.
+// Rolls is a census.Register that reads the registration records through the relay of the domain, so that they are read from
+// the store once for each domain and not by each instance.
 type Rolls struct {
 	census.Register
 	self  Self
@@ -53,23 +55,23 @@
 	peers peers
 	clock *timer.Service
 
-	// readLock is full while the records are read; roll and read are what was read last, and when.
+	// readLock is a semaphore that is held during a read; snapshot and readAt are the result and the time of the last read.
 	readLock chan struct{}
 	snapshot census.Roll
 	readAt   time.Time
-	// lostRecords holds the records from before the store lostRecords writes, which count until a moment.
+	// lostRecords holds the records from before the store lost writes; they count up to lostUntil.
 	lostRecords []census.Record
 	lostUntil   time.Time
 }
 
-// NewRolls returns Rolls over the records of the store.
+// NewRolls wraps the register of the store: it lists the records through relays and passes all other calls on.
 func NewRolls(self Self, records census.Register, fleet Fleet, links *link.Client, clock *timer.Service) *Rolls {
 	return &Rolls{
 		Register: records, self: self, fleet: fleet, peers: linked{client: links}, clock: clock, readLock: make(chan struct{}, 1),
 	}
 }
 
-// AddTo adds the call for the count to those that the instance answers.
+// AddTo registers the call for the records with those that the instance serves.
 func (r *Rolls) AddTo(mux *link.Mux) {
 	link.Handle(mux, link.KindRoll, func(ctx context.Context, _ keys.Identity, q rollAsked) (rollTold, error) {
 		return r.serve(ctx, q)
@@ -96,7 +98,7 @@
 	return r.readRecords(ctx, 0)
 }
 
-// fetchRecords returns the records that the one at addr has read.
+// fetchRecords requests the records from the instance at addr; known is returned if they are unchanged.
 func (r *Rolls) fetchRecords(ctx context.Context, addr string, known []census.Record) ([]census.Record, error) {
 	ctx, cancel := r.clock.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
@@ -111,7 +113,7 @@
 	return reply.Records, nil
 }
 
-// fetchCounts asks the relay of each other domain how many instances it counts there.
+// fetchCounts asks the relay of each other domain for the number of instances that it counts there.
 func (r *Rolls) fetchCounts(ctx context.Context, members []census.Instance) {
 	ctx, cancel := r.clock.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
@@ -144,7 +146,7 @@
 	}
 }
 
-// readRecords returns what the records told within an age; those that ask at the same moment share one reading.
+// readRecords returns a snapshot of at most the given age; concurrent calls share one read.
 func (r *Rolls) readRecords(ctx context.Context, age time.Duration) (census.Roll, error) {
 	select {
 	case r.readLock <- struct{}{}:
@@ -164,8 +166,9 @@
 	return snapshot, err
 }
 
-// withLostRecords adds the records that the store has lost, for a while: limits that all share must not be divided by the instances that are left in
-// it. Nobody has written to their slots, as far as known. The caller is the one that reads.
+// withLostRecords adds the records that the store has lost until lostUntil: shared limits must not be divided by only the
+// instances whose records are left. Their slots are marked as free, since no other record is known there. The caller holds
+// readLock.
 func (r *Rolls) withLostRecords(snapshot census.Roll) census.Roll {
 	now := r.clock.Now()
 	if !r.readAt.IsZero() && snapshot.Era > r.snapshot.Era {
@@ -189,7 +192,7 @@
 	return snapshot
 }
 
-// digest tells two lists of records apart whatever their order.
+// digest returns a hash of the names, addresses and revisions of records that does not depend on their order.
 func digest(records []census.Record) uint64 {
 	lines := make([]string, len(records))
 	for i, r := range records {
--- a/relay/register_test.go
+++ b/relay/register_test.go
@@ -22,7 +22,7 @@
 	"junctioncross/timer"
 )
 
-// fakeRegister are those of a fleet in the store, as one instance reads them.
+// fakeRegister holds the records of a fleet in memory, as one instance reads them from the store.
 type fakeRegister struct {
 	census.Register
 	mu    sync.Mutex
@@ -48,21 +48,21 @@
 	return r.reads
 }
 
-// setMembers makes members the instances that have records.
+// setMembers sets the instances that have records.
 func (r *fakeRegister) setMembers(members []census.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.roll.Records = recordsOf(members)
 }
 
-// setDown makes the store turn the readings away.
+// setDown makes the store reject all reads.
 func (r *fakeRegister) setDown() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = true
 }
 
-// registerFleet are instances of one domain that count each other, the relay first.
+// registerFleet holds instances of one domain that list each other's records; the first one is the relay.
 type registerFleet struct {
 	members []census.Instance
 	records []*fakeRegister
@@ -106,13 +106,13 @@
 		require.ElementsMatch(t, recordsOf(c.members), roll.Records)
 		require.NotEmpty(t, roll.Key)
 	}
-	require.Equal(t, 1, c.records[0].readCount(), "one reading for those who ask together")
+	require.Equal(t, 1, c.records[0].readCount(), "concurrent requests share one read")
 	for _, r := range c.records[1:] {
 		require.Zero(t, r.readCount())
 	}
 }
 
-// TestNewInstanceIsListed adds one to the records that those who ask do not know yet.
+// TestNewInstanceIsListed adds a record that the listing instances do not know yet.
 func TestNewInstanceIsListed(t *testing.T) {
 	c := newRegisterFleet(t, 3)
 	more := append([]census.Instance{{Name: "new", Domain: "east", Addr: "127.0.0.1:1", Power: 0.5}}, c.members...)
@@ -122,7 +122,7 @@
 	require.ElementsMatch(t, recordsOf(more), roll.Records)
 }
 
-// TestRecordsAreReadFromTheStoreWithoutARelay ends the relay, and lets the stand-in hear nothing of the store.
+// TestRecordsAreReadFromTheStoreWithoutARelay stops the relay and lets the store reject the standby relay.
 func TestRecordsAreReadFromTheStoreWithoutARelay(t *testing.T) {
 	c := newRegisterFleet(t, 4)
 	require.NoError(t, c.servers[0].Close())
@@ -134,7 +134,7 @@
 	require.Equal(t, 1, c.records[3].readCount())
 }
 
-// TestRecordsLostByTheStoreCountUntilTheyAreWrittenAgain lets a store come back without three of eight records, of which one is
+// TestRecordsLostByTheStoreCountUntilTheyAreWrittenAgain restores a store without three of eight records, of which one is
 // written again.
 func TestRecordsLostByTheStoreCountUntilTheyAreWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -159,6 +159,6 @@
 		time.Sleep(time.Minute / 4)
 		require.Len(t, count(), 8)
 		time.Sleep(time.Minute / 4)
-		require.Len(t, count(), 6, "two have not come back")
+		require.Len(t, count(), 6, "two have not been written again")
 	})
 }
--- a/relay/reports.go
+++ b/relay/reports.go
@@ -8,28 +8,31 @@
 )
 
 const (
-	// wordsWait is the longest that a relay holds a question about servers where it has words on their state to pass on: all of a
-	// domain know what one instance finds after half of that in the mean.
+	// wordsWait is the longest time that a relay holds a poll of the servers feed, whose answer also passes on shared reports
+	// on servers. What one instance learns reaches its whole domain after half of that on average.
 	wordsWait = 400 * time.Millisecond
-	// wordsShare is the relay's time for each instance that asks it: in a large domain words are passed on less often, so that their questions do
-	// not grow to more than a relay answers.
+	// wordsShare is the hold time for each polling instance, where that adds up to more: in a large domain reports are passed
+	// on less often, so that there are no more polls than a relay can answer.
 	wordsShare = 4 * time.Millisecond
-	// initialReportAge is how old the words are that are passed on at first.
+	// initialReportAge is the greatest age of the reports in the first answer to an instance.
 	initialReportAge = time.Second
 )
 
-// Words holds what the instance knows of the state of servers. Relays pass it on within their domain: an instance of hundreds has
-// few streams, and would find out by losing them, one server after the other, which servers are slow or dead.
+// Words holds what the instance knows of the state of servers. Relays pass these reports on within their domain. One of
+// hundreds of instances has few streams; without the reports it would learn which servers are slow or dead only by losing
+// streams to one server after the other.
 type Words interface {
-	// OwnWords returns what servers told, or did not tell, this instance after a moment.
+	// OwnWords returns the reports on servers that this instance has queried itself after a time, including those that did not
+	// answer.
 	OwnWords(after, now time.Time) []backend.Word
-	// Words returns all that is known and was learned after a moment.
+	// Words returns all reports that this instance learned of after a time, its own and those of others.
 	Words(after, now time.Time) []backend.Word
-	// Hear takes over what others know, and reports whether a server turned bad by it.
+	// Hear applies the reports of another instance and returns whether the state of a server became bad by them.
 	Hear(words []backend.Word, now time.Time) bool
 }
 
-// attach adds to a question what this instance was told by servers since its last question, and how far the asked one has told it.
+// attach adds to a poll the own reports since the last poll, and the mark up to which the polled instance has passed on its
+// reports.
 func (s *Source) attach(p *poll, addr string, now time.Time) {
 	if p.Feed != follow.FeedServers || p.Whole {
 		return
@@ -40,7 +43,7 @@
 	p.Words, p.Mark = s.words.OwnWords(after, now), mark
 }
 
-// learn takes over the words of an answer to a question that was sent at asked.
+// learn applies the reports in the answer to a poll that was sent at asked.
 func (s *Source) learn(p poll, t told, addr string, asked time.Time) {
 	if p.Feed != follow.FeedServers || p.Whole {
 		return
@@ -51,7 +54,8 @@
 	s.words.Hear(t.Words, s.clock.Now())
 }
 
-// overhear takes over the words of a question. When a server turned bad by them, all that wait for news of servers are told at once.
+// overhear applies the reports in a poll. If a server's state became bad by them, all waiting polls of the servers feed are
+// answered at once.
 func (s *Source) overhear(words []backend.Word) {
 	now := s.clock.Now()
 	if !s.words.Hear(words, now) {
@@ -61,7 +65,7 @@
 	s.logs[follow.FeedServers].notify()
 }
 
-// pass returns the words for one that has heard those up to mark, and the next mark.
+// pass returns the reports for an instance that knows those up to mark, and the next mark.
 func (s *Source) pass(mark time.Duration) ([]backend.Word, time.Duration) {
 	now := s.clock.Now()
 	after := now.Add(-initialReportAge)
@@ -71,7 +75,7 @@
 	return s.words.Words(after, now), now.Sub(s.begun)
 }
 
-// turnedWorse reports whether a server has turned bad since mark.
+// turnedWorse reports whether the state of a server has become bad since mark.
 func (s *Source) turnedWorse(mark time.Duration) bool {
 	return time.Duration(s.worse.Load()) > max(mark, 0)
 }
--- a/relay/reports_test.go
+++ b/relay/reports_test.go
@@ -9,7 +9,7 @@
 	"junctioncross/relay"
 )
 
-// fakeReports are the words that an instance holds.
+// fakeReports holds the shared reports of one instance in memory.
 type fakeReports struct {
 	mu       sync.Mutex
 	unsent   []backend.Word
@@ -61,7 +61,7 @@
 	return ok
 }
 
-// TestReportsOfOneInstanceReachItsDomain lets one instance of a domain learn of two servers, of which one is silent.
+// TestReportsOfOneInstanceReachItsDomain gives one instance of a domain reports on two servers, of which one is silent.
 func TestReportsOfOneInstanceReachItsDomain(t *testing.T) {
 	s := newStore()
 	words := map[string]*fakeReports{}
--- a/relay/scenario_test.go
+++ b/relay/scenario_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// access is how the store treats one instance.
+// access is how the store treats the calls of one instance.
 type access int
 
 const (
@@ -15,34 +15,34 @@
 	silent
 )
 
-// fault is a bad time of some instances.
+// fault is a period in which some instances are disturbed.
 type fault struct {
 	from, until time.Duration
-	// hits says which instances.
+	// hits tells for each instance whether the fault affects it.
 	hits []bool
-	// kind says what the store does to them; it is served where the fault is another one.
+	// kind is how the store treats the affected instances; it is served if the fault is of another kind.
 	kind access
-	// killed says that they do not run meanwhile.
+	// killed means that the affected instances do not run during the fault.
 	killed bool
-	// cut says that they reach no instance that the fault does not hit, and none of these reaches them.
+	// cut means that the affected instances are partitioned from all others.
 	cut bool
 }
 
 func (f fault) on(now time.Duration) bool { return f.from <= now && now < f.until }
 
-// day is what happens in one play.
+// day is a scenario: what happens in one simulation.
 type day struct {
 	faults []fault
-	// accepted holds when the configurations were accepted; the first is number 2.
+	// accepted holds the times at which configurations are accepted; the first of them has version 2.
 	accepted []time.Duration
-	// forgotten holds when the store forgets its history.
+	// forgotten holds the times at which the store drops its history.
 	forgotten []time.Duration
 	length    time.Duration
-	// promise is how long a configuration may take.
+	// promise is the apply deadline: how long after its acceptance a configuration may take to be in force.
 	promise time.Duration
 }
 
-// down reports whether the store serves nobody; nothing is accepted then.
+// down reports whether the store serves no instance; no configuration is accepted then.
 func (d day) down(now time.Duration, n int) bool {
 	for i := range n {
 		if a := d.access(i, now); a == served || a == slow {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// partitioned reports whether two instances do not reach each other.
+// partitioned reports whether two instances cannot reach each other.
 func (d day) partitioned(i, j int, now time.Duration) bool {
 	for _, f := range d.faults {
 		if f.cut && f.on(now) && f.hits[i] != f.hits[j] {
@@ -81,7 +81,7 @@
 	return false
 }
 
-// always reports whether something holds all the time; states change at the bounds of faults only.
+// always reports whether a condition holds from one time to another; it can change only when a fault begins or ends.
 func (d day) always(from, until time.Duration, holds func(time.Duration) bool) bool {
 	if !holds(from) {
 		return false
@@ -96,7 +96,7 @@
 	return true
 }
 
-// events returns the moments at which something changes.
+// events returns the times at which something changes, in order.
 func (d day) events() []time.Duration {
 	var out []time.Duration
 	for _, f := range d.faults {
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -19,23 +19,24 @@
 )
 
 const (
-	// promise is how long after its acceptance a configuration may be missing at an instance that can hear of it, and longPromise the same
-	// for a fleet of hundreds.
+	// promise is the apply deadline: how long after its acceptance a configuration may be missing at an instance that can learn
+	// of it. The second deadline is that of a fleet of hundreds.
 	promise     = 3 * time.Second
 	longPromise = 4 * time.Second
-	// endExtraTime is how much longer an end under a request may take: what the platform allows fleets of 72 and 295 more than for a configuration.
+	// endExtraTime is how much longer an end may take than a configuration; the platform allows fleets of 72 and 295 instances
+	// that much more.
 	endExtraTime = time.Second
-	// settled is how long an instance must have run to be held to the promise.
+	// settled is how long an instance must have run before the apply deadline holds for it.
 	settled = 6 * time.Second
-	// storeAnswer and linkAnswer are how long the store and another instance take on a calm day, slowAnswer the store on a bad one.
+	// Latencies of the store and of another instance under normal load, and of the store when it is slow.
 	storeAnswer      = 4 * time.Millisecond
 	linkAnswer       = time.Millisecond
 	slowStoreLatency = 200 * time.Millisecond
-	// mostCalls is the most that an instance may ask the store in a day: four times a second.
+	// mostCalls bounds the store calls of one instance in a scenario: four calls a second.
 	mostCalls = 120
 )
 
-// play is a day with its instances and its store.
+// play is a simulation: a scenario with its instances and its store.
 type play struct {
 	day
 	begun   time.Time
@@ -50,7 +51,7 @@
 	stops   []func()
 	// version is the newest configuration; revisions equal versions.
 	version int64
-	// floor is the version after which the store's history is whole.
+	// floor is the version after which the store's history is complete.
 	floor   int64
 	changed chan struct{}
 	calls   []int
@@ -71,7 +72,7 @@
 	return p
 }
 
-// noEnds is Ends of an instance under which no server has ended.
+// noEnds is the Ends of an instance that has seen no server terminate.
 type noEnds struct{}
 
 // Untold implements Ends.
@@ -82,7 +83,7 @@
 
 func (p *play) now() time.Duration { return time.Since(p.begun) }
 
-// start runs an instance with what is real of it but its connections.
+// start runs an instance with all of its real parts but the connections.
 func (p *play) start(i int) {
 	m := p.members[i]
 	board, book, clock := follow.NewBoard(), quarantine.NewBook(quarantine.Terms{Keep: time.Hour, Most: 1000}), timer.NewReal()
@@ -102,7 +103,8 @@
 	p.mu.Unlock()
 }
 
-// turn brings the instances, the store's state and those that wait for it to what the day says of this moment.
+// turn starts and stops instances and updates the store to the present time of the scenario, and wakes the calls that wait
+// for the store.
 func (p *play) turn() {
 	now := p.now()
 	for i := range p.members {
@@ -130,7 +132,7 @@
 	p.changed = make(chan struct{})
 }
 
-// run plays the day and returns what broke the promise.
+// run runs the simulation and returns a line for each missed deadline.
 func (p *play) run() []string {
 	p.turn()
 	var broken []string
@@ -152,7 +154,7 @@
 	return broken
 }
 
-// end stops all instances; what was asked last ends within its own bounds.
+// end stops all instances and waits for the calls that are still under way.
 func (p *play) end() {
 	for i := range p.members {
 		if p.stops[i] != nil {
@@ -162,14 +164,15 @@
 	time.Sleep(settled)
 }
 
-// forget lets the calls of the store be counted anew.
+// forget resets the counts of store calls.
 func (p *play) forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.calls)
 }
 
-// checkDeadlines returns which instances lack a configuration, or an end that was written with one, whose time is over.
+// checkDeadlines returns a line for each instance that lacks a configuration, or an end that was written with one, whose
+// deadline is now.
 func (p *play) checkDeadlines() []string {
 	now := p.now()
 	var out []string
@@ -186,7 +189,7 @@
 	return out
 }
 
-// lacking returns which instances lack something that was written at a moment and had its time.
+// lacking returns a line for each instance that lacks something whose deadline has passed and that it could have learned of.
 func (p *play) lacking(what string, version int64, written, within time.Duration, has func(i int) bool) []string {
 	var out []string
 	for i := range p.members {
@@ -204,7 +207,8 @@
 	return 0
 }
 
-// mustHave reports whether an instance could hear of what was written all the time: from the store, or from the relay of its domain.
+// mustHave reports whether an instance could learn of a write during the whole time before its deadline: from the store, or
+// from the relay of its domain.
 func (p *play) mustHave(i int, accepted, within time.Duration) bool {
 	until := accepted + within
 	if !p.always(accepted-settled, until, func(now time.Duration) bool { return !p.killed(i, now) }) {
@@ -224,5 +228,5 @@
 	return false
 }
 
-// pollsFirst reports whether an instance asks the one at addr before all others.
+// pollsFirst reports whether an instance polls the one at addr before all others.
 func (s *Source) pollsFirst(addr string) bool { return s.ways()[0].addr == addr }
--- a/relay/startcount_test.go
+++ b/relay/startcount_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// minInstances returns the least number of instances that one of the fleet divides shared limits by.
+// minInstances returns the smallest number of instances by which any instance of the fleet divides shared limits.
 func (b *beginning) minInstances() int {
 	least := b.boards[0].Instances()
 	for _, board := range b.boards {
@@ -19,8 +19,8 @@
 	return least
 }
 
-// TestSharedLimitsAreNotDividedByTooFewInstancesAfterAStart starts fleets in which most have no record in the store, and looks from the end of the
-// first window of the limit on repeats on.
+// TestSharedLimitsAreNotDividedByTooFewInstancesAfterAStart starts fleets in which most instances have no record in the
+// store, and checks their counts for some seconds from the end of the first window of the retry limit.
 func TestSharedLimitsAreNotDividedByTooFewInstancesAfterAStart(t *testing.T) {
 	const window = 10 * time.Second
 	for _, c := range []struct{ domains, each, strong int }{{3, 24, 8}, {3, 25, 8}, {3, 98, 10}, {5, 197, 10}} {
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -44,8 +44,8 @@
 // Decode implements Store.
 func (*countingStore) Decode([]Record) []follow.Change { return nil }
 
-// TestEndsFeedDoesNotPollASuspectStore lets the store go down and come back: the question for the configuration finds out both, and
-// that the feed of ends was not asked for says nothing of the store.
+// TestEndsFeedDoesNotPollASuspectStore stops and restarts the store. Both are detected by the poll of the configuration; the
+// feed of ends must not call a suspect store, and skipping that call must not count as a failure of the store.
 func TestEndsFeedDoesNotPollASuspectStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &countingStore{}
@@ -71,6 +71,6 @@
 		go func() { waiting <- next(follow.FeedQuarantine) }()
 		synctest.Wait()
 		require.NoError(t, next(follow.FeedConfig))
-		require.NoError(t, <-waiting, "it goes on as soon as the store answers")
+		require.NoError(t, <-waiting, "the waiting call continues as soon as the store answers")
 	})
 }
