--- a/census/census.go
+++ b/census/census.go
@@ -51,14 +51,14 @@
 	// instance knows no relay and no key to authenticate with, and reads all feeds from the store, which costs more than
 	// reading the records.
 	firstCountRetryDelay = 500 * time.Millisecond
-	// callTimeout bounds one call to the register.
+	// callTimeout bounds one call to the registry.
 	callTimeout = time.Second
 	// AssumedInstances is the number of instances that is assumed until they are counted. It is twice the size of the largest fleet, so
 	// that each instance's share of a shared limit is safe.
 	AssumedInstances = 2000
 )
 
-// Errors of a Register.
+// Errors of a registry.
 var (
 	// ErrOver means that the record of an instance has expired.
 	ErrOver = errors.New("census: record has ended")
@@ -104,7 +104,7 @@
 // Census counts the instances of the fleet and maintains the registration record of its own instance.
 type Census struct {
 	*Board
-	register Register
+	registry Register
 	self     Instance
 	clock    *timer.Service
 	stats    *metrics.Registry
@@ -125,10 +125,10 @@
 // New starts a Census that publishes what it reads to board; it stops when ctx ends. NewKey generates a key for a fleet that
 // has none.
 func New(
-	ctx context.Context, board *Board, register Register, self Instance, newKey func() ([]byte, error), clock *timer.Service,
+	ctx context.Context, board *Board, registry Register, self Instance, newKey func() ([]byte, error), clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
 ) *Census {
-	c := &Census{Board: board, register: register, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
+	c := &Census{Board: board, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
 	go func() {
 		c.startUp(ctx)
 		for ctx.Err() == nil {
@@ -241,7 +241,7 @@
 }
 
 func (c *Census) join(ctx context.Context, slot Slot) time.Duration {
-	lease, err := c.register.Join(ctx, c.self, slot, recordTTL)
+	lease, err := c.registry.Join(ctx, c.self, slot, recordTTL)
 	switch {
 	case errors.Is(err, ErrTaken):
 		c.stats.Counter("records_taken_total").Inc(1)
@@ -258,7 +258,7 @@
 
 // renew renews the record; if that fails, it returns the delay until the next step and false.
 func (c *Census) renew(ctx context.Context) (time.Duration, bool) {
-	err := c.register.Renew(ctx, c.lease)
+	err := c.registry.Renew(ctx, c.lease)
 	switch {
 	case errors.Is(err, ErrOver):
 		c.lease = 0
@@ -293,7 +293,7 @@
 func (c *Census) list(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	snapshot, err := c.register.List(ctx)
+	snapshot, err := c.registry.List(ctx)
 	if err != nil {
 		c.log.WithError(err).Warn("instances not counted")
 		return false
@@ -351,7 +351,7 @@
 	}
 	key, err := c.newKey()
 	if err == nil {
-		key, err = c.register.Found(ctx, key)
+		key, err = c.registry.Found(ctx, key)
 	}
 	if err != nil {
 		c.log.WithError(err).Warn("the fleet's key not written")
--- a/census/census_test.go
+++ b/census/census_test.go
@@ -24,8 +24,8 @@
 	relayThreshold = 24
 )
 
-// register is a census.Register in memory.
-type register struct {
+// fakeRegistry is a census.Register in memory.
+type fakeRegistry struct {
 	mu          sync.Mutex
 	members     map[int64]census.Instance
 	key         []byte
@@ -38,21 +38,21 @@
 }
 
 // renewals returns how often a record was renewed.
-func (r *register) renewals(lease int64) int {
+func (r *fakeRegistry) renewals(lease int64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.renewed[lease]
 }
 
 // newest returns the lease of the newest record.
-func (r *register) newest() int64 {
+func (r *fakeRegistry) newest() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.next
 }
 
 // Join implements census.Register.
-func (r *register) Join(_ context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
+func (r *fakeRegistry) Join(_ context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var there int64
@@ -75,7 +75,7 @@
 }
 
 // Renew implements census.Register.
-func (r *register) Renew(_ context.Context, lease int64) error {
+func (r *fakeRegistry) Renew(_ context.Context, lease int64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, ok := r.members[lease]; !ok {
@@ -89,7 +89,7 @@
 }
 
 // List implements census.Register.
-func (r *register) List(context.Context) (census.Roll, error) {
+func (r *fakeRegistry) List(context.Context) (census.Roll, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
@@ -104,7 +104,7 @@
 }
 
 // Found implements census.Register.
-func (r *register) Found(_ context.Context, key []byte) ([]byte, error) {
+func (r *fakeRegistry) Found(_ context.Context, key []byte) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.key == nil {
@@ -114,11 +114,11 @@
 	return r.key, nil
 }
 
-func start(t *testing.T, r *register, n int) []*census.Census {
+func start(t *testing.T, r *fakeRegistry, n int) []*census.Census {
 	return startAt(t, r, n, timer.NewReal())
 }
 
-func startAt(t *testing.T, r *register, n int, clock *timer.Service) []*census.Census {
+func startAt(t *testing.T, r *fakeRegistry, n int, clock *timer.Service) []*census.Census {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	out := make([]*census.Census, n)
@@ -131,7 +131,7 @@
 }
 
 func TestInstancesAgreeOnCountAndFleetKey(t *testing.T) {
-	r := &register{members: map[int64]census.Instance{}}
+	r := &fakeRegistry{members: map[int64]census.Instance{}}
 	all := start(t, r, 4)
 	require.Equal(t, census.AssumedInstances, all[0].Instances(), "no instance may assume that it is alone before its first read of the records")
 	for _, c := range all {
@@ -142,7 +142,7 @@
 }
 
 func TestLateInstanceKnowsTheOthersAtOnce(t *testing.T) {
-	r := &register{members: map[int64]census.Instance{1: {Name: "old"}, 2: {Name: "older"}}, next: 2, key: []byte("k")}
+	r := &fakeRegistry{members: map[int64]census.Instance{1: {Name: "old"}, 2: {Name: "older"}}, next: 2, key: []byte("k")}
 	late := start(t, r, 1)[0]
 	require.Eventually(t, func() bool { return len(late.Members()) >= 2 && string(late.Key()) == "k" }, timeout, time.Millisecond)
 }
@@ -156,7 +156,7 @@
 		soon   = time.Second
 		step   = 10 * time.Millisecond
 	)
-	r := &register{members: map[int64]census.Instance{1: {Name: "old"}}, next: 1, key: []byte("k"), down: true}
+	r := &fakeRegistry{members: map[int64]census.Instance{1: {Name: "old"}}, next: 1, key: []byte("k"), down: true}
 	fake := clockwork.NewFakeClock()
 	one := startAt(t, r, 1, timer.New(fake))[0]
 	pass := func(d time.Duration) {
@@ -179,7 +179,7 @@
 // TestRestartedInstanceKeepsItsRecord restarts an instance before its record has expired, as happens when the whole fleet
 // restarts: writing a new record costs twenty times the calls of renewing the old one.
 func TestRestartedInstanceKeepsItsRecord(t *testing.T) {
-	r := &register{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "addr-0"}}, next: 7, key: []byte("k")}
+	r := &fakeRegistry{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "addr-0"}}, next: 7, key: []byte("k")}
 	start(t, r, 1)
 	require.Eventually(t, func() bool { return r.renewals(7) > 0 }, timeout, time.Millisecond)
 	require.Equal(t, int64(7), r.newest())
@@ -187,7 +187,7 @@
 
 // TestInstanceAtANewAddressWritesANewRecord starts an instance whose record holds an address that is no longer its own.
 func TestInstanceAtANewAddressWritesANewRecord(t *testing.T) {
-	r := &register{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "former"}}, next: 7, key: []byte("k")}
+	r := &fakeRegistry{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "former"}}, next: 7, key: []byte("k")}
 	start(t, r, 1)
 	require.Eventually(t, func() bool { return r.newest() == 8 }, timeout, time.Millisecond)
 	require.Zero(t, r.renewals(7))
@@ -197,7 +197,7 @@
 // that knew only the first few records would take the fleet for one too small for relays.
 func TestInstancesStartingTogetherDoNotPublishTheFirstRecords(t *testing.T) {
 	const fleet = 40
-	r := &register{members: map[int64]census.Instance{}}
+	r := &fakeRegistry{members: map[int64]census.Instance{}}
 	for _, c := range start(t, r, fleet) {
 		require.Eventually(t, func() bool { return len(c.Members()) > 0 }, timeout, time.Millisecond)
 		require.GreaterOrEqual(t, len(c.Members()), relayThreshold)
@@ -206,7 +206,7 @@
 
 // TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted starts the largest fleet in which every instance has a record.
 func TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted(t *testing.T) {
-	r := &register{members: map[int64]census.Instance{}}
+	r := &fakeRegistry{members: map[int64]census.Instance{}}
 	for _, c := range start(t, r, relayThreshold-1) {
 		require.Eventually(t, func() bool { return len(c.Members()) == relayThreshold-1 && c.Instances() == relayThreshold-1 }, timeout, time.Millisecond)
 	}
--- a/census/view.go
+++ b/census/view.go
@@ -24,7 +24,7 @@
 	counts map[string]int
 }
 
-// NewBoard returns an empty Board. Fleets with fewer than relayThreshold records use no relays, and every instance has a
+// NewBoard returns an empty view. Fleets with fewer than relayThreshold records use no relays, and every instance has a
 // record.
 func NewBoard(relayThreshold int) *Board {
 	b := &Board{relayThreshold: relayThreshold, counts: map[string]int{}, changed: make(chan struct{})}
--- a/relay/register.go
+++ b/relay/registry.go
@@ -64,7 +64,7 @@
 	lostUntil   time.Time
 }
 
-// NewRolls wraps the register of the store: it lists the records through relays and passes all other calls on.
+// NewRolls wraps the registry of the store: it lists the records through relays and passes all other calls on.
 func NewRolls(self Self, records census.Register, fleet Fleet, links *link.Client, clock *timer.Service) *Rolls {
 	return &Rolls{
 		Register: records, self: self, fleet: fleet, peers: linked{client: links}, clock: clock, readLock: make(chan struct{}, 1),
--- a/relay/register_test.go
+++ b/relay/registry_test.go
@@ -22,8 +22,8 @@
 	"junctioncross/timer"
 )
 
-// fakeRegister holds the records of a fleet in memory, as one instance reads them from the store.
-type fakeRegister struct {
+// fakeRegistry holds the records of a fleet in memory, as one instance reads them from the store.
+type fakeRegistry struct {
 	census.Register
 	mu    sync.Mutex
 	roll  census.Roll
@@ -32,7 +32,7 @@
 }
 
 // List implements census.Register.
-func (r *fakeRegister) List(context.Context) (census.Roll, error) {
+func (r *fakeRegistry) List(context.Context) (census.Roll, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reads++
@@ -42,41 +42,41 @@
 	return r.roll, nil
 }
 
-func (r *fakeRegister) readCount() int {
+func (r *fakeRegistry) readCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reads
 }
 
 // setMembers sets the instances that have records.
-func (r *fakeRegister) setMembers(members []census.Instance) {
+func (r *fakeRegistry) setMembers(members []census.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.roll.Records = recordsOf(members)
 }
 
 // setDown makes the store reject all reads.
-func (r *fakeRegister) setDown() {
+func (r *fakeRegistry) setDown() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = true
 }
 
-// registerFleet holds instances of one domain that list each other's records; the first one is the relay.
-type registerFleet struct {
+// registryFleet holds instances of one domain that list each other's records; the first one is the relay.
+type registryFleet struct {
 	members []census.Instance
-	records []*fakeRegister
+	records []*fakeRegistry
 	rolls   []*relay.Rolls
 	servers []*link.Server
 }
 
-func newRegisterFleet(t *testing.T, n int) registerFleet {
+func newRegistryFleet(t *testing.T, n int) registryFleet {
 	key, err := keys.NewFleetKey(time.Now())
 	require.NoError(t, err)
 	trust := keys.NewFleetKeyFrom(func() []byte { return key })
 	addrs, err := ports.Free(n)
 	require.NoError(t, err)
-	var c registerFleet
+	var c registryFleet
 	for i, addr := range addrs {
 		c.members = append(c.members, census.Instance{Name: addr, Domain: "east", Addr: addr, Power: float64(n - i)})
 	}
@@ -85,7 +85,7 @@
 	for _, m := range c.members {
 		links := link.NewClient(trust, metrics.New())
 		t.Cleanup(links.Close)
-		own := &fakeRegister{roll: census.Roll{Records: recordsOf(c.members), Key: key}}
+		own := &fakeRegistry{roll: census.Roll{Records: recordsOf(c.members), Key: key}}
 		self := relay.Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 2, ApplyTime: 3 * time.Second}
 		rolls := relay.NewRolls(self, own, fleet{members: c.members, key: key}, links, timer.NewReal())
 		mux := link.NewMux()
@@ -99,7 +99,7 @@
 }
 
 func TestRelayReadsTheRecordsForItsDomain(t *testing.T) {
-	c := newRegisterFleet(t, 6)
+	c := newRegistryFleet(t, 6)
 	for _, r := range c.rolls {
 		roll, err := r.List(t.Context())
 		require.NoError(t, err)
@@ -114,7 +114,7 @@
 
 // TestNewInstanceIsListed adds a record that the listing instances do not know yet.
 func TestNewInstanceIsListed(t *testing.T) {
-	c := newRegisterFleet(t, 3)
+	c := newRegistryFleet(t, 3)
 	more := append([]census.Instance{{Name: "new", Domain: "east", Addr: "127.0.0.1:1", Power: 0.5}}, c.members...)
 	c.records[0].setMembers(more)
 	roll, err := c.rolls[2].List(t.Context())
@@ -124,7 +124,7 @@
 
 // TestRecordsAreReadFromTheStoreWithoutARelay stops the relay and lets the store reject the standby relay.
 func TestRecordsAreReadFromTheStoreWithoutARelay(t *testing.T) {
-	c := newRegisterFleet(t, 4)
+	c := newRegistryFleet(t, 4)
 	require.NoError(t, c.servers[0].Close())
 	c.records[1].setDown()
 	roll, err := c.rolls[3].List(t.Context())
@@ -142,7 +142,7 @@
 		for n := range 8 {
 			members = append(members, census.Instance{Name: fmt.Sprint(n), Domain: "east", Power: 1})
 		}
-		r := &fakeRegister{roll: census.Roll{Era: 1}}
+		r := &fakeRegistry{roll: census.Roll{Era: 1}}
 		r.setMembers(members)
 		rolls := relay.NewRolls(relay.Self{Name: "0", Domain: "east", From: 24}, r, census.NewBoard(24), nil, timer.NewReal())
 		count := func() []census.Record {
--- a/relay/scenario_test.go
+++ b/relay/scenario_test.go
@@ -30,7 +30,7 @@
 
 func (f fault) on(now time.Duration) bool { return f.from <= now && now < f.until }
 
-// day is a scenario: what happens in one simulation.
+// day is what happens in one simulation.
 type day struct {
 	faults []fault
 	// accepted holds the times at which configurations are accepted; the first of them has version 2.
@@ -38,7 +38,7 @@
 	// forgotten holds the times at which the store drops its history.
 	forgotten []time.Duration
 	length    time.Duration
-	// promise is the apply deadline: how long after its acceptance a configuration may take to be in force.
+	// promise is how long after its acceptance a configuration may take to be in force.
 	promise time.Duration
 }
 
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// promise is the apply deadline: how long after its acceptance a configuration may be missing at an instance that can learn
+	// promise is how long after its acceptance a configuration may be missing at an instance that can learn
 	// of it. The second deadline is that of a fleet of hundreds.
 	promise     = 3 * time.Second
 	longPromise = 4 * time.Second
@@ -36,7 +36,7 @@
 	mostCalls = 120
 )
 
-// play is a simulation: a scenario with its instances and its store.
+// play runs a scenario with its instances and its store.
 type play struct {
 	day
 	begun   time.Time
