--- a/census/census.go
+++ b/census/census.go
@@ -53,8 +53,8 @@
 	firstCountRetryDelay = 500 * time.Millisecond
 	// callTimeout bounds one call to the registry.
 	callTimeout = time.Second
-	// AssumedInstances is the number of instances that is assumed until they are counted. It is twice the size of the largest fleet, so
-	// that each instance's share of a shared limit is safe.
+	// AssumedInstances is the number of instances that is assumed until they are counted. It is twice the size of the largest
+	// fleet, so that each instance's share of a shared limit is safe.
 	AssumedInstances = 2000
 )
 
--- a/census/census_test.go
+++ b/census/census_test.go
@@ -133,7 +133,7 @@
 func TestInstancesAgreeOnCountAndFleetKey(t *testing.T) {
 	r := &fakeRegistry{members: map[int64]census.Instance{}}
 	all := start(t, r, 4)
-	require.Equal(t, census.AssumedInstances, all[0].Instances(), "no instance may assume that it is alone before its first read of the records")
+	require.Equal(t, census.AssumedInstances, all[0].Instances(), "no instance may assume that it is alone before its first read")
 	for _, c := range all {
 		require.Eventually(t, func() bool { return c.Instances() == 4 && len(c.Key()) > 0 }, timeout, 20*time.Millisecond)
 		require.Equal(t, all[0].Key(), c.Key())
