--- a/relay/log_test.go
+++ b/relay/log_test.go
@@ -113,7 +113,7 @@
 	log.SetOutput(io.Discard)
 	all := instances(1, 30)
 	self := Self{Name: all[9].Name, Domain: all[9].Domain, From: 24, ApplyTime: promise}
-	s := New(self, simStore{p: newPlay(all, day{})}, known(all), nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
+	s := New(self, scenarioStore{p: newPlay(all, day{})}, known(all), nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
 	s.peers = laterRelay{}
 	s.logs[follow.FeedConfig].restart(updateAt(5, Record{Key: "kept", Revision: 2}, Record{Key: "gone", Revision: 3}), false)
 	h, err := s.catchUp(t.Context(), s.ways()[0], follow.FeedConfig, 5)
--- a/relay/platform_test.go
+++ b/relay/platform_test.go
@@ -13,14 +13,14 @@
 	"junctioncross/quarantine"
 )
 
-// simStore is the simulated store as one instance sees it; it implements Store.
-type simStore struct {
+// scenarioStore is the simulated store as one instance sees it; it implements Store.
+type scenarioStore struct {
 	p *play
 	i int
 }
 
 // ask counts a call and simulates its latency and its failure.
-func (s simStore) ask(ctx context.Context) error {
+func (s scenarioStore) ask(ctx context.Context) error {
 	s.p.mu.Lock()
 	s.p.calls[s.i]++
 	s.p.mu.Unlock()
@@ -42,10 +42,10 @@
 }
 
 // Reach implements Store.
-func (s simStore) Reach(ctx context.Context) error { return s.ask(ctx) }
+func (s scenarioStore) Reach(ctx context.Context) error { return s.ask(ctx) }
 
 // ReadFeed implements Store.
-func (s simStore) ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error) {
+func (s scenarioStore) ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error) {
 	ctx, cancel := context.WithTimeout(ctx, PageTime)
 	defer cancel()
 	if err := s.ask(ctx); err != nil {
@@ -82,7 +82,7 @@
 }
 
 // WatchFeed implements Store.
-func (s simStore) WatchFeed(ctx context.Context, feed follow.Feed, after follow.Position, wait time.Duration) ([]Record, follow.Position, error) {
+func (s scenarioStore) WatchFeed(ctx context.Context, feed follow.Feed, after follow.Position, wait time.Duration) ([]Record, follow.Position, error) {
 	if err := s.ask(ctx); err != nil {
 		return nil, 0, err
 	}
@@ -113,7 +113,7 @@
 }
 
 // Decode implements Store.
-func (s simStore) Decode(records []Record) []follow.Change {
+func (s scenarioStore) Decode(records []Record) []follow.Change {
 	var out []follow.Change
 	for _, r := range records {
 		if r.Key != keyOfConfig {
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -87,7 +87,7 @@
 func (p *play) start(i int) {
 	m := p.members[i]
 	board, book, clock := follow.NewBoard(), quarantine.NewBook(quarantine.Terms{Keep: time.Hour, Most: 1000}), timer.NewReal()
-	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 24, ApplyTime: p.promise}, simStore{p, i}, known(p.members), board, noEnds{}, nil, clock, metrics.New(), p.log)
+	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 24, ApplyTime: p.promise}, scenarioStore{p, i}, known(p.members), board, noEnds{}, nil, clock, metrics.New(), p.log)
 	s.peers = simPeers{p, i}
 	ctx, stop := context.WithCancel(context.Background())
 	p.mu.Lock()
