--- a/relay/platform_test.go
+++ b/relay/platform_test.go
@@ -129,13 +129,13 @@
 	return out
 }
 
-// simPeers are the other instances of a simulation as one instance sees them; it implements peers.
-type simPeers struct {
+// scenarioPeers are the other instances of a simulation as one instance sees them; it implements peers.
+type scenarioPeers struct {
 	p *play
 	i int
 }
 
-func (o simPeers) poll(ctx context.Context, addr string, q poll) (told, error) {
+func (o scenarioPeers) poll(ctx context.Context, addr string, q poll) (told, error) {
 	if err := o.reach(ctx, addr); err != nil {
 		return told{}, err
 	}
@@ -159,11 +159,11 @@
 	return t, nil
 }
 
-func (o simPeers) roll(context.Context, string, rollAsked) (rollTold, error) {
+func (o scenarioPeers) roll(context.Context, string, rollAsked) (rollTold, error) {
 	return rollTold{}, link.ErrRefused
 }
 
-func (o simPeers) reach(ctx context.Context, addr string) error {
+func (o scenarioPeers) reach(ctx context.Context, addr string) error {
 	j, now := o.p.index[addr], o.p.now()
 	if o.p.partitioned(o.i, j, now) || o.p.killed(j, now) {
 		<-ctx.Done()
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -88,7 +88,7 @@
 	m := p.members[i]
 	board, book, clock := follow.NewBoard(), quarantine.NewBook(quarantine.Terms{Keep: time.Hour, Most: 1000}), timer.NewReal()
 	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 24, ApplyTime: p.promise}, scenarioStore{p, i}, known(p.members), board, noEnds{}, nil, clock, metrics.New(), p.log)
-	s.peers = simPeers{p, i}
+	s.peers = scenarioPeers{p, i}
 	ctx, stop := context.WithCancel(context.Background())
 	p.mu.Lock()
 	p.sources[i], p.boards[i], p.books[i], p.stops[i] = s, board, book, stop
