--- a/app/checks.go
+++ b/app/checks.go
@@ -19,23 +19,23 @@
 
 // checks answers the balancer's checks and the scrapes of metrics and profiles of a hosted instance.
 type checks struct {
-	set     *config.Hosted
-	board   *follow.Board
-	front   *front.Server
-	handler *forward.Handler
-	clock   *timer.Service
-	stats   *metrics.Registry
-	log     *logrus.Logger
-	leaving atomic.Bool
-	// ready is the last answer, so that changes are logged once.
-	ready atomic.Bool
+	settings *config.Hosted
+	view     *follow.Board
+	front    *front.Server
+	handler  *forward.Handler
+	clock    *timer.Service
+	stats    *metrics.Registry
+	log      *logrus.Logger
+	leaving  atomic.Bool
+	// lastReady is the last answer, so that changes are logged once.
+	lastReady atomic.Bool
 }
 
 func newChecks(
-	set *config.Hosted, board *follow.Board, server *front.Server, handler *forward.Handler,
+	settings *config.Hosted, view *follow.Board, server *front.Server, handler *forward.Handler,
 	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *checks {
-	return &checks{set: set, board: board, front: server, handler: handler, clock: clock, stats: stats, log: log}
+	return &checks{settings: settings, view: view, front: server, handler: handler, clock: clock, stats: stats, log: log}
 }
 
 // leave makes the balancer's check fail from now on.
@@ -43,23 +43,27 @@
 
 // listen starts to answer checks and scrapes.
 func (c *checks) listen() error {
-	readiness := &fasthttp.Server{Handler: c.readiness, Logger: quiet{}, NoDefaultServerHeader: true, ReadTimeout: time.Minute}
-	if err := serve(c.set.Listen.Readiness, readiness, nil, c.clock); err != nil {
+	readiness := &fasthttp.Server{
+		Handler: c.readiness, Logger: discardLogger{}, NoDefaultServerHeader: true, ReadTimeout: time.Minute,
+	}
+	if err := serve(c.settings.Listen.Readiness, readiness, nil, c.clock); err != nil {
 		return err
 	}
-	scrapes := &fasthttp.Server{Handler: c.scrape, Logger: quiet{}, NoDefaultServerHeader: true, ReadTimeout: time.Minute}
-	return serve(c.set.Listen.Metrics, scrapes, nil, c.clock)
+	scrapes := &fasthttp.Server{
+		Handler: c.scrape, Logger: discardLogger{}, NoDefaultServerHeader: true, ReadTimeout: time.Minute,
+	}
+	return serve(c.settings.Listen.Metrics, scrapes, nil, c.clock)
 }
 
 func (c *checks) readiness(ctx *fasthttp.RequestCtx) {
-	if string(ctx.Path()) != c.set.Listen.ReadyPath {
+	if string(ctx.Path()) != c.settings.Listen.ReadyPath {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
 	reason, ready := c.state()
-	if c.ready.Swap(ready) != ready {
+	if c.lastReady.Swap(ready) != ready {
 		c.log.WithFields(logrus.Fields{
-			"ready": ready, "reason": reason, "config_age_ms": c.board.KeysAge(c.clock.Now()).Milliseconds(),
+			"ready": ready, "reason": reason, "config_age_ms": c.view.KeysAge(c.clock.Now()).Milliseconds(),
 		}).Info("readiness changed")
 	}
 	if !ready {
@@ -71,7 +75,7 @@
 
 // state returns whether callers should come here, and why.
 func (c *checks) state() (string, bool) {
-	current := c.board.Current().Catalog()
+	current := c.view.Current().Catalog()
 	switch {
 	case c.leaving.Load():
 		return "leaving", false
@@ -95,8 +99,8 @@
 		pprofhandler.PprofHandler(ctx)
 	case path == "/metrics":
 		c.stats.Gauge("requests_running").Update(int64(c.front.Running()))
-		c.stats.Gauge("config_age_ms").Update(c.board.KeysAge(c.clock.Now()).Milliseconds())
-		c.stats.Gauge("servers_age_ms").Update(c.board.ServersAge(c.clock.Now()).Milliseconds())
+		c.stats.Gauge("config_age_ms").Update(c.view.KeysAge(c.clock.Now()).Milliseconds())
+		c.stats.Gauge("servers_age_ms").Update(c.view.ServersAge(c.clock.Now()).Milliseconds())
 		c.handler.Measure()
 		ctx.SetContentType("text/plain; version=0.0.4")
 		if err := c.stats.Write(ctx); err != nil {
--- a/app/claims.go
+++ b/app/claims.go
@@ -15,17 +15,19 @@
 	"junctioncross/timer"
 )
 
-func newKeeper(set *config.Settings, self control.Self, store kv.Store, clock *timer.Service, stats *metrics.Registry) *claim.Keeper {
-	return claim.NewKeeper(store, clock, stats, self.Process(), set.Limits.ClaimPartitions)
+func newClaimLogs(
+	settings *config.Settings, self control.Self, store kv.Store, clock *timer.Service, stats *metrics.Registry,
+) *claim.Keeper {
+	return claim.NewKeeper(store, clock, stats, self.Process(), settings.Limits.ClaimPartitions)
 }
 
-// newClaims settles claims on the instances that write them, over the links between instances.
-func newClaims(keeper *claim.Keeper, loop *control.Loop, links *link.Client, mux *link.Mux, stats *metrics.Registry) claim.Asker {
+// newClaimer settles claims on the instances that write them, over the links between instances.
+func newClaimer(logs *claim.Keeper, loop *control.Loop, links *link.Client, mux *link.Mux, stats *metrics.Registry) claim.Asker {
 	link.Handle(mux, link.KindClaim, func(ctx context.Context, _ keys.Identity, c claim.Claim) (claim.Answer, error) {
-		v, err := keeper.Ask(ctx, c)
+		v, err := logs.Ask(ctx, c)
 		return claim.ToAnswer(v), err
 	})
-	return claim.NewRouter(keeper, loop, forwardClaim(links), stats)
+	return claim.NewRouter(logs, loop, forwardClaim(links), stats)
 }
 
 func forwardClaim(links *link.Client) claim.Forward {
--- a/app/hosted.go
+++ b/app/hosted.go
@@ -33,19 +33,19 @@
 )
 
 const (
-	// memoryShare is the part of the allowed memory at which the runtime collects garbage without regard to its cost; the
+	// memoryLimitShare is the part of the allowed memory at which the runtime collects garbage without regard to its cost; the
 	// rest is left for stacks, buffers of the network and bursts.
-	memoryShare = 0.6
-	// keysShare is the part of the revocation time for which confirmed keys are accepted; the rest covers a watch that was
+	memoryLimitShare = 0.6
+	// keysAgeShare is the part of the revocation time for which confirmed keys are accepted; the rest covers a watch that was
 	// deaf for a second and the way of the request to its server.
-	keysShare = 0.72
-	// repeatsShare is the part of the allowed repeats that is used; the rest covers repeats that arrive later than they were
+	keysAgeShare = 0.72
+	// retryShare is the part of the allowed repeats that is used; the rest covers repeats that arrive later than they were
 	// allowed, and instances that have come and are not counted yet.
-	repeatsShare = 0.9
+	retryShare = 0.9
 	// stopMargin is how long before the end of the grace time the process ends by itself.
 	stopMargin = 400 * time.Millisecond
-	// stopPeriod is how often a stopping instance looks whether it is done.
-	stopPeriod = 50 * time.Millisecond
+	// stopPollPeriod is how often a stopping instance looks whether it is done.
+	stopPollPeriod = 50 * time.Millisecond
 	// noticeTime is how long the balancer may go on sending connections after readiness fails: two checks, one a second.
 	noticeTime = 3 * time.Second
 )
@@ -54,21 +54,21 @@
 type hosted struct {
 	dig.In
 
-	Set     *config.Hosted
-	Front   *front.Server
-	Handler *forward.Handler
-	Loop    *follow.Loop
-	Leader  *leader.Leader
-	Census  *census.Census
-	Rolls   *relay.Rolls
-	Relay   *relay.Source
-	Links   *link.Client
-	Trust   link.Trust
-	Stats   *metrics.Registry
-	Checks  *checks
-	Queue   *decision.Queue
-	Clock   *timer.Service
-	Log     *logrus.Logger
+	Settings *config.Hosted
+	Front    *front.Server
+	Handler  *forward.Handler
+	Loop     *follow.Loop
+	Leader   *leader.Leader
+	Census   *census.Census
+	Register *relay.Rolls
+	Relay    *relay.Source
+	Links    *link.Client
+	Trust    link.Trust
+	Stats    *metrics.Registry
+	Checks   *checks
+	Queue    *decision.Queue
+	Clock    *timer.Service
+	Log      *logrus.Logger
 }
 
 // Reload carries new settings, or the reason why they cannot be used.
@@ -86,28 +86,28 @@
 }
 
 // RunHosted starts an instance and returns when it has stopped after it was told to, or could not start.
-func RunHosted(set *config.Hosted, signals Signals) error {
-	debug.SetMemoryLimit(int64(memoryShare * float64(set.Memory.Megabytes) * (1 << 20)))
+func RunHosted(settings *config.Hosted, signals Signals) error {
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.Memory.Megabytes) * (1 << 20)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c, err := hostedContainer(ctx, set)
+	c, err := hostedContainer(ctx, settings)
 	if err != nil {
 		return errors.Wrap(err, "app: wire")
 	}
-	var failed error
-	err = c.Invoke(func(i hosted) { failed = i.run(signals) })
+	var runErr error
+	err = c.Invoke(func(i hosted) { runErr = i.run(signals) })
 	if err != nil {
 		return errors.Wrap(dig.RootCause(err), "app: start")
 	}
-	return failed
+	return runErr
 }
 
 // hostedContainer provides every part of a hosted instance.
-func hostedContainer(ctx context.Context, set *config.Hosted) (*dig.Container, error) {
+func hostedContainer(ctx context.Context, settings *config.Hosted) (*dig.Container, error) {
 	return provide(
 		func() context.Context { return ctx },
-		func() *config.Hosted { return set },
-		func() *platform.Store { return platform.NewStore(set.Store.Addr) },
+		func() *config.Hosted { return settings },
+		func() *platform.Store { return platform.NewStore(settings.Store.Addr) },
 		func() call.Codec { return platform.Codec{} },
 		func(s *platform.Store) relay.Store { return platform.NewFeeds(s) },
 		func(s *relay.Source) follow.Source { return s },
@@ -118,118 +118,126 @@
 		func(b *follow.Board) relay.Words { return b },
 		func(t *quarantine.Teller) relay.Ends { return t },
 		func(t *quarantine.Teller) forward.Teller { return t },
-		newBook, newQuarantineRegister, quarantine.NewTeller,
+		newQuarantineBook, newEndStore, quarantine.NewTeller,
 		func(b *census.Board) link.Trust { return keys.NewFleetKeyFrom(b.Key) },
 		func(clock *timer.Service) backend.Caller { return platform.NewEngines(clock) },
-		timer.NewSuspendable, metrics.New, follow.NewBoard, follow.New, newQueue, newHostedLog, decision.NewRecorder, hostedTerms,
-		forward.New, newFront, newOrderLeader, newChecks, newCensusBoard, newRolls, newCensus, relaySelf, relay.New, link.NewClient,
+		timer.NewSuspendable, metrics.New, follow.NewBoard, follow.New, newStdoutQueue, newHostedLog, decision.NewRecorder,
+		forwardSettings, forward.New, newFront, newOrderLeader, newChecks, newMembershipView, newRegister, newCensus, relaySelf,
+		relay.New, link.NewClient,
 	)
 }
 
-func newQueue(clock *timer.Service, stats *metrics.Registry) *decision.Queue {
+func newStdoutQueue(clock *timer.Service, stats *metrics.Registry) *decision.Queue {
 	return decision.NewQueue(os.Stdout, clock, stats)
 }
 
-func newHostedLog(set *config.Hosted, queue *decision.Queue) (*logrus.Logger, error) {
-	return newLogger(queue, set.Log, instanceHook{name: set.Instance.Name, domain: set.Instance.Domain})
+func newHostedLog(settings *config.Hosted, queue *decision.Queue) (*logrus.Logger, error) {
+	return newLogger(queue, settings.Log, instanceHook{name: settings.Instance.Name, domain: settings.Instance.Domain})
 }
 
-func hostedTerms(set *config.Hosted) forward.Terms {
-	terms := forward.Terms{
-		Domain: set.Instance.Domain, StallTime: set.Engines.StallTime,
-		Repeats:   retry.Limit{Window: set.Repeats.Window, Share: repeatsShare * set.Repeats.Share, Fixed: repeatsShare * set.Repeats.Slack},
-		DrainTime: set.Engines.DrainTime, LongestBackOff: set.Servers.LongestBackOff,
+func forwardSettings(settings *config.Hosted) forward.Terms {
+	s := forward.Terms{
+		Domain: settings.Instance.Domain, StallTime: settings.Engines.StallTime,
+		Repeats: retry.Limit{
+			Window: settings.Repeats.Window, Share: retryShare * settings.Repeats.Share, Fixed: retryShare * settings.Repeats.Slack,
+		},
+		DrainTime: settings.Engines.DrainTime, LongestBackOff: settings.Servers.LongestBackOff,
 	}
-	if set.Keys.Strict {
-		terms.KeysAge = time.Duration(keysShare * float64(set.Keys.RevokeTime))
+	if settings.Keys.Strict {
+		s.KeysAge = time.Duration(keysAgeShare * float64(settings.Keys.RevokeTime))
 	}
-	return terms
+	return s
 }
 
-func newBook(set *config.Hosted) *quarantine.Book {
-	q := set.Quarantine
+func newQuarantineBook(settings *config.Hosted) *quarantine.Book {
+	q := settings.Quarantine
 	return quarantine.NewBook(quarantine.Terms{Ends: q.Ends, EndsOfOne: q.EndsOfOne, Keep: q.Keep, Most: q.Most})
 }
 
-func newQuarantineRegister(set *config.Hosted, store *platform.Store, clock *timer.Service) quarantine.Register {
-	return platform.NewQuarantines(store, clock, set.Quarantine.Keep)
+func newEndStore(settings *config.Hosted, store *platform.Store, clock *timer.Service) quarantine.Register {
+	return platform.NewQuarantines(store, clock, settings.Quarantine.Keep)
 }
 
-func newFront(codec call.Codec, handler *forward.Handler, board *follow.Board, clock *timer.Service, stats *metrics.Registry) *front.Server {
+func newFront(
+	codec call.Codec, handler *forward.Handler, view *follow.Board, clock *timer.Service, stats *metrics.Registry,
+) *front.Server {
 	limits := func() catalog.Limits {
-		if c := board.Current().Catalog(); c != nil {
+		if c := view.Current().Catalog(); c != nil {
 			return c.Limits()
 		}
 		return catalog.Limits{}
 	}
-	return front.New(codec, handler, limits, mostConnections, clock, stats)
+	return front.New(codec, handler, limits, maxConnections, clock, stats)
 }
 
-func newCensusBoard(set *config.Hosted) *census.Board { return census.NewBoard(set.Relays.From) }
+func newMembershipView(settings *config.Hosted) *census.Board {
+	return census.NewBoard(settings.Relays.From)
+}
 
 func newCensus(
-	ctx context.Context, set *config.Hosted, board *census.Board, rolls *relay.Rolls, clock *timer.Service, stats *metrics.Registry,
-	log *logrus.Logger,
+	ctx context.Context, settings *config.Hosted, membership *census.Board, register *relay.Rolls, clock *timer.Service,
+	stats *metrics.Registry, log *logrus.Logger,
 ) *census.Census {
 	self := census.Instance{
-		Name: set.Instance.Name, Domain: set.Instance.Domain, Addr: set.Listen.Peers, Power: set.Instance.Power,
+		Name: settings.Instance.Name, Domain: settings.Instance.Domain, Addr: settings.Listen.Peers, Power: settings.Instance.Power,
 	}
 	newKey := func() ([]byte, error) { return keys.NewFleetKey(clock.Now()) }
-	return census.New(ctx, board, rolls, self, newKey, clock, stats, log)
+	return census.New(ctx, membership, register, self, newKey, clock, stats, log)
 }
 
-func relaySelf(set *config.Hosted) relay.Self {
+func relaySelf(settings *config.Hosted) relay.Self {
 	return relay.Self{
-		Name: set.Instance.Name, Domain: set.Instance.Domain, Addr: set.Listen.Peers, From: set.Relays.From, ApplyTime: set.Relays.ApplyTime,
+		Name: settings.Instance.Name, Domain: settings.Instance.Domain, Addr: settings.Listen.Peers, From: settings.Relays.From,
+		ApplyTime: settings.Relays.ApplyTime,
 	}
 }
 
-func newRolls(
+func newRegister(
 	self relay.Self, store *platform.Store, fleet relay.Fleet, links *link.Client, clock *timer.Service,
 ) *relay.Rolls {
 	return relay.NewRolls(self, platform.NewRegisters(store), fleet, links, clock)
 }
 
 func newOrderLeader(
-	ctx context.Context, set *config.Hosted, claim leader.Claim, place leader.Place, board *follow.Board, caller backend.Caller,
-	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
+	ctx context.Context, settings *config.Hosted, lock leader.Claim, upstream leader.Place, view *follow.Board,
+	engines backend.Caller, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *leader.Leader {
-	holder := set.Instance.Name + "/" + strconv.FormatInt(clock.Now().UnixNano(), 36)
-	return leader.New(ctx, claim, place, holder, board, caller, clock, stats, log)
+	holder := settings.Instance.Name + "/" + strconv.FormatInt(clock.Now().UnixNano(), 36)
+	return leader.New(ctx, lock, upstream, holder, view, engines, clock, stats, log)
 }
 
 func (i *hosted) run(signals Signals) error {
 	defer i.Queue.Flush()
 	machine := chart.New(chart.MustLoad("instance"))
-	i.Log.WithFields(logrus.Fields{"callers": i.Set.Listen.Callers, "store": i.Set.Store.Addr}).Info("started")
-	if err := i.Front.Listen(i.Set.Listen.Callers); err != nil {
+	i.Log.WithFields(logrus.Fields{"callers": i.Settings.Listen.Callers, "store": i.Settings.Store.Addr}).Info("started")
+	if err := i.Front.Listen(i.Settings.Listen.Callers); err != nil {
 		return err
 	}
 	defer i.Front.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { i.Clock.Watch(ctx, i.tellGap) }()
+	go func() { i.Clock.Watch(ctx, i.logSuspension) }()
 	if err := i.Checks.listen(); err != nil {
 		return err
 	}
-	peers, err := i.listenPeers()
+	closePeers, err := i.listenPeers()
 	if err != nil {
 		return err
 	}
-	defer peers()
+	defer closePeers()
 	for {
 		select {
 		case r := <-signals.Reload:
 			i.reload(r)
 		case <-signals.Stop:
 			fire(i.Log, machine, "stop")
-			return i.leave(machine)
+			return i.shutDown(machine)
 		}
 	}
 }
 
-// tellGap logs that the machine was suspended: what was heard before is as much older.
-func (i *hosted) tellGap(gap time.Duration, err error) {
+// logSuspension logs that the machine was suspended: what was heard before is as much older.
+func (i *hosted) logSuspension(gap time.Duration, err error) {
 	if err != nil {
 		i.Log.WithError(err).Error("clock not read")
 		return
@@ -239,13 +247,13 @@
 
 // listenPeers starts to answer other instances and returns what ends that; without an address there are none.
 func (i *hosted) listenPeers() (func(), error) {
-	if i.Set.Listen.Peers == "" {
+	if i.Settings.Listen.Peers == "" {
 		return func() {}, nil
 	}
 	mux := link.NewMux()
 	i.Relay.Register(mux)
-	i.Rolls.AddTo(mux)
-	server, err := link.Listen(i.Set.Listen.Peers, i.Trust, mux, i.Stats, i.Log)
+	i.Register.AddTo(mux)
+	server, err := link.Listen(i.Settings.Listen.Peers, i.Trust, mux, i.Stats, i.Log)
 	if err != nil {
 		return nil, err
 	}
@@ -261,16 +269,17 @@
 		i.Log.WithError(r.Err).Error("settings not reloaded, the former ones stay in force")
 		return
 	}
-	restart := r.Settings.Listen != i.Set.Listen || r.Settings.Store != i.Set.Store || r.Settings.Instance != i.Set.Instance
-	i.Handler.SetTerms(hostedTerms(r.Settings))
+	restart := r.Settings.Listen != i.Settings.Listen || r.Settings.Store != i.Settings.Store ||
+		r.Settings.Instance != i.Settings.Instance
+	i.Handler.SetTerms(forwardSettings(r.Settings))
 	i.Log.WithField("needs_restart", restart).Info("settings reloaded")
 }
 
-// leave finishes the requests under way and ends before the grace time does.
-func (i *hosted) leave(m *chart.Machine) error {
-	begun := i.Clock.Now()
-	end := begun.Add(i.Set.Stop.Grace - stopMargin)
-	i.Log.WithFields(logrus.Fields{"running": i.Front.Running(), "grace_ms": i.Set.Stop.Grace.Milliseconds()}).Info("stopping")
+// shutDown finishes the requests under way and ends before the grace time does.
+func (i *hosted) shutDown(m *chart.Machine) error {
+	start := i.Clock.Now()
+	end := start.Add(i.Settings.Stop.Grace - stopMargin)
+	i.Log.WithFields(logrus.Fields{"running": i.Front.Running(), "grace_ms": i.Settings.Stop.Grace.Milliseconds()}).Info("stopping")
 	i.Checks.leave()
 	i.Relay.Stop()
 	i.Front.Leave()
@@ -278,13 +287,13 @@
 	i.Leader.Stop()
 	event := chart.Event("expired")
 	for i.Clock.Now().Before(end) {
-		if i.Clock.Since(begun) >= noticeTime && i.Front.Running() == 0 {
+		if i.Clock.Since(start) >= noticeTime && i.Front.Running() == 0 {
 			event = "idle"
 			break
 		}
-		<-i.Clock.After(stopPeriod)
+		<-i.Clock.After(stopPollPeriod)
 	}
 	fire(i.Log, m, event)
-	i.Log.WithFields(logrus.Fields{"running": i.Front.Running(), "took_ms": i.Clock.Since(begun).Milliseconds()}).Info("stopped")
+	i.Log.WithFields(logrus.Fields{"running": i.Front.Running(), "took_ms": i.Clock.Since(start).Milliseconds()}).Info("stopped")
 	return nil
 }
--- a/app/listen_test.go
+++ b/app/listen_test.go
@@ -13,17 +13,17 @@
 	"junctioncross/timer"
 )
 
-// patience bounds waits for what happens at once on a sound machine.
-const patience = 30 * time.Second
+// testTimeout bounds waits for what happens at once on a sound machine.
+const testTimeout = 30 * time.Second
 
-// scarce is a listener that has no descriptor for the first connections that it is asked for.
-type scarce struct {
+// failingListener is a listener that has no descriptor for the first connections that it is asked for.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
 // Accept implements net.Listener.
-func (s *scarce) Accept() (net.Conn, error) {
+func (s *failingListener) Accept() (net.Conn, error) {
 	if s.failures > 0 {
 		s.failures--
 		return nil, &net.OpError{Op: "accept", Net: "tcp4", Err: unix.EMFILE}
@@ -31,20 +31,22 @@
 	return s.Listener.Accept()
 }
 
-// TestChecksAreAnsweredAfterALackOfDescriptors lets the listener of an HTTP server fail twice.
-func TestChecksAreAnsweredAfterALackOfDescriptors(t *testing.T) {
+// TestServerAnswersAfterAcceptRunsOutOfDescriptors lets the listener of an HTTP server fail twice.
+func TestServerAnswersAfterAcceptRunsOutOfDescriptors(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	clock := clockwork.NewFakeClock()
-	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("ready") }, Logger: quiet{}}
+	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("ready") }, Logger: discardLogger{}}
 	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(tolerant(&scarce{Listener: listener, failures: 2}, timer.New(clock))) }()
+	go func() {
+		ended <- server.Serve(withAcceptRetry(&failingListener{Listener: listener, failures: 2}, timer.New(clock)))
+	}()
 	for range 2 {
 		require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
-		clock.Advance(acceptPause)
+		clock.Advance(acceptRetryDelay)
 	}
-	status, body, err := fasthttp.GetTimeout(nil, "http://"+listener.Addr().String(), patience)
+	status, body, err := fasthttp.GetTimeout(nil, "http://"+listener.Addr().String(), testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, fasthttp.StatusOK, status)
 	require.Equal(t, "ready", string(body))
--- a/app/provide.go
+++ b/app/provide.go
@@ -30,12 +30,13 @@
 )
 
 // container provides every part of an instance.
-func container(ctx context.Context, set *config.Settings) (*dig.Container, error) {
+func container(ctx context.Context, settings *config.Settings) (*dig.Container, error) {
 	return provide(
 		func() context.Context { return ctx },
-		func() *config.Settings { return set },
-		timer.NewReal, metrics.New, newErrorQueue, newLog, decision.NewRecorder, newRing, func(r *keys.Ring) link.Trust { return r }, newStore, newSelf, newGates, newKeeper, newClaims, newEntry, newCluster, newLeader, newLoop,
-		revision.NewStore, revision.NewKeeper, view.NewBoard, engine.NewCaller, pool.New, pipeline.New,
+		func() *config.Settings { return settings },
+		timer.NewReal, metrics.New, newStderrQueue, newLog, decision.NewRecorder, newCertReloader,
+		func(r *keys.Ring) link.Trust { return r }, newStore, newSelf, newGates, newClaimLogs, newClaimer, newEntry, newCluster,
+		newLeader, newLoop, revision.NewStore, revision.NewKeeper, view.NewBoard, engine.NewCaller, pool.New, pipeline.New,
 		service.New, link.NewMux, link.NewClient, operator.New,
 	)
 }
@@ -51,17 +52,17 @@
 	return c, nil
 }
 
-func newErrorQueue(clock *timer.Service, stats *metrics.Registry) *decision.Queue {
+func newStderrQueue(clock *timer.Service, stats *metrics.Registry) *decision.Queue {
 	return decision.NewQueue(os.Stderr, clock, stats)
 }
 
-func newLog(set *config.Settings, queue *decision.Queue) (*logrus.Logger, error) {
-	return newLogger(queue, set.Log, instanceHook{name: set.Instance.Name, domain: set.Instance.Domain})
+func newLog(settings *config.Settings, queue *decision.Queue) (*logrus.Logger, error) {
+	return newLogger(queue, settings.Log, instanceHook{name: settings.Instance.Name, domain: settings.Instance.Domain})
 }
 
 // newLogger returns a logger that writes JSON lines with the instance that they are of.
-func newLogger(out io.Writer, set config.Log, instance instanceHook) (*logrus.Logger, error) {
-	level, err := logrus.ParseLevel(set.Level)
+func newLogger(out io.Writer, settings config.Log, instance instanceHook) (*logrus.Logger, error) {
+	level, err := logrus.ParseLevel(settings.Level)
 	if err != nil {
 		return nil, err
 	}
@@ -89,31 +90,33 @@
 	return nil
 }
 
-func newRing(set *config.Settings) (*keys.Ring, error) {
-	return keys.NewRing(keys.Files{Authority: set.Keys.Authority, Certificate: set.Keys.Certificate, Key: set.Keys.Key})
+func newCertReloader(settings *config.Settings) (*keys.Ring, error) {
+	return keys.NewRing(keys.Files{
+		Authority: settings.Keys.Authority, Certificate: settings.Keys.Certificate, Key: settings.Keys.Key,
+	})
 }
 
-func newStore(set *config.Settings, stats *metrics.Registry) kv.Store {
-	return kv.New(set.Platform.KV, stats)
+func newStore(settings *config.Settings, stats *metrics.Registry) kv.Store {
+	return kv.New(settings.Platform.KV, stats)
 }
 
-func newSelf(set *config.Settings, clock *timer.Service) control.Self {
-	addr := set.Listen.Peers
-	if set.Listen.Advertised != "" {
-		addr = set.Listen.Advertised
+func newSelf(settings *config.Settings, clock *timer.Service) control.Self {
+	addr := settings.Listen.Peers
+	if settings.Listen.Advertised != "" {
+		addr = settings.Listen.Advertised
 	}
 	return control.Self{
-		Name: set.Instance.Name, Domain: set.Instance.Domain, PeerAddr: addr,
-		Incarnation: uint64(clock.Now().UnixNano()), Seeds: set.Peers, ListAddr: set.Platform.Instances,
+		Name: settings.Instance.Name, Domain: settings.Instance.Domain, PeerAddr: addr,
+		Incarnation: uint64(clock.Now().UnixNano()), Seeds: settings.Peers, ListAddr: settings.Platform.Instances,
 	}
 }
 
-func newGates(set *config.Settings, clock *timer.Service) *admit.Gates {
-	return admit.NewGates(clock, set.Limits.QueueWait)
+func newGates(settings *config.Settings, clock *timer.Service) *admit.Gates {
+	return admit.NewGates(clock, settings.Limits.QueueWait)
 }
 
-// entryParts are the parts that answer callers.
-type entryParts struct {
+// entryDeps are the parts that answer callers.
+type entryDeps struct {
 	dig.In
 
 	Board   *view.Board
@@ -126,42 +129,42 @@
 	Record  *decision.Recorder
 }
 
-func newEntry(set *config.Settings, p entryParts) *entry.Handler {
-	return entry.New(p.Board, p.Gates, p.Runner, p.Forward, p.Claims, p.Clock, p.Stats, p.Record, set.Limits.RequestTime)
+func newEntry(settings *config.Settings, d entryDeps) *entry.Handler {
+	return entry.New(d.Board, d.Gates, d.Runner, d.Forward, d.Claims, d.Clock, d.Stats, d.Record, settings.Limits.RequestTime)
 }
 
-// loopParts are the parts of the control loop.
-type loopParts struct {
+// loopDeps are the parts of the control loop.
+type loopDeps struct {
 	dig.In
 
-	Store  *revision.Store
-	Keeper *revision.Keeper
-	Board  *view.Board
-	Gates  *admit.Gates
-	Pool   *pool.Pool
-	Caller *engine.Caller
-	Links  *link.Client
-	Clock  *timer.Service
-	Stats  *metrics.Registry
-	Log    *logrus.Logger
+	Store   *revision.Store
+	Keeper  *revision.Keeper
+	Board   *view.Board
+	Gates   *admit.Gates
+	Pool    *pool.Pool
+	Engines *engine.Caller
+	Links   *link.Client
+	Clock   *timer.Service
+	Stats   *metrics.Registry
+	Log     *logrus.Logger
 }
 
-func newLoop(ctx context.Context, self control.Self, mux *link.Mux, p loopParts) *control.Loop {
+func newLoop(ctx context.Context, self control.Self, mux *link.Mux, d loopDeps) *control.Loop {
 	loop := control.New(ctx, self, control.Deps{
-		Store: p.Store, Keeper: p.Keeper, Board: p.Board, Gates: p.Gates, Pool: p.Pool, Caller: p.Caller,
-		Links: p.Links, Clock: p.Clock, Stats: p.Stats, Log: p.Log,
+		Store: d.Store, Keeper: d.Keeper, Board: d.Board, Gates: d.Gates, Pool: d.Pool, Caller: d.Engines,
+		Links: d.Links, Clock: d.Clock, Stats: d.Stats, Log: d.Log,
 	})
 	loop.Register(mux)
 	return loop
 }
 
-func newCluster(loop *control.Loop, links *link.Client, set *config.Settings) *operator.Cluster {
-	return operator.NewCluster(loop, links, set.Instance.Domain)
+func newCluster(loop *control.Loop, links *link.Client, settings *config.Settings) *operator.Cluster {
+	return operator.NewCluster(loop, links, settings.Instance.Domain)
 }
 
 func newLeader(
-	ctx context.Context, loop *control.Loop, store kv.Store, self control.Self, caller *engine.Caller,
+	ctx context.Context, loop *control.Loop, store kv.Store, self control.Self, engines *engine.Caller,
 	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *order.Leader {
-	return order.New(ctx, loop, order.NewLease(store, clock, self.Domain, self.Process()), caller, clock, stats, log)
+	return order.New(ctx, loop, order.NewLease(store, clock, self.Domain, self.Process()), engines, clock, stats, log)
 }
--- a/app/run.go
+++ b/app/run.go
@@ -27,52 +27,52 @@
 )
 
 const (
-	writeTimeout = time.Minute
-	operatorBody = 4 << 20
-	gcPercent    = 50
-	statePeriod  = 500 * time.Millisecond
+	writeTimeout    = time.Minute
+	maxOperatorBody = 4 << 20
+	gcPercent       = 50
+	statePeriod     = 500 * time.Millisecond
 )
 
 // instance is a running entry instance.
 type instance struct {
 	dig.In
 
-	Set    *config.Settings
-	Entry  *entry.Handler
-	Ops    *operator.Handler
-	Loop   *control.Loop
-	Leader *order.Leader
-	Mux    *link.Mux
-	Ring   *keys.Ring
-	Board  *view.Board
-	Clock  *timer.Service
-	Stats  *metrics.Registry
-	Queue  *decision.Queue
-	Log    *logrus.Logger
+	Settings *config.Settings
+	Entry    *entry.Handler
+	Ops      *operator.Handler
+	Loop     *control.Loop
+	Leader   *order.Leader
+	Mux      *link.Mux
+	Certs    *keys.Ring
+	Board    *view.Board
+	Clock    *timer.Service
+	Stats    *metrics.Registry
+	Queue    *decision.Queue
+	Log      *logrus.Logger
 }
 
 // Run starts an instance and returns when it has stopped after stop was closed, or could not start.
-func Run(set *config.Settings, stop <-chan struct{}) error {
+func Run(settings *config.Settings, stop <-chan struct{}) error {
 	// Instances are small: a tight heap is worth more than the processor time that it costs.
 	debug.SetGCPercent(gcPercent)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c, err := container(ctx, set)
+	c, err := container(ctx, settings)
 	if err != nil {
 		return errors.Wrap(err, "app: wire")
 	}
-	var failed error
-	err = c.Invoke(func(i instance) { failed = i.run(ctx, stop) })
+	var runErr error
+	err = c.Invoke(func(i instance) { runErr = i.run(ctx, stop) })
 	if err != nil {
 		return errors.Wrap(dig.RootCause(err), "app: start")
 	}
-	return failed
+	return runErr
 }
 
 func (i *instance) run(ctx context.Context, stop <-chan struct{}) error {
 	defer i.Queue.Flush()
 	machine := chart.New(chart.MustLoad("instance"))
-	peers, err := link.Listen(i.Set.Listen.Peers, i.Ring, i.Mux, i.Stats, i.Log)
+	peers, err := link.Listen(i.Settings.Listen.Peers, i.Certs, i.Mux, i.Stats, i.Log)
 	if err != nil {
 		return err
 	}
@@ -88,15 +88,15 @@
 	health.leave()
 	i.Loop.Leave()
 	i.Log.Info("stopping")
-	<-i.Clock.After(i.Set.Drain.Notice)
-	idle := i.Entry.Drain(i.Set.Drain.Limit)
+	<-i.Clock.After(i.Settings.Drain.Notice)
+	idle := i.Entry.Drain(i.Settings.Drain.Limit)
 	event := chart.Event("idle")
 	if !idle {
 		event = "expired"
 	}
 	fire(i.Log, machine, event)
 	for _, s := range servers {
-		_ = s.ShutdownWithContext(expiring(ctx))
+		_ = s.ShutdownWithContext(shutdownContext(ctx))
 	}
 	i.Log.WithField("idle", idle).Info("stopped")
 	return nil
@@ -109,8 +109,8 @@
 	}
 }
 
-// expiring returns a context that gives open connections a moment to end.
-func expiring(ctx context.Context) context.Context {
+// shutdownContext returns a context that gives open connections a moment to end.
+func shutdownContext(ctx context.Context) context.Context {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	context.AfterFunc(ctx, cancel)
 	return ctx
@@ -137,28 +137,30 @@
 // listen opens the callers', operators' and health listeners.
 func (i *instance) listen(health *health) ([]*fasthttp.Server, error) {
 	callers := &fasthttp.Server{
-		Handler: i.Entry.Routes(), ErrorHandler: i.Entry.Broken, MaxRequestBodySize: i.Set.Limits.BodyBytes,
-		ReadTimeout: i.Set.Limits.IdleTime, WriteTimeout: writeTimeout, IdleTimeout: i.Set.Limits.IdleTime,
-		Concurrency: i.Set.Limits.Connections, NoDefaultServerHeader: true, ReduceMemoryUsage: true,
-		Logger: quiet{}, StreamRequestBody: false,
+		Handler: i.Entry.Routes(), ErrorHandler: i.Entry.Broken, MaxRequestBodySize: i.Settings.Limits.BodyBytes,
+		ReadTimeout: i.Settings.Limits.IdleTime, WriteTimeout: writeTimeout, IdleTimeout: i.Settings.Limits.IdleTime,
+		Concurrency: i.Settings.Limits.Connections, NoDefaultServerHeader: true, ReduceMemoryUsage: true,
+		Logger: discardLogger{}, StreamRequestBody: false,
 	}
 	operators := &fasthttp.Server{
-		Handler: i.Ops.Routes(), MaxRequestBodySize: operatorBody, ReadTimeout: time.Minute, Logger: quiet{},
+		Handler: i.Ops.Routes(), MaxRequestBodySize: maxOperatorBody, ReadTimeout: time.Minute, Logger: discardLogger{},
 		NoDefaultServerHeader: true,
 	}
-	checks := &fasthttp.Server{Handler: health.handle, ReadTimeout: time.Minute, Logger: quiet{}, NoDefaultServerHeader: true}
+	checks := &fasthttp.Server{
+		Handler: health.handle, ReadTimeout: time.Minute, Logger: discardLogger{}, NoDefaultServerHeader: true,
+	}
 	var callersTLS *tls.Config
-	if i.Set.Keys.CallersTLS {
-		callersTLS = i.Ring.Callers()
+	if i.Settings.Keys.CallersTLS {
+		callersTLS = i.Certs.Callers()
 	}
 	for _, l := range []struct {
 		addr   string
 		server *fasthttp.Server
 		tls    *tls.Config
 	}{
-		{i.Set.Listen.Callers, callers, callersTLS},
-		{i.Set.Listen.Operators, operators, i.Ring.Server()},
-		{i.Set.Listen.Health, checks, nil},
+		{i.Settings.Listen.Callers, callers, callersTLS},
+		{i.Settings.Listen.Operators, operators, i.Certs.Server()},
+		{i.Settings.Listen.Health, checks, nil},
 	} {
 		if err := serve(l.addr, l.server, l.tls, i.Clock); err != nil {
 			return nil, err
@@ -167,21 +169,21 @@
 	return []*fasthttp.Server{callers, operators, checks}, nil
 }
 
-func serve(addr string, server *fasthttp.Server, settings *tls.Config, clock *timer.Service) error {
+func serve(addr string, server *fasthttp.Server, tlsConfig *tls.Config, clock *timer.Service) error {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return errors.Wrapf(err, "app: listen on %s", addr)
 	}
-	listener = entry.Lingering(tolerant(listener, clock))
-	if settings != nil {
-		listener = tls.NewListener(listener, settings)
+	listener = entry.Lingering(withAcceptRetry(listener, clock))
+	if tlsConfig != nil {
+		listener = tls.NewListener(listener, tlsConfig)
 	}
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
 
-// quiet drops the HTTP library's own log lines, which are not JSON.
-type quiet struct{}
+// discardLogger drops the HTTP library's own log lines, which are not JSON.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
