--- a/intent/apply.go
+++ b/intent/apply.go
@@ -15,7 +15,7 @@
 			problems = append(problems, err)
 		}
 	}
-	problems = append(problems, next.check()...)
+	problems = append(problems, next.checkReferences()...)
 	return next, problems
 }
 
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// check returns every reference of the document that leads nowhere.
-func (d *Document) check() []error {
+// checkReferences returns every reference of the document that leads nowhere.
+func (d *Document) checkReferences() []error {
 	var problems []error
 	keys := map[string]string{}
 	groups := map[string]bool{}
--- a/intent/file.go
+++ b/intent/file.go
@@ -36,7 +36,7 @@
 		return "", nil, err
 	}
 	for i := range f.Changes {
-		found := f.Changes[i].all()
+		found := f.Changes[i].changes()
 		if len(found) != 1 {
 			return "", nil, errors.Errorf("%s: changes[%d]: has %d keys; accepted: exactly one", name, i, len(found))
 		}
@@ -45,8 +45,8 @@
 	return f.Why, changes, nil
 }
 
-// all returns the changes that the entry holds.
-func (e *entry) all() []Change {
+// changes returns the changes that the entry holds.
+func (e *entry) changes() []Change {
 	var out []Change
 	out = appendSet(out, e.Model, func(m *Model) Change { return &AddModel{*m} })
 	out = appendSet(out, e.Kind, func(k *Kind) Change { return &AddKind{*k} })
--- a/intent/intent_test.go
+++ b/intent/intent_test.go
@@ -9,7 +9,7 @@
 	"junctioncross/intent"
 )
 
-const first = `why: start
+const firstIntent = `why: start
 changes:
 - model: {name: m, layers: 8, version: v1}
 - kind: {name: k, layer_us: 100, sequence_us: 5, max_batch: 8, max_layers: 8}
@@ -20,8 +20,8 @@
 
 const hash1 = "0000000000000000000000000000000000000000000000000000000000000001"
 
-func start(t *testing.T) *intent.Document {
-	why, changes, err := intent.Parse("f", []byte(first))
+func newDocument(t *testing.T) *intent.Document {
+	why, changes, err := intent.Parse("f", []byte(firstIntent))
 	require.NoError(t, err)
 	require.Equal(t, "start", why)
 	d, problems := intent.Apply(&intent.Document{}, changes)
@@ -29,7 +29,7 @@
 	return d
 }
 
-func TestParseNamesEveryMistake(t *testing.T) {
+func TestParseReportsEveryMistake(t *testing.T) {
 	tests := map[string]string{
 		"f:1: why: is missing":                       "changes:\n- rebalance: {}\n",
 		"accepted: exactly one":                      "why: x\nchanges:\n- {}\n",
@@ -44,8 +44,8 @@
 	}
 }
 
-func TestApplyNamesEveryReferenceThatLeadsNowhere(t *testing.T) {
-	d := start(t)
+func TestApplyReportsEveryDanglingReference(t *testing.T) {
+	d := newDocument(t)
 	_, problems := intent.Apply(d, []intent.Change{
 		&intent.Grant{Group: "g", Model: "none"}, &intent.Grant{Group: "nobody", Model: "m"},
 		&intent.Revoke{Group: "g", Model: "other"}, &intent.SetShare{Group: "nobody", Weight: 1},
@@ -67,8 +67,8 @@
 	}
 }
 
-func TestApplyLeavesTheOldDocumentAlone(t *testing.T) {
-	d := start(t)
+func TestApplyDoesNotModifyTheOldDocument(t *testing.T) {
+	d := newDocument(t)
 	next, problems := intent.Apply(d, []intent.Change{
 		&intent.AddModel{Model: intent.Model{Name: "n", Layers: 2, Version: "v1"}},
 		&intent.Grant{Group: "g", Model: "n"}, &intent.SetShare{Group: "g", Weight: 5}, &intent.RetireBackend{Name: "s"},
@@ -86,7 +86,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(first))
+	f.Add([]byte(firstIntent))
 	f.Add([]byte("why: x\nchanges:\n- share: {group: g, weight: 0}\n"))
 	f.Add([]byte("changes: *a\n"))
 	f.Add([]byte("a: &a [*a]"))
