--- a/fleet/configure.go
+++ b/fleet/configure.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	startLimit = 40 * time.Second
-	tryPause   = 50 * time.Millisecond
-	callLimit  = 2 * time.Second
+	startTimeout = 40 * time.Second
+	retryDelay   = 50 * time.Millisecond
+	callTimeout  = 2 * time.Second
 )
 
 // change is one entry of an intent file: a single key with its value.
@@ -29,12 +29,12 @@
 
 // configure states the fleet's configuration as an intent and confirms its plan.
 func (f *Fleet) configure() error {
-	changes := f.changes()
+	changes := f.initialChanges()
 	_, err := f.Apply("first configuration", changes...)
 	return err
 }
 
-func (f *Fleet) changes() []map[string]any {
+func (f *Fleet) initialChanges() []map[string]any {
 	var out []map[string]any
 	add := func(key string, value any) { out = append(out, change{key: value}) }
 	for _, m := range f.spec.Models {
@@ -50,15 +50,17 @@
 		add("account", intent.Account{Name: a.Name, Group: a.Group, Weight: a.Weight, KeyHash: view.HashKey(a.Key)})
 	}
 	for _, e := range f.engines {
-		add("add_backend", intent.Backend{Name: e.Name, Addr: e.served, Domain: e.Domain, Kind: e.Kind, ChecksFence: true, LinkMicros: e.link})
+		add("add_backend", intent.Backend{
+			Name: e.Name, Addr: e.advertised, Domain: e.Domain, Kind: e.Kind, ChecksFence: true, LinkMicros: e.linkMicros,
+		})
 	}
 	for _, s := range f.spec.Services {
-		add("service", intent.Service{Name: s.Name, Addrs: f.addrsOf(s.Name), Calls: s.Calls})
+		add("service", intent.Service{Name: s.Name, Addrs: f.serviceAddrs(s.Name), Calls: s.Calls})
 	}
 	return out
 }
 
-func (f *Fleet) addrsOf(service string) []string {
+func (f *Fleet) serviceAddrs(service string) []string {
 	var out []string
 	for _, s := range f.services {
 		if s.Name == service {
@@ -83,30 +85,30 @@
 
 // Propose states an intent and returns its plan, which changes nothing.
 func (f *Fleet) Propose(why string, changes ...map[string]any) (revision.Plan, error) {
-	var none revision.Plan
+	var noPlan revision.Plan
 	body, err := yaml.Marshal(map[string]any{"why": why, "changes": changes})
 	if err != nil {
-		return none, errors.Wrap(err, "fleet: intent")
+		return noPlan, errors.Wrap(err, "fleet: intent")
 	}
 	client, err := f.Operator(f.entries[0])
 	if err != nil {
-		return none, err
+		return noPlan, err
 	}
 	var id string
-	err = Eventually(startLimit, func() error {
+	err = Eventually(startTimeout, func() error {
 		answer, err := client.Intent("fleet", body)
 		id = answer.ID
 		return err
 	})
 	if err != nil {
-		return none, err
+		return noPlan, err
 	}
 	return client.MakePlan(id)
 }
 
 // AwaitServing waits until every entry instance is ready and every engine has loaded its layers.
 func (f *Fleet) AwaitServing() error {
-	return Eventually(startLimit, func() error {
+	return Eventually(startTimeout, func() error {
 		for _, e := range f.entries {
 			if _, err := Get[any](e.Health, "/health/ready"); err != nil {
 				return errors.Wrapf(err, "fleet: %s is not ready", e.Name)
@@ -134,7 +136,7 @@
 		if err == nil || time.Now().After(end) {
 			return err
 		}
-		time.Sleep(tryPause)
+		time.Sleep(retryDelay)
 	}
 }
 
@@ -144,7 +146,7 @@
 	if err != nil {
 		return errors.Wrap(err, "fleet: encode")
 	}
-	return Eventually(startLimit, func() error {
+	return Eventually(startTimeout, func() error {
 		req := fasthttp.AcquireRequest()
 		resp := fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseRequest(req)
@@ -152,7 +154,7 @@
 		req.SetRequestURI("http://" + addr + path)
 		req.Header.SetMethod(fasthttp.MethodPost)
 		req.SetBody(body)
-		if err := fasthttp.DoTimeout(req, resp, callLimit); err != nil {
+		if err := fasthttp.DoTimeout(req, resp, callTimeout); err != nil {
 			return errors.Wrapf(err, "fleet: post %s", path)
 		}
 		if resp.StatusCode() != fasthttp.StatusOK {
@@ -165,7 +167,7 @@
 // Get reads a path; a JSON body is decoded, and any status but 200 is an error.
 func Get[T any](addr, path string) (T, error) {
 	var value T
-	code, body, err := fasthttp.GetTimeout(nil, "http://"+addr+path, callLimit)
+	code, body, err := fasthttp.GetTimeout(nil, "http://"+addr+path, callTimeout)
 	if err != nil {
 		return value, err
 	}
--- a/fleet/engines.go
+++ b/fleet/engines.go
@@ -7,11 +7,11 @@
 	"junctioncross/standin"
 )
 
-var caller = engine.NewCaller()
+var client = engine.NewCaller()
 
 // EngineReport asks an engine for its load report.
 func EngineReport(addr string) (engine.Report, error) {
-	return caller.Report(addr, time.Second)
+	return client.Report(addr, time.Second)
 }
 
 // SetEngineFault brings a fault of an engine about or ends it.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -35,14 +35,14 @@
 
 // Engine is one model engine of a fleet.
 type Engine struct {
-	Process *Process
-	Name    string
-	Domain  string
-	Kind    string
-	Addr    string
-	link    float64
-	// served is the address under which entry instances reach the engine.
-	served string
+	Process    *Process
+	Name       string
+	Domain     string
+	Kind       string
+	Addr       string
+	linkMicros float64
+	// advertised is the address under which entry instances reach the engine.
+	advertised string
 }
 
 // Service is one process of a plain service.
@@ -54,17 +54,17 @@
 
 // Fleet is a running fleet.
 type Fleet struct {
-	spec     Spec
-	bin      string
-	dir      string
-	starter  *starter
-	faults   *Faults
-	kv       string
-	list     string
-	weights  string
-	entries  []*Entry
-	engines  []*Engine
-	services []*Service
+	spec        Spec
+	bin         string
+	dir         string
+	starter     *starter
+	proxies     *Faults
+	kvAddr      string
+	listAddr    string
+	weightsAddr string
+	entries     []*Entry
+	engines     []*Engine
+	services    []*Service
 }
 
 // Start starts every process of a fleet with the programs in bin, and puts its first configuration in force; on an error
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "fleet: directory")
 	}
-	f := &Fleet{spec: spec, bin: bin, dir: dir, starter: newStarter(dir), faults: newFaults(spec.Proxied)}
+	f := &Fleet{spec: spec, bin: bin, dir: dir, starter: newStarter(dir), proxies: newProxies(spec.Proxied)}
 	for _, step := range []func() error{f.startPlatform, f.startEngines, f.startServices, f.startEntries, f.configure, f.AwaitServing} {
 		if err := step(); err != nil {
 			f.Stop()
@@ -87,7 +87,7 @@
 // Stop ends every process of the fleet and removes its files.
 func (f *Fleet) Stop() {
 	f.starter.stopAll()
-	f.faults.close()
+	f.proxies.close()
 	if os.Getenv("JX_KEEP") == "" {
 		_ = os.RemoveAll(f.dir)
 	}
@@ -106,10 +106,10 @@
 func (f *Fleet) Services() []*Service { return f.services }
 
 // KVAddr returns the address of the key-value service.
-func (f *Fleet) KVAddr() string { return f.kv }
+func (f *Fleet) KVAddr() string { return f.kvAddr }
 
 // Faults returns the proxies between the fleet's processes.
-func (f *Fleet) Faults() *Faults { return f.faults }
+func (f *Fleet) Faults() *Faults { return f.proxies }
 
 // Spec returns the description the fleet was started from.
 func (f *Fleet) Spec() Spec { return f.spec }
@@ -121,15 +121,15 @@
 	if err != nil {
 		return err
 	}
-	f.kv, f.list, f.weights = addrs[0], addrs[1], addrs[2]
+	f.kvAddr, f.listAddr, f.weightsAddr = addrs[0], addrs[1], addrs[2]
 	fake := f.program("jxfake")
-	if _, err := f.starter.start("kv", fake, "kv", "--listen", f.kv); err != nil {
+	if _, err := f.starter.start("kv", fake, "kv", "--listen", f.kvAddr); err != nil {
 		return err
 	}
-	if _, err := f.starter.start("list", fake, "list", "--listen", f.list, "--lag", f.spec.ListLag.String()); err != nil {
+	if _, err := f.starter.start("list", fake, "list", "--listen", f.listAddr, "--lag", f.spec.ListLag.String()); err != nil {
 		return err
 	}
-	_, err = f.starter.start("weights", fake, "weights", "--listen", f.weights, "--per-layer", f.spec.LayerLoad.String())
+	_, err = f.starter.start("weights", fake, "weights", "--listen", f.weightsAddr, "--per-layer", f.spec.LayerLoad.String())
 	return err
 }
 
@@ -143,9 +143,9 @@
 		for i, kind := range f.spec.Engines {
 			e := &Engine{Name: fmt.Sprintf("%s-%s%d", domain, kind, i), Domain: domain, Kind: kind, Addr: addrs[len(f.engines)]}
 			if n := len(f.spec.LinkMicros); n > 0 {
-				e.link = f.spec.LinkMicros[i%n]
+				e.linkMicros = f.spec.LinkMicros[i%n]
 			}
-			if e.served, err = f.faults.engine(e); err != nil {
+			if e.advertised, err = f.proxies.engineAddr(e); err != nil {
 				return err
 			}
 			f.engines = append(f.engines, e)
@@ -176,9 +176,9 @@
 func (f *Fleet) startEngineProcess(engines ...*Engine) error {
 	k := f.kind(engines[0].Kind)
 	args := []string{
-		"engine", "--weights", f.weights, "--layer-micros", fmt.Sprint(k.LayerMicros),
+		"engine", "--weights", f.weightsAddr, "--layer-micros", fmt.Sprint(k.LayerMicros),
 		"--sequence-micros", fmt.Sprint(k.SequenceMicros), "--max-batch", fmt.Sprint(k.MaxBatch),
-		"--link", time.Duration(engines[0].link * float64(time.Microsecond)).String(),
+		"--link", time.Duration(engines[0].linkMicros * float64(time.Microsecond)).String(),
 	}
 	for _, e := range engines {
 		args = append(args, "--listen", e.Addr, "--name", e.Name)
@@ -228,7 +228,7 @@
 				Name: fmt.Sprintf("%s-%d", domain, i), Domain: domain,
 				Callers: addrs[0], Ops: addrs[1], Peers: addrs[2], Health: addrs[3],
 			}
-			if e.advertised, err = f.faults.entry(e); err != nil {
+			if e.advertised, err = f.proxies.peerAddr(e); err != nil {
 				return err
 			}
 			f.entries = append(f.entries, e)
@@ -269,36 +269,40 @@
 
 // SetList gives the platform's list every instance, those named in leaving as leaving.
 func (f *Fleet) SetList(leaving map[string]bool) error {
-	var lines []member.Listed
+	var listed []member.Listed
 	for _, e := range f.entries {
-		lines = append(lines, member.Listed{Name: e.Name, Addr: e.advertised, Domain: e.Domain, Role: member.RoleEntry, Leaving: leaving[e.Name]})
+		listed = append(listed, member.Listed{
+			Name: e.Name, Addr: e.advertised, Domain: e.Domain, Role: member.RoleEntry, Leaving: leaving[e.Name],
+		})
 	}
 	for _, e := range f.engines {
-		lines = append(lines, member.Listed{Name: e.Name, Addr: e.Addr, Domain: e.Domain, Role: member.RoleBackend, Leaving: leaving[e.Name]})
+		listed = append(listed, member.Listed{
+			Name: e.Name, Addr: e.Addr, Domain: e.Domain, Role: member.RoleBackend, Leaving: leaving[e.Name],
+		})
 	}
-	return Post(f.list, member.PathInstances, lines)
+	return Post(f.listAddr, member.PathInstances, listed)
 }
 
 // StartEntry starts the process of an entry instance, for the first time or anew.
 func (f *Fleet) StartEntry(e *Entry) error {
-	set := config.Default()
-	set.Instance = config.Instance{Name: e.Name, Domain: e.Domain}
-	set.Listen = config.Listen{Callers: e.Callers, Operators: e.Ops, Peers: e.Peers, Health: e.Health}
+	settings := config.Default()
+	settings.Instance = config.Instance{Name: e.Name, Domain: e.Domain}
+	settings.Listen = config.Listen{Callers: e.Callers, Operators: e.Ops, Peers: e.Peers, Health: e.Health}
 	if e.advertised != e.Peers {
-		set.Listen.Advertised = e.advertised
+		settings.Listen.Advertised = e.advertised
 	}
-	kv, list, err := f.faults.platform(e.Domain, f.kv, f.list)
+	kv, list, err := f.proxies.platformAddrs(e.Domain, f.kvAddr, f.listAddr)
 	if err != nil {
 		return err
 	}
-	set.Platform = config.Platform{KV: kv, Instances: list}
-	set.Keys = config.Keys{
+	settings.Platform = config.Platform{KV: kv, Instances: list}
+	settings.Keys = config.Keys{
 		Authority:   filepath.Join(f.keyDir(), keys.FileAuthority),
 		Certificate: filepath.Join(f.keyDir(), e.Name+".pem"),
 		Key:         filepath.Join(f.keyDir(), e.Name+"-key.pem"),
 	}
-	set.Limits.QueueWait = f.spec.QueueWait
-	body, err := yaml.Marshal(set)
+	settings.Limits.QueueWait = f.spec.QueueWait
+	body, err := yaml.Marshal(settings)
 	if err != nil {
 		return errors.Wrap(err, "fleet: settings")
 	}
@@ -312,7 +316,7 @@
 
 // Operator returns an operator's client of an entry instance.
 func (f *Fleet) Operator(e *Entry) (*operator.Client, error) {
-	ring, err := keys.NewRing(keys.Files{
+	certs, err := keys.NewRing(keys.Files{
 		Authority:   filepath.Join(f.keyDir(), keys.FileAuthority),
 		Certificate: filepath.Join(f.keyDir(), OperatorName+".pem"),
 		Key:         filepath.Join(f.keyDir(), OperatorName+"-key.pem"),
@@ -320,5 +324,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return operator.NewClient(e.Ops, ring), nil
+	return operator.NewClient(e.Ops, certs), nil
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -20,10 +20,10 @@
 	"junctioncross/standin"
 )
 
-const patience = 40 * time.Second
+const testTimeout = 40 * time.Second
 
-// start runs a fleet with the programs that the Makefile has built.
-func start(t *testing.T, spec fleet.Spec) *fleet.Fleet {
+// startFleet runs a fleet with the programs that the Makefile has built.
+func startFleet(t *testing.T, spec fleet.Spec) *fleet.Fleet {
 	bin := os.Getenv("JX_BIN")
 	if bin == "" {
 		t.Skip("JX_BIN names no programs; make test sets it")
@@ -50,8 +50,8 @@
 	}
 }
 
-// small is a fleet of one domain.
-func small(entries int, engines ...string) fleet.Spec {
+// smallSpec is a fleet of one domain.
+func smallSpec(entries int, engines ...string) fleet.Spec {
 	spec := fleet.Users()
 	spec.Domains = []string{"d"}
 	spec.Entries = []int{entries}
@@ -60,11 +60,11 @@
 	return spec
 }
 
-// TestInstancesThatStartApartMeet starts many instances at once, which first find each other in several groups.
-func TestInstancesThatStartApartMeet(t *testing.T) {
+// TestInstancesThatStartAtOnceFindEachOther starts many instances at once, which first find each other in several groups.
+func TestInstancesThatStartAtOnceFindEachOther(t *testing.T) {
 	const count = 10
-	f := start(t, small(count))
-	require.NoError(t, fleet.Eventually(patience, func() error {
+	f := startFleet(t, smallSpec(count))
+	require.NoError(t, fleet.Eventually(testTimeout, func() error {
 		for _, e := range f.Entries() {
 			live, err := fleet.Metric(e.Health, "jx_members_live")
 			if err != nil {
@@ -78,8 +78,8 @@
 	}))
 }
 
-// ask sends one request and returns its reply, checked against the computed answer.
-func ask(t *testing.T, f *fleet.Fleet, e *fleet.Entry, prompt string, onToken func(int)) *load.Reply {
+// sendChecked sends one request and returns its reply, checked against the computed answer.
+func sendChecked(t *testing.T, f *fleet.Fleet, e *fleet.Entry, prompt string, onToken func(int)) *load.Reply {
 	const limit = 30
 	m := f.Spec().Models[0]
 	r, err := load.NewClient().Stream(t.Context(), load.Ask{
@@ -92,14 +92,14 @@
 	return r
 }
 
-// TestAnswersAreWholeWhileStagesDieHangAndLoseConnections breaks each engine in turn in the middle of an answer.
-func TestAnswersAreWholeWhileStagesDieHangAndLoseConnections(t *testing.T) {
-	spec := small(2, "a", "a", "b", "b", "c", "c")
+// TestAnswersAreCompleteWhenStagesDieHangOrLoseConnections breaks each engine in turn in the middle of an answer.
+func TestAnswersAreCompleteWhenStagesDieHangOrLoseConnections(t *testing.T) {
+	spec := smallSpec(2, "a", "a", "b", "b", "c", "c")
 	spec.Models = spec.Models[:1]
 	spec.Groups = spec.Groups[:1]
 	spec.Accounts = spec.Accounts[:1]
 	spec.Proxied = true
-	f := start(t, spec)
+	f := startFleet(t, spec)
 	faults := []struct {
 		name  string
 		begin func(e *fleet.Engine) error
@@ -126,7 +126,7 @@
 		for j, e := range f.Engines() {
 			t.Run(tt.name+" "+e.Name, func(t *testing.T) {
 				begun := false
-				ask(t, f, f.Entries()[(i+j)%2], fmt.Sprint("question ", i, j), func(n int) {
+				sendChecked(t, f, f.Entries()[(i+j)%2], fmt.Sprint("question ", i, j), func(n int) {
 					if n == 0 {
 						begun = true
 						require.NoError(t, tt.begin(e))
@@ -140,15 +140,15 @@
 	}
 }
 
-// TestAPaymentRunsOnceWhileTheServiceLosesAnswers repeats keyed calls on all instances while claims' answers are lost.
-func TestAPaymentRunsOnceWhileTheServiceLosesAnswers(t *testing.T) {
-	spec := small(3, "a", "a")
-	f := start(t, spec)
+// TestAPaymentRunsOnceWhenTheStoreLosesAnswers repeats keyed calls on all instances while claims' answers are lost.
+func TestAPaymentRunsOnceWhenTheStoreLosesAnswers(t *testing.T) {
+	spec := smallSpec(3, "a", "a")
+	f := startFleet(t, spec)
 	require.NoError(t, fleet.Post(f.KVAddr(), "/faults", standin.Faults{LoseAnswers: 4}))
 	accepted := map[string]int{}
 	for n := range 12 {
 		key := fmt.Sprint("key-", n/3)
-		status, fate := pay(t, f.Entries()[n%3], key)
+		status, fate := confirmBooking(t, f.Entries()[n%3], key)
 		if status == http.StatusOK {
 			accepted[key]++
 			continue
@@ -172,7 +172,7 @@
 	require.Equal(t, accepted, total)
 }
 
-func pay(t *testing.T, e *fleet.Entry, key string) (int, models.Fate) {
+func confirmBooking(t *testing.T, e *fleet.Entry, key string) (int, models.Fate) {
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+e.Callers+"/services/bookings/confirm", strings.NewReader("{}"))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer "+fleet.KeyCounter)
@@ -183,18 +183,18 @@
 	return resp.StatusCode, models.Fate(resp.Header.Get(models.HeaderFate))
 }
 
-// TestADomainCutFromTheServiceStillHearsOfChanges cuts one domain from the platform but not from the other domain.
-func TestADomainCutFromTheServiceStillHearsOfChanges(t *testing.T) {
-	spec := small(2)
+// TestADomainCutOffFromThePlatformReceivesChanges cuts one domain from the platform but not from the other domain.
+func TestADomainCutOffFromThePlatformReceivesChanges(t *testing.T) {
+	spec := smallSpec(2)
 	spec.Domains = []string{"d", "e"}
 	spec.Entries = []int{2, 2}
 	spec.Proxied = true
-	f := start(t, spec)
+	f := startFleet(t, spec)
 	f.Faults().KV("e").Cut()
 	f.Faults().List("e").Cut()
 	entry, err := f.Apply("test", fleet.ShareChange("counter", 5))
 	require.NoError(t, err)
-	require.NoError(t, fleet.Eventually(patience, func() error {
+	require.NoError(t, fleet.Eventually(testTimeout, func() error {
 		for _, e := range f.Entries() {
 			if have, err := fleet.Metric(e.Health, "jx_revision"); err != nil || have < int64(entry.Revision) {
 				return errors.Errorf("%s has revision %d: %v", e.Name, have, err)
--- a/fleet/metrics.go
+++ b/fleet/metrics.go
@@ -10,7 +10,7 @@
 
 // Metric returns the value of one metric of an instance; health is the address of its health listener.
 func Metric(health, name string) (int64, error) {
-	_, body, err := fasthttp.GetTimeout(nil, "http://"+health+"/metrics", callLimit)
+	_, body, err := fasthttp.GetTimeout(nil, "http://"+health+"/metrics", callTimeout)
 	if err != nil {
 		return 0, errors.Wrap(err, "fleet: metrics")
 	}
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-const stopLimit = 10 * time.Second
+const stopTimeout = 10 * time.Second
 
 // Process is one started program.
 type Process struct {
@@ -41,19 +41,19 @@
 
 // starter starts processes from one operating-system thread, so that the kernel ends them when that thread's process dies.
 type starter struct {
-	dir  string
-	asks chan func()
+	dir   string
+	calls chan func()
 
 	mu  sync.Mutex
 	all []*Process
 }
 
 func newStarter(dir string) *starter {
-	s := &starter{dir: dir, asks: make(chan func())}
+	s := &starter{dir: dir, calls: make(chan func())}
 	go func() {
 		runtime.LockOSThread()
-		for ask := range s.asks {
-			ask()
+		for call := range s.calls {
+			call()
 		}
 	}()
 	return s
@@ -62,7 +62,7 @@
 func (s *starter) start(name, program string, args ...string) (*Process, error) {
 	p := &Process{name: name, done: make(chan struct{})}
 	result := make(chan error)
-	s.asks <- func() { result <- s.exec(p, program, args) }
+	s.calls <- func() { result <- s.exec(p, program, args) }
 	if err := <-result; err != nil {
 		return nil, errors.Wrapf(err, "fleet: start %s", name)
 	}
@@ -97,7 +97,7 @@
 	for _, p := range all {
 		_ = p.Signal(syscall.SIGTERM)
 	}
-	limit := time.After(stopLimit)
+	limit := time.After(stopTimeout)
 	for _, p := range all {
 		select {
 		case <-p.done:
@@ -105,5 +105,5 @@
 			p.Kill()
 		}
 	}
-	close(s.asks)
+	close(s.calls)
 }
--- a/fleet/faults.go
+++ b/fleet/proxies.go
@@ -17,7 +17,7 @@
 	peers   map[string]*fault.UDP
 }
 
-func newFaults(proxied bool) *Faults {
+func newProxies(proxied bool) *Faults {
 	return &Faults{
 		proxied: proxied, kv: map[string]*fault.TCP{}, list: map[string]*fault.TCP{},
 		engines: map[string]*fault.TCP{}, peers: map[string]*fault.UDP{},
@@ -36,17 +36,17 @@
 // Peer returns the proxy in front of an entry instance's peers' listener.
 func (f *Faults) Peer(name string) *fault.UDP { return f.peers[name] }
 
-func (f *Faults) engine(e *Engine) (string, error) { return f.tcp(f.engines, e.Name, e.Addr) }
+func (f *Faults) engineAddr(e *Engine) (string, error) { return f.tcpAddr(f.engines, e.Name, e.Addr) }
 
-func (f *Faults) platform(domain, kv, list string) (kvAddr, listAddr string, err error) {
-	if kvAddr, err = f.tcp(f.kv, domain, kv); err != nil {
+func (f *Faults) platformAddrs(domain, kv, list string) (kvAddr, listAddr string, err error) {
+	if kvAddr, err = f.tcpAddr(f.kv, domain, kv); err != nil {
 		return "", "", err
 	}
-	listAddr, err = f.tcp(f.list, domain, list)
+	listAddr, err = f.tcpAddr(f.list, domain, list)
 	return kvAddr, listAddr, err
 }
 
-func (f *Faults) tcp(all map[string]*fault.TCP, name, upstream string) (string, error) {
+func (f *Faults) tcpAddr(all map[string]*fault.TCP, name, upstream string) (string, error) {
 	if !f.proxied {
 		return upstream, nil
 	}
@@ -63,7 +63,7 @@
 	return p.Addr(), nil
 }
 
-func (f *Faults) entry(e *Entry) (string, error) {
+func (f *Faults) peerAddr(e *Entry) (string, error) {
 	if !f.proxied {
 		return e.Peers, nil
 	}
