--- a/app/checks.go
+++ b/app/checks.go
@@ -17,7 +17,7 @@
 	"junctioncross/timer"
 )
 
-// checks answers the balancer's checks and the scrapes of metrics and profiles of a hosted instance.
+// checks serves the load balancer's readiness checks, the metrics and the profiles of a hosted instance.
 type checks struct {
 	settings *config.Hosted
 	view     *follow.Board
@@ -27,7 +27,7 @@
 	stats    *metrics.Registry
 	log      *logrus.Logger
 	leaving  atomic.Bool
-	// lastReady is the last answer, so that changes are logged once.
+	// lastReady is the last answer to a readiness check; only changes are logged.
 	lastReady atomic.Bool
 }
 
@@ -38,10 +38,10 @@
 	return &checks{settings: settings, view: view, front: server, handler: handler, clock: clock, stats: stats, log: log}
 }
 
-// leave makes the balancer's check fail from now on.
+// leave makes the load balancer's readiness check fail from now on.
 func (c *checks) leave() { c.leaving.Store(true) }
 
-// listen starts to answer checks and scrapes.
+// listen starts the listeners for readiness checks and for metrics and profiles.
 func (c *checks) listen() error {
 	readiness := &fasthttp.Server{
 		Handler: c.readiness, Logger: discardLogger{}, NoDefaultServerHeader: true, ReadTimeout: time.Minute,
@@ -73,7 +73,7 @@
 	ctx.SetBodyString(reason + "\n")
 }
 
-// state returns whether callers should come here, and why.
+// state returns whether the load balancer should send callers to this instance, and the text of the answer that says why.
 func (c *checks) state() (string, bool) {
 	current := c.view.Current().Catalog()
 	switch {
--- a/app/claims.go
+++ b/app/claims.go
@@ -21,7 +21,8 @@
 	return claim.NewKeeper(store, clock, stats, self.Process(), settings.Limits.ClaimPartitions)
 }
 
-// newClaimer settles claims on the instances that write them, over the links between instances.
+// newClaimer returns a router that has each claim decided by the instance that writes its partition, over the links between
+// instances; it registers the handler that decides the claims of other instances here.
 func newClaimer(logs *claim.Keeper, loop *control.Loop, links *link.Client, mux *link.Mux, stats *metrics.Registry) claim.Asker {
 	link.Handle(mux, link.KindClaim, func(ctx context.Context, _ keys.Identity, c claim.Claim) (claim.Answer, error) {
 		v, err := logs.Ask(ctx, c)
--- a/app/health.go
+++ b/app/health.go
@@ -12,7 +12,7 @@
 	"junctioncross/view"
 )
 
-// health answers the balancer's checks, the scrapes of metrics and profiles.
+// health serves the load balancer's liveness and readiness checks, the metrics and the profiles.
 type health struct {
 	board   *view.Board
 	entry   *entry.Handler
--- a/app/hosted.go
+++ b/app/hosted.go
@@ -33,20 +33,20 @@
 )
 
 const (
-	// memoryLimitShare is the part of the allowed memory at which the runtime collects garbage without regard to its cost; the
-	// rest is left for stacks, buffers of the network and bursts.
+	// memoryLimitShare is the part of the allowed memory that is set as the Go runtime's memory limit, near which it collects
+	// garbage whatever the cost; the rest is left for stacks, network buffers and bursts.
 	memoryLimitShare = 0.6
-	// keysAgeShare is the part of the revocation time for which confirmed keys are accepted; the rest covers a watch that was
-	// deaf for a second and the way of the request to its server.
+	// keysAgeShare is the part of the revocation time for which confirmed keys are accepted; the rest covers a watch that
+	// received nothing for a second, and the time that the request takes to reach its server.
 	keysAgeShare = 0.72
-	// retryShare is the part of the allowed repeats that is used; the rest covers repeats that arrive later than they were
-	// allowed, and instances that have come and are not counted yet.
+	// retryShare is the part of the allowed retries (settings key repeats) that is used; the rest covers retries that arrive
+	// later than they were allowed, and new instances that are not counted yet.
 	retryShare = 0.9
 	// stopMargin is how long before the end of the grace time the process ends by itself.
 	stopMargin = 400 * time.Millisecond
-	// stopPollPeriod is how often a stopping instance looks whether it is done.
+	// stopPollPeriod is how often a stopping instance checks whether its requests have finished.
 	stopPollPeriod = 50 * time.Millisecond
-	// noticeTime is how long the balancer may go on sending connections after readiness fails: two checks, one a second.
+	// noticeTime is how long the load balancer may go on sending connections after readiness fails: two checks, one a second.
 	noticeTime = 3 * time.Second
 )
 
@@ -77,7 +77,7 @@
 	Err      error
 }
 
-// Signals are what the process is told from outside.
+// Signals holds the channels by which the process learns that it is to stop or that its settings have changed.
 type Signals struct {
 	// Stop is closed when the instance is to stop.
 	Stop <-chan struct{}
@@ -85,7 +85,7 @@
 	Reload <-chan Reload
 }
 
-// RunHosted starts an instance and returns when it has stopped after it was told to, or could not start.
+// RunHosted runs an instance until signals.Stop is closed and it has stopped; it returns an error if the instance cannot start.
 func RunHosted(settings *config.Hosted, signals Signals) error {
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.Memory.Megabytes) * (1 << 20)))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -102,7 +102,7 @@
 	return runErr
 }
 
-// hostedContainer provides every part of a hosted instance.
+// hostedContainer returns a container with the constructors of all parts of a hosted instance.
 func hostedContainer(ctx context.Context, settings *config.Hosted) (*dig.Container, error) {
 	return provide(
 		func() context.Context { return ctx },
@@ -236,7 +236,8 @@
 	}
 }
 
-// logSuspension logs that the machine was suspended: what was heard before is as much older.
+// logSuspension logs that the machine was suspended, so that everything received before is older by the gap, or that the
+// clocks could not be read.
 func (i *hosted) logSuspension(gap time.Duration, err error) {
 	if err != nil {
 		i.Log.WithError(err).Error("clock not read")
@@ -245,7 +246,8 @@
 	i.Log.WithField("gap_ms", gap.Milliseconds()).Warn("machine was suspended")
 }
 
-// listenPeers starts to answer other instances and returns what ends that; without an address there are none.
+// listenPeers starts the listener for other instances and returns a function that closes it and the links to them; without an
+// address it does neither.
 func (i *hosted) listenPeers() (func(), error) {
 	if i.Settings.Listen.Peers == "" {
 		return func() {}, nil
@@ -263,7 +265,7 @@
 	}, nil
 }
 
-// reload takes over the settings that can change while the instance runs; the others need a restart.
+// reload applies the settings that can change while the instance runs; the others need a restart.
 func (i *hosted) reload(r Reload) {
 	if r.Err != nil {
 		i.Log.WithError(r.Err).Error("settings not reloaded, the former ones stay in force")
@@ -275,7 +277,7 @@
 	i.Log.WithField("needs_restart", restart).Info("settings reloaded")
 }
 
-// shutDown finishes the requests under way and ends before the grace time does.
+// shutDown lets the requests in flight finish, but returns before the grace time is over.
 func (i *hosted) shutDown(m *chart.Machine) error {
 	start := i.Clock.Now()
 	end := start.Add(i.Settings.Stop.Grace - stopMargin)
--- a/app/listen.go
+++ b/app/listen.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// callerConnShare is the part of a process's descriptors that callers' connections may take while some of them rest; each request
-	// under way needs another one to its server, and the checks, the store and the other instances need some.
+	// callerConnShare is the part of the process's file descriptors that callers' connections may take as long as some of
+	// them are idle and can be closed. Each request in flight needs another descriptor for the connection to its server;
+	// health checks, the store and the other instances need some too.
 	callerConnShare = 0.5
-	// maxDescriptors stands for a limit that is not known or higher.
+	// maxDescriptors replaces a limit on descriptors that is unknown or higher.
 	maxDescriptors = 1 << 20
-	// acceptRetryDelay keeps a listener that is out of descriptors from spinning.
+	// acceptRetryDelay keeps a listener that is out of descriptors from retrying in a busy loop.
 	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// maxConnections returns the number of callers' connections beyond which those that rest make room for new ones.
+// maxConnections returns the number of callers' connections beyond which idle ones are closed to admit new ones.
 func maxConnections() int {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
@@ -29,14 +30,14 @@
 	return int(callerConnShare * float64(min(limit.Cur, maxDescriptors)))
 }
 
-// retryListener goes on accepting after errors that pass, such as a lack of descriptors: the HTTP library ends its server at the
-// first one.
+// retryListener retries Accept after temporary errors, such as a lack of descriptors: the HTTP library ends its server at the
+// first error.
 type retryListener struct {
 	net.Listener
 	clock *timer.Service
 }
 
-// withAcceptRetry returns a listener whose errors that pass end nothing.
+// withAcceptRetry returns a listener that retries Accept after all errors but that of a closed listener.
 func withAcceptRetry(l net.Listener, clock *timer.Service) net.Listener {
 	return retryListener{Listener: l, clock: clock}
 }
--- a/app/listen_test.go
+++ b/app/listen_test.go
@@ -13,10 +13,10 @@
 	"junctioncross/timer"
 )
 
-// testTimeout bounds waits for what happens at once on a sound machine.
+// testTimeout bounds waits that end at once on a healthy machine.
 const testTimeout = 30 * time.Second
 
-// failingListener is a listener that has no descriptor for the first connections that it is asked for.
+// failingListener fails the first calls of Accept for lack of a descriptor.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -31,7 +31,8 @@
 	return s.Listener.Accept()
 }
 
-// TestServerAnswersAfterAcceptRunsOutOfDescriptors lets the listener of an HTTP server fail twice.
+// TestServerAnswersAfterAcceptRunsOutOfDescriptors guards against an HTTP server that ends at the first failed Accept: its
+// listener lacks a descriptor twice.
 func TestServerAnswersAfterAcceptRunsOutOfDescriptors(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/app/provide.go
+++ b/app/provide.go
@@ -29,7 +29,7 @@
 	"junctioncross/view"
 )
 
-// container provides every part of an instance.
+// container returns a container with the constructors of all parts of an entry instance.
 func container(ctx context.Context, settings *config.Settings) (*dig.Container, error) {
 	return provide(
 		func() context.Context { return ctx },
@@ -41,7 +41,7 @@
 	)
 }
 
-// provide returns a container of the constructors.
+// provide returns a container with the given constructors.
 func provide(constructors ...any) (*dig.Container, error) {
 	c := dig.New()
 	for _, fn := range constructors {
@@ -60,7 +60,7 @@
 	return newLogger(queue, settings.Log, instanceHook{name: settings.Instance.Name, domain: settings.Instance.Domain})
 }
 
-// newLogger returns a logger that writes JSON lines with the instance that they are of.
+// newLogger returns a logger that writes JSON lines, each with the name and the domain of the instance.
 func newLogger(out io.Writer, settings config.Log, instance instanceHook) (*logrus.Logger, error) {
 	level, err := logrus.ParseLevel(settings.Level)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return log, nil
 }
 
-// instanceHook adds the instance to every line.
+// instanceHook adds the name and the domain of the instance to every log line.
 type instanceHook struct {
 	name   string
 	domain string
@@ -115,7 +115,7 @@
 	return admit.NewGates(clock, settings.Limits.QueueWait)
 }
 
-// entryDeps are the parts that answer callers.
+// entryDeps holds the dependencies of the handler for callers' requests.
 type entryDeps struct {
 	dig.In
 
@@ -133,7 +133,7 @@
 	return entry.New(d.Board, d.Gates, d.Runner, d.Forward, d.Claims, d.Clock, d.Stats, d.Record, settings.Limits.RequestTime)
 }
 
-// loopDeps are the parts of the control loop.
+// loopDeps holds the dependencies of the control loop.
 type loopDeps struct {
 	dig.In
 
--- a/app/run.go
+++ b/app/run.go
@@ -30,7 +30,8 @@
 	writeTimeout    = time.Minute
 	maxOperatorBody = 4 << 20
 	gcPercent       = 50
-	statePeriod     = 500 * time.Millisecond
+	// statePeriod is how often an instance checks whether it leads and whether it has its first configuration.
+	statePeriod = 500 * time.Millisecond
 )
 
 // instance is a running entry instance.
@@ -51,9 +52,9 @@
 	Log      *logrus.Logger
 }
 
-// Run starts an instance and returns when it has stopped after stop was closed, or could not start.
+// Run runs an entry instance until stop is closed and it has stopped; it returns an error if the instance cannot start.
 func Run(settings *config.Settings, stop <-chan struct{}) error {
-	// Instances are small: a tight heap is worth more than the processor time that it costs.
+	// Instances are small: a small heap is worth more than the processor time that collecting garbage more often costs.
 	debug.SetGCPercent(gcPercent)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -102,21 +103,22 @@
 	return nil
 }
 
-// fire moves an instance's chart along; an event that it does not know is a fault of ours and is logged.
+// fire applies an event to an instance's state machine; an event that its state does not allow is a bug and is logged.
 func fire(log *logrus.Logger, m *chart.Machine, e chart.Event) {
 	if err := m.Fire(e); err != nil {
 		log.WithError(err).Error("unexpected event")
 	}
 }
 
-// shutdownContext returns a context that gives open connections a moment to end.
+// shutdownContext returns a context that ends after a second, which is the time that open connections get to close.
 func shutdownContext(ctx context.Context) context.Context {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	context.AfterFunc(ctx, cancel)
 	return ctx
 }
 
-// serveUntil follows the instance's state until it is told to stop.
+// serveUntil tells the control loop whether this instance leads, and enters the state serving when there is a configuration,
+// until stop is closed.
 func (i *instance) serveUntil(stop <-chan struct{}, m *chart.Machine) {
 	ticks := i.Clock.Subscribe(statePeriod)
 	defer ticks.Stop()
@@ -134,7 +136,7 @@
 	}
 }
 
-// listen opens the callers', operators' and health listeners.
+// listen starts the listeners for callers, operators and health checks.
 func (i *instance) listen(health *health) ([]*fasthttp.Server, error) {
 	callers := &fasthttp.Server{
 		Handler: i.Entry.Routes(), ErrorHandler: i.Entry.Broken, MaxRequestBodySize: i.Settings.Limits.BodyBytes,
@@ -169,6 +171,7 @@
 	return []*fasthttp.Server{callers, operators, checks}, nil
 }
 
+// serve starts to serve a TCP address, with TLS if tlsConfig is set.
 func serve(addr string, server *fasthttp.Server, tlsConfig *tls.Config, clock *timer.Service) error {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
