--- a/intent/apply.go
+++ b/intent/apply.go
@@ -6,7 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// Apply returns the document after the changes, and every reason why it cannot be had.
+// Apply returns a copy of the document with the changes, and an error for each change that cannot be made and for each
+// reference to nothing or duplicate key in the result.
 func Apply(d *Document, changes []Change) (*Document, []error) {
 	next := d.Clone()
 	var problems []error
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// upsert puts the item at its place in the order of names and replaces one of the same name.
+// upsert inserts the item into items, which are sorted by name, or replaces the one with its name.
 func upsert[T any](items []T, item T, name func(*T) string) []T {
 	key := name(&item)
 	i := sort.Search(len(items), func(i int) bool { return name(&items[i]) >= key })
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// checkReferences returns every reference of the document that leads nowhere.
+// checkReferences returns an error for each reference to something that does not exist and for each key that two accounts have.
 func (d *Document) checkReferences() []error {
 	var problems []error
 	keys := map[string]string{}
--- a/intent/change.go
+++ b/intent/change.go
@@ -26,7 +26,7 @@
 	Model string `yaml:"model" validate:"required"`
 }
 
-// Revoke takes a model from a group.
+// Revoke withdraws a group's permission to use a model.
 type Revoke struct {
 	Group string `yaml:"group" validate:"required"`
 	Model string `yaml:"model" validate:"required"`
@@ -49,7 +49,7 @@
 // AddService adds a plain service or replaces it.
 type AddService struct{ Service }
 
-// Rebalance places all layers anew.
+// Rebalance drops the placement of all layers, so that the planner places them again.
 type Rebalance struct {
 	Confirmed bool `yaml:"confirmed"`
 }
--- a/intent/doc.go
+++ b/intent/doc.go
@@ -1,2 +1,3 @@
-// Package intent holds the configuration document that operators change, and the intents that change it.
+// Package intent holds the configuration document and the intents by which operators change it. An intent is a list of
+// changes with a reason.
 package intent
--- a/intent/document.go
+++ b/intent/document.go
@@ -11,7 +11,7 @@
 	Version string `json:"version" yaml:"version" validate:"required"`
 }
 
-// Group shares the pool with other groups by weight.
+// Group is a group of client accounts; groups share the pool in proportion to their weights.
 type Group struct {
 	Name   string   `json:"name" yaml:"name" validate:"required"`
 	Weight float64  `json:"weight" yaml:"weight" validate:"gt=0"`
@@ -53,7 +53,7 @@
 	Addr   string `json:"addr" yaml:"addr" validate:"ipport"`
 	Domain string `json:"domain" yaml:"domain" validate:"required"`
 	Kind   string `json:"kind" yaml:"kind" validate:"required"`
-	// ChecksFence is false for an engine that does not check who gives it an order.
+	// ChecksFence is false for an engine that does not check the fencing token of an order, that is, who gives it.
 	ChecksFence bool `json:"checks_fence" yaml:"checks_fence"`
 	// LinkMicros is the one-way delay of the server's link, in microseconds.
 	LinkMicros float64 `json:"link_us" yaml:"link_us" validate:"gte=0"`
@@ -64,7 +64,7 @@
 	Layers models.Layers `json:"layers" yaml:"-"`
 }
 
-// Call marks the calls of a plain service whose method and path prefix match.
+// Call says whether the calls of a plain service whose method and path prefix match may be repeated.
 type Call struct {
 	Method     string `json:"method" yaml:"method" validate:"oneof=GET POST PUT PATCH DELETE"`
 	Path       string `json:"path" yaml:"path" validate:"required"`
@@ -78,7 +78,7 @@
 	Calls []Call   `json:"calls" yaml:"calls" validate:"dive"`
 }
 
-// Document is the whole configuration that operators agree on.
+// Document is the complete configuration that operators set.
 type Document struct {
 	Models   []Model   `json:"models"`
 	Groups   []Group   `json:"groups"`
--- a/intent/file.go
+++ b/intent/file.go
@@ -45,7 +45,7 @@
 	return f.Why, changes, nil
 }
 
-// changes returns the changes that the entry holds.
+// changes returns the changes that the entry holds; a valid entry holds one.
 func (e *entry) changes() []Change {
 	var out []Change
 	out = appendSet(out, e.Model, func(m *Model) Change { return &AddModel{*m} })
