--- a/fleet/configure.go
+++ b/fleet/configure.go
@@ -27,7 +27,7 @@
 	return change{"share": change{"group": group, "weight": weight}}
 }
 
-// configure states the fleet's configuration as an intent and confirms its plan.
+// configure submits the fleet's configuration as an intent and confirms its plan.
 func (f *Fleet) configure() error {
 	changes := f.initialChanges()
 	_, err := f.Apply("first configuration", changes...)
@@ -70,7 +70,7 @@
 	return out
 }
 
-// Apply states an intent of the given changes, plans it and confirms the plan on the first instance that answers.
+// Apply submits an intent with the given changes to the first instance, has it planned and confirms the plan.
 func (f *Fleet) Apply(why string, changes ...map[string]any) (revision.Entry, error) {
 	plan, err := f.Propose(why, changes...)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return client.Confirm(plan.ID)
 }
 
-// Propose states an intent and returns its plan, which changes nothing.
+// Propose submits an intent to the first instance and returns its plan; nothing changes until the plan is confirmed.
 func (f *Fleet) Propose(why string, changes ...map[string]any) (revision.Plan, error) {
 	var noPlan revision.Plan
 	body, err := yaml.Marshal(map[string]any{"why": why, "changes": changes})
@@ -128,7 +128,7 @@
 	})
 }
 
-// Eventually calls try until it succeeds or the limit is over, and returns its last error.
+// Eventually calls try until it succeeds or the time limit has passed, and returns its last error.
 func Eventually(limit time.Duration, try func() error) error {
 	end := time.Now().Add(limit)
 	for {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Post sends a JSON value to a path of a stand-in.
+// Post sends a JSON value to a path of a stand-in; it retries until the status is 200 or startTimeout has passed.
 func Post(addr, path string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -164,7 +164,7 @@
 	})
 }
 
-// Get reads a path; a JSON body is decoded, and any status but 200 is an error.
+// Get reads a path; a JSON body is decoded, any other body is ignored, and any status but 200 is an error.
 func Get[T any](addr, path string) (T, error) {
 	var value T
 	code, body, err := fasthttp.GetTimeout(nil, "http://"+addr+path, callTimeout)
--- a/fleet/engines.go
+++ b/fleet/engines.go
@@ -9,12 +9,12 @@
 
 var client = engine.NewCaller()
 
-// EngineReport asks an engine for its load report.
+// EngineReport requests the load report of an engine.
 func EngineReport(addr string) (engine.Report, error) {
 	return client.Report(addr, time.Second)
 }
 
-// SetEngineFault brings a fault of an engine about or ends it.
+// SetEngineFault sets the fault that an engine simulates; the zero value ends it.
 func SetEngineFault(e *Engine, fault standin.EngineFault) error {
 	return Post(e.Addr, "/test/fault", fault)
 }
--- a/fleet/explain_test.go
+++ b/fleet/explain_test.go
@@ -15,7 +15,7 @@
 	"junctioncross/models"
 )
 
-// explain returns what jxctl tells from the logs of the instances alone.
+// explain returns the output of a jxctl command that reads only the logs of the instances.
 func explain(f *fleet.Fleet, command, name string) string {
 	args := []string{command, name}
 	for _, e := range f.Entries() {
@@ -25,16 +25,17 @@
 	return string(out)
 }
 
-// requireExplained waits until the logs tell something; lines are written some time after they were made.
+// requireExplained waits until the output of a jxctl command contains a text; log lines are written with a delay.
 func requireExplained(t *testing.T, f *fleet.Fleet, command, name, want string) {
 	require.NoError(t, fleet.Eventually(testTimeout, func() error {
 		if got := explain(f, command, name); !strings.Contains(got, want) {
-			return errors.Errorf("jxctl %s %s tells no %q: %s", command, name, want, got)
+			return errors.Errorf("jxctl %s %s does not say %q: %s", command, name, want, got)
 		}
 		return nil
 	}))
 }
 
+// TestLogsExplainWhatBecameOfARequest checks what jxctl says of a complete, a broken and a refused answer.
 func TestLogsExplainWhatBecameOfARequest(t *testing.T) {
 	spec := smallSpec(2, "a", "b")
 	spec.Models, spec.Groups, spec.Accounts = spec.Models[:1], spec.Groups[:1], spec.Accounts[:1]
@@ -67,7 +68,7 @@
 	requireExplained(t, f, "why", refused.RequestID, "cause: it has not run: no path of usable servers held every layer of the model (configuration ")
 }
 
-// send sends a request to the first instance and returns what came of it.
+// send sends a request to the first instance and returns its reply, whatever it is.
 func send(t *testing.T, f *fleet.Fleet, onToken func(int)) *load.Reply {
 	r, err := load.NewClient().Stream(t.Context(), load.Ask{
 		Addr: f.Entries()[0].Callers, Key: fleet.KeyCounter, Model: f.Spec().Models[0].Name, Prompt: "anything", Limit: 30, OnToken: onToken,
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -17,10 +17,10 @@
 	"junctioncross/ports"
 )
 
-// OperatorName is the holder of the operator's certificate of a fleet.
+// OperatorName is the name in the operator's certificate of a fleet.
 const OperatorName = "operator"
 
-// Entry is one entry instance of a fleet.
+// Entry is one entry instance of a fleet; Callers, Ops, Peers and Health are the addresses of its listeners.
 type Entry struct {
 	Process *Process
 	Name    string
@@ -67,8 +67,8 @@
 	services    []*Service
 }
 
-// Start starts every process of a fleet with the programs in bin, and puts its first configuration in force; on an error
-// everything that was started is stopped.
+// Start starts every process of a fleet with the programs in bin, applies its first configuration and waits until it serves;
+// on an error everything that was started is stopped.
 func Start(spec Spec, bin string) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "jxfleet-")
 	if err != nil {
@@ -84,7 +84,7 @@
 	return f, nil
 }
 
-// Stop ends every process of the fleet and removes its files.
+// Stop ends every process of the fleet and removes its files, unless JX_KEEP is set in the environment.
 func (f *Fleet) Stop() {
 	f.starter.stopAll()
 	f.proxies.close()
@@ -169,10 +169,10 @@
 	return nil
 }
 
-// StartEngine starts the process of an engine anew.
+// StartEngine starts the process of an engine again.
 func (f *Fleet) StartEngine(e *Engine) error { return f.startEngineProcess(e) }
 
-// startEngineProcess starts one process for engines of the first one's kind and link.
+// startEngineProcess starts one process that runs the given engines, all with the kind and the link of the first.
 func (f *Fleet) startEngineProcess(engines ...*Engine) error {
 	k := f.kind(engines[0].Kind)
 	args := []string{
@@ -267,7 +267,8 @@
 	return a.Issue(f.keyDir(), keys.NewIdentity(keys.RoleOperator, "", OperatorName), now)
 }
 
-// SetList gives the platform's list every instance, those named in leaving as leaving.
+// SetList replaces the platform's list of instances by all entry instances and engines of the fleet; those named in leaving
+// are marked as leaving.
 func (f *Fleet) SetList(leaving map[string]bool) error {
 	var listed []member.Listed
 	for _, e := range f.entries {
@@ -283,7 +284,7 @@
 	return Post(f.listAddr, member.PathInstances, listed)
 }
 
-// StartEntry starts the process of an entry instance, for the first time or anew.
+// StartEntry writes the settings of an entry instance and starts its process, for the first time or again.
 func (f *Fleet) StartEntry(e *Entry) error {
 	settings := config.Default()
 	settings.Instance = config.Instance{Name: e.Name, Domain: e.Domain}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -35,13 +35,13 @@
 	return f
 }
 
-// requireSchema checks that each whole line that the instances have printed is one of the schema.
+// requireSchema checks each complete line that the instances have logged against the schema of log lines.
 func requireSchema(t *testing.T, f *fleet.Fleet) {
 	for _, e := range f.Entries() {
 		printed, err := os.ReadFile(filepath.Join(f.Dir(), e.Name+".log"))
 		require.NoError(t, err)
 		lines := strings.Split(string(printed), "\n")
-		// An instance that runs may be in the middle of its last line.
+		// The last line of a running instance may be incomplete.
 		for _, line := range lines[:len(lines)-1] {
 			if err := schema.Check([]byte(line)); err != nil {
 				t.Errorf("%v: %s", err, line)
@@ -50,7 +50,7 @@
 	}
 }
 
-// smallSpec is a fleet of one domain.
+// smallSpec returns the Spec of a fleet with one domain.
 func smallSpec(entries int, engines ...string) fleet.Spec {
 	spec := fleet.Users()
 	spec.Domains = []string{"d"}
@@ -60,7 +60,8 @@
 	return spec
 }
 
-// TestInstancesThatStartAtOnceFindEachOther starts many instances at once, which first find each other in several groups.
+// TestInstancesThatStartAtOnceFindEachOther starts many instances at once, which form several groups before all of them know
+// each other.
 func TestInstancesThatStartAtOnceFindEachOther(t *testing.T) {
 	const count = 10
 	f := startFleet(t, smallSpec(count))
@@ -71,7 +72,7 @@
 				return err
 			}
 			if live != count {
-				return errors.Errorf("%s counts on %d instances", e.Name, live)
+				return errors.Errorf("%s knows %d live instances", e.Name, live)
 			}
 		}
 		return nil
@@ -140,7 +141,8 @@
 	}
 }
 
-// TestAPaymentRunsOnceWhenTheStoreLosesAnswers repeats keyed calls on all instances while claims' answers are lost.
+// TestAPaymentRunsOnceWhenTheStoreLosesAnswers repeats calls with an idempotency key on all instances while the key-value
+// service loses answers to writes of claims.
 func TestAPaymentRunsOnceWhenTheStoreLosesAnswers(t *testing.T) {
 	spec := smallSpec(3, "a", "a")
 	f := startFleet(t, spec)
@@ -183,7 +185,7 @@
 	return resp.StatusCode, models.Fate(resp.Header.Get(models.HeaderFate))
 }
 
-// TestADomainCutOffFromThePlatformReceivesChanges cuts one domain from the platform but not from the other domain.
+// TestADomainCutOffFromThePlatformReceivesChanges cuts one domain off from the platform, but not from the other domain.
 func TestADomainCutOffFromThePlatformReceivesChanges(t *testing.T) {
 	spec := smallSpec(2)
 	spec.Domains = []string{"d", "e"}
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -39,7 +39,8 @@
 	<-p.done
 }
 
-// starter starts processes from one operating-system thread, so that the kernel ends them when that thread's process dies.
+// starter starts all processes from one locked operating-system thread: the kernel kills them when the thread that started
+// them ends, which must not happen before the program ends.
 type starter struct {
 	dir   string
 	calls chan func()
@@ -88,7 +89,7 @@
 	return p.cmd.Start()
 }
 
-// stopAll asks every process to end and kills those that do not in time.
+// stopAll sends SIGTERM to every process and kills those that have not ended after stopTimeout.
 func (s *starter) stopAll() {
 	s.mu.Lock()
 	all := s.all
--- a/fleet/proxies.go
+++ b/fleet/proxies.go
@@ -6,7 +6,8 @@
 	"junctioncross/fault"
 )
 
-// Faults holds the proxies between the processes of a fleet; without proxies every method returns the address itself.
+// Faults holds the proxies that inject faults between the processes of a fleet. If the fleet is not proxied, there are none,
+// and its processes reach each other directly.
 type Faults struct {
 	proxied bool
 
@@ -33,11 +34,13 @@
 // Engine returns the proxy in front of an engine.
 func (f *Faults) Engine(name string) *fault.TCP { return f.engines[name] }
 
-// Peer returns the proxy in front of an entry instance's peers' listener.
+// Peer returns the proxy in front of an entry instance's listener for other instances.
 func (f *Faults) Peer(name string) *fault.UDP { return f.peers[name] }
 
+// engineAddr returns the address under which entry instances reach an engine.
 func (f *Faults) engineAddr(e *Engine) (string, error) { return f.tcpAddr(f.engines, e.Name, e.Addr) }
 
+// platformAddrs returns the addresses under which a domain reaches the key-value service and the instance list.
 func (f *Faults) platformAddrs(domain, kv, list string) (kvAddr, listAddr string, err error) {
 	if kvAddr, err = f.tcpAddr(f.kv, domain, kv); err != nil {
 		return "", "", err
@@ -46,6 +49,7 @@
 	return kvAddr, listAddr, err
 }
 
+// tcpAddr returns the address of the proxy of that name, which is started if needed; without proxies it returns upstream.
 func (f *Faults) tcpAddr(all map[string]*fault.TCP, name, upstream string) (string, error) {
 	if !f.proxied {
 		return upstream, nil
@@ -63,6 +67,7 @@
 	return p.Addr(), nil
 }
 
+// peerAddr returns the address under which other instances reach an entry instance.
 func (f *Faults) peerAddr(e *Entry) (string, error) {
 	if !f.proxied {
 		return e.Peers, nil
--- a/fleet/spec.go
+++ b/fleet/spec.go
@@ -20,18 +20,19 @@
 	// Engines lists the kinds of the engines of each domain.
 	Engines  []string
 	Services []ServiceSpec
-	// SharedEngines runs all engines of a domain in one process, for large fleets of idle ones.
+	// SharedEngines runs all engines of a domain in one process, for large fleets of idle engines.
 	SharedEngines bool
-	// LinkMicros is the one-way delay of the engines' links by their place in Engines, in microseconds; shorter lists start
-	// again.
+	// LinkMicros holds the one-way delays of the engines' links in the order of Engines, in microseconds; a shorter list is
+	// repeated.
 	LinkMicros []float64
-	// Proxied puts fault proxies in front of the key-value service and list, for each domain, and of engines and peers.
+	// Proxied puts fault proxies in front of the key-value service and the instance list, for each domain, and in front of
+	// each engine and each entry instance's listener for other instances.
 	Proxied bool
-	// ListLag is how old the platform's list is.
+	// ListLag is how far the platform's instance list lags behind.
 	ListLag time.Duration
-	// LayerLoad is the weight store's time for one layer.
+	// LayerLoad is the time that the weight store takes for one layer.
 	LayerLoad time.Duration
-	// QueueWait is the instances' limit on the predicted wait.
+	// QueueWait is the instances' limit on the predicted wait of a request.
 	QueueWait time.Duration
 }
 
@@ -50,7 +51,7 @@
 	Calls []intent.Call
 }
 
-// Names of the shape that Users returns.
+// Names in the Spec that Users returns.
 const (
 	ModelCounter   = "counter-assistant"
 	ModelQuotes    = "quote-writer"
@@ -62,8 +63,8 @@
 	ServiceBooking = "bookings"
 )
 
-// Users returns the shape of the two users of today: three failure domains, eight entry instances, engines of five kinds
-// and plain services.
+// Users returns the Spec of a fleet like that of today's two users, who have a model each: three failure domains, eight entry
+// instances, engines of five kinds and plain services.
 func Users() Spec {
 	return Spec{
 		Domains: []string{"fukuoka", "kumamoto", "kagoshima"},
