--- a/app/hosted.go
+++ b/app/hosted.go
@@ -60,7 +60,7 @@
 	Loop     *follow.Loop
 	Leader   *leader.Leader
 	Census   *census.Census
-	Register *relay.Rolls
+	Registry *relay.Rolls
 	Relay    *relay.Source
 	Links    *link.Client
 	Trust    link.Trust
@@ -122,7 +122,7 @@
 		func(b *census.Board) link.Trust { return keys.NewFleetKeyFrom(b.Key) },
 		func(clock *timer.Service) backend.Caller { return platform.NewEngines(clock) },
 		timer.NewSuspendable, metrics.New, follow.NewBoard, follow.New, newStdoutQueue, newHostedLog, decision.NewRecorder,
-		forwardSettings, forward.New, newFront, newOrderLeader, newChecks, newMembershipView, newRegister, newCensus, relaySelf,
+		forwardSettings, forward.New, newFront, newOrderLeader, newChecks, newMembershipView, newRegistry, newCensus, relaySelf,
 		relay.New, link.NewClient,
 	)
 }
@@ -175,14 +175,14 @@
 }
 
 func newCensus(
-	ctx context.Context, settings *config.Hosted, membership *census.Board, register *relay.Rolls, clock *timer.Service,
+	ctx context.Context, settings *config.Hosted, membership *census.Board, registry *relay.Rolls, clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
 ) *census.Census {
 	self := census.Instance{
 		Name: settings.Instance.Name, Domain: settings.Instance.Domain, Addr: settings.Listen.Peers, Power: settings.Instance.Power,
 	}
 	newKey := func() ([]byte, error) { return keys.NewFleetKey(clock.Now()) }
-	return census.New(ctx, membership, register, self, newKey, clock, stats, log)
+	return census.New(ctx, membership, registry, self, newKey, clock, stats, log)
 }
 
 func relaySelf(settings *config.Hosted) relay.Self {
@@ -192,7 +192,7 @@
 	}
 }
 
-func newRegister(
+func newRegistry(
 	self relay.Self, store *platform.Store, fleet relay.Fleet, links *link.Client, clock *timer.Service,
 ) *relay.Rolls {
 	return relay.NewRolls(self, platform.NewRegisters(store), fleet, links, clock)
@@ -254,7 +254,7 @@
 	}
 	mux := link.NewMux()
 	i.Relay.Register(mux)
-	i.Register.AddTo(mux)
+	i.Registry.AddTo(mux)
 	server, err := link.Listen(i.Settings.Listen.Peers, i.Trust, mux, i.Stats, i.Log)
 	if err != nil {
 		return nil, err
