--- a/census/census_test.go
+++ b/census/census_test.go
@@ -19,40 +19,40 @@
 )
 
 const (
-	patience = 30 * time.Second
-	// whole is the number of records up to which every instance writes one.
-	whole = 24
+	timeout = 30 * time.Second
+	// relayThreshold is the number of records from which a fleet uses relays; in a smaller fleet every instance has a record.
+	relayThreshold = 24
 )
 
-// register is a census.Register in memory.
-type register struct {
-	mu      sync.Mutex
-	members map[int64]census.Instance
-	key     []byte
-	next    int64
-	founded int
-	down    bool
-	renewed map[int64]int
-	// slots holds the slot of each record; the lease of a record is its revision as well.
+// fakeRegistry is a census.Register in memory.
+type fakeRegistry struct {
+	mu          sync.Mutex
+	members     map[int64]census.Instance
+	key         []byte
+	next        int64
+	keysWritten int
+	down        bool
+	renewed     map[int64]int
+	// slots holds the slot of each record by lease; the lease of a record is also its revision.
 	slots map[int64]int
 }
 
 // renewals returns how often a record was renewed.
-func (r *register) renewals(lease int64) int {
+func (r *fakeRegistry) renewals(lease int64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.renewed[lease]
 }
 
 // newest returns the lease of the newest record.
-func (r *register) newest() int64 {
+func (r *fakeRegistry) newest() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.next
 }
 
 // Join implements census.Register.
-func (r *register) Join(_ context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
+func (r *fakeRegistry) Join(_ context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var there int64
@@ -75,7 +75,7 @@
 }
 
 // Renew implements census.Register.
-func (r *register) Renew(_ context.Context, lease int64) error {
+func (r *fakeRegistry) Renew(_ context.Context, lease int64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, ok := r.members[lease]; !ok {
@@ -89,7 +89,7 @@
 }
 
 // List implements census.Register.
-func (r *register) List(context.Context) (census.Roll, error) {
+func (r *fakeRegistry) List(context.Context) (census.Roll, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
@@ -104,58 +104,59 @@
 }
 
 // Found implements census.Register.
-func (r *register) Found(_ context.Context, key []byte) ([]byte, error) {
+func (r *fakeRegistry) Found(_ context.Context, key []byte) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.key == nil {
 		r.key = key
-		r.founded++
+		r.keysWritten++
 	}
 	return r.key, nil
 }
 
-func start(t *testing.T, r *register, n int) []*census.Census {
+func start(t *testing.T, r *fakeRegistry, n int) []*census.Census {
 	return startAt(t, r, n, timer.NewReal())
 }
 
-func startAt(t *testing.T, r *register, n int, clock *timer.Service) []*census.Census {
+func startAt(t *testing.T, r *fakeRegistry, n int, clock *timer.Service) []*census.Census {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	out := make([]*census.Census, n)
 	for i := range out {
 		self := census.Instance{Name: fmt.Sprint("i-", i), Domain: "east", Addr: fmt.Sprint("addr-", i)}
 		newKey := func() ([]byte, error) { return []byte(self.Name), nil }
-		out[i] = census.New(t.Context(), census.NewBoard(whole), r, self, newKey, clock, metrics.New(), log)
+		out[i] = census.New(t.Context(), census.NewBoard(relayThreshold), r, self, newKey, clock, metrics.New(), log)
 	}
 	return out
 }
 
-func TestInstancesCountEachOtherAndShareOneKey(t *testing.T) {
-	r := &register{members: map[int64]census.Instance{}}
+func TestInstancesAgreeOnCountAndFleetKey(t *testing.T) {
+	r := &fakeRegistry{members: map[int64]census.Instance{}}
 	all := start(t, r, 4)
-	require.Equal(t, census.Unknown, all[0].Instances(), "nobody assumes to be alone before the first count")
+	require.Equal(t, census.AssumedInstances, all[0].Instances(), "no instance may assume that it is alone before its first read")
 	for _, c := range all {
-		require.Eventually(t, func() bool { return c.Instances() == 4 && len(c.Key()) > 0 }, patience, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return c.Instances() == 4 && len(c.Key()) > 0 }, timeout, 20*time.Millisecond)
 		require.Equal(t, all[0].Key(), c.Key())
 	}
-	require.Equal(t, 1, r.founded)
+	require.Equal(t, 1, r.keysWritten)
 }
 
-func TestOneThatComesLaterKnowsTheOthersAtOnce(t *testing.T) {
-	r := &register{members: map[int64]census.Instance{1: {Name: "old"}, 2: {Name: "older"}}, next: 2, key: []byte("k")}
+func TestLateInstanceKnowsTheOthersAtOnce(t *testing.T) {
+	r := &fakeRegistry{members: map[int64]census.Instance{1: {Name: "old"}, 2: {Name: "older"}}, next: 2, key: []byte("k")}
 	late := start(t, r, 1)[0]
-	require.Eventually(t, func() bool { return len(late.Members()) >= 2 && string(late.Key()) == "k" }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(late.Members()) >= 2 && string(late.Key()) == "k" }, timeout, time.Millisecond)
 }
 
-// TestOneThatStartsInAnOutageCountsTheOthersSoonAfterIt starts an instance while the store is down, as after the end of all: relays
-// refuse each other until they know the fleet's key, so that a count which waits for seconds sends all of them to the store.
-func TestOneThatStartsInAnOutageCountsTheOthersSoonAfterIt(t *testing.T) {
+// TestInstanceStartedDuringAnOutageReadsTheRecordsSoonAfterIt starts an instance while the store is down, as when the whole
+// fleet restarts during an outage. Relays refuse each other until they know the fleet key, so that an instance that delays
+// its next read for seconds polls the store instead, as all others do.
+func TestInstanceStartedDuringAnOutageReadsTheRecordsSoonAfterIt(t *testing.T) {
 	const (
 		outage = 11 * time.Second
 		soon   = time.Second
 		step   = 10 * time.Millisecond
 	)
-	r := &register{members: map[int64]census.Instance{1: {Name: "old"}}, next: 1, key: []byte("k"), down: true}
+	r := &fakeRegistry{members: map[int64]census.Instance{1: {Name: "old"}}, next: 1, key: []byte("k"), down: true}
 	fake := clockwork.NewFakeClock()
 	one := startAt(t, r, 1, timer.New(fake))[0]
 	pass := func(d time.Duration) {
@@ -175,38 +176,38 @@
 	require.Equal(t, "k", string(one.Key()))
 }
 
-// TestOneThatStartsAgainKeepsItsRecord starts an instance again within the time of its record, as all do after the end of all: a new
-// record would cost twenty times the calls.
-func TestOneThatStartsAgainKeepsItsRecord(t *testing.T) {
-	r := &register{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "addr-0"}}, next: 7, key: []byte("k")}
+// TestRestartedInstanceKeepsItsRecord restarts an instance before its record has expired, as happens when the whole fleet
+// restarts: writing a new record costs twenty times the calls of renewing the old one.
+func TestRestartedInstanceKeepsItsRecord(t *testing.T) {
+	r := &fakeRegistry{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "addr-0"}}, next: 7, key: []byte("k")}
 	start(t, r, 1)
-	require.Eventually(t, func() bool { return r.renewals(7) > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return r.renewals(7) > 0 }, timeout, time.Millisecond)
 	require.Equal(t, int64(7), r.newest())
 }
 
-// TestOneAtAnotherAddressWritesItsRecordAnew starts an instance whose record tells an address that is no longer its own.
-func TestOneAtAnotherAddressWritesItsRecordAnew(t *testing.T) {
-	r := &register{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "former"}}, next: 7, key: []byte("k")}
+// TestInstanceAtANewAddressWritesANewRecord starts an instance whose record holds an address that is no longer its own.
+func TestInstanceAtANewAddressWritesANewRecord(t *testing.T) {
+	r := &fakeRegistry{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "former"}}, next: 7, key: []byte("k")}
 	start(t, r, 1)
-	require.Eventually(t, func() bool { return r.newest() == 8 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return r.newest() == 8 }, timeout, time.Millisecond)
 	require.Zero(t, r.renewals(7))
 }
 
-// TestNobodyTakesTheFirstRecordsForTheWholeFleet starts 40 instances together without any records: whoever knew of a few of them only
-// would take the fleet for one too small for relays.
-func TestNobodyTakesTheFirstRecordsForTheWholeFleet(t *testing.T) {
+// TestInstancesStartingTogetherDoNotPublishTheFirstRecords starts 40 instances together without any records. An instance
+// that knew only the first few records would take the fleet for one too small for relays.
+func TestInstancesStartingTogetherDoNotPublishTheFirstRecords(t *testing.T) {
 	const fleet = 40
-	r := &register{members: map[int64]census.Instance{}}
+	r := &fakeRegistry{members: map[int64]census.Instance{}}
 	for _, c := range start(t, r, fleet) {
-		require.Eventually(t, func() bool { return len(c.Members()) > 0 }, patience, time.Millisecond)
-		require.GreaterOrEqual(t, len(c.Members()), whole)
+		require.Eventually(t, func() bool { return len(c.Members()) > 0 }, timeout, time.Millisecond)
+		require.GreaterOrEqual(t, len(c.Members()), relayThreshold)
 	}
 }
 
-// TestAFleetThatFitsIsKnownWhole starts the most instances that all have records.
-func TestAFleetThatFitsIsKnownWhole(t *testing.T) {
-	r := &register{members: map[int64]census.Instance{}}
-	for _, c := range start(t, r, whole-1) {
-		require.Eventually(t, func() bool { return len(c.Members()) == whole-1 && c.Instances() == whole-1 }, patience, time.Millisecond)
+// TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted starts the largest fleet in which every instance has a record.
+func TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted(t *testing.T) {
+	r := &fakeRegistry{members: map[int64]census.Instance{}}
+	for _, c := range start(t, r, relayThreshold-1) {
+		require.Eventually(t, func() bool { return len(c.Members()) == relayThreshold-1 && c.Instances() == relayThreshold-1 }, timeout, time.Millisecond)
 	}
 }
--- a/control/loop.go
+++ b/control/loop.go
@@ -22,39 +22,40 @@
 )
 
 const (
-	// newsPeriod gathers news of backend servers before they are spread.
-	newsPeriod = 100 * time.Millisecond
-	fastPeriod = 400 * time.Millisecond
-	slowPeriod = time.Second
-	// beatTicks is the number of slow ticks from one sign of life to the next.
-	beatTicks = 2
-	// mergeTicks is the number of slow ticks after which servers are looked at again although nothing was stated: what an
-	// instance said that has gone silent no longer counts.
-	mergeTicks  = 5
-	inboxLength = 1024
-	// exchangeTicks is the number of fast ticks from one exchange to the next when there is no news.
+	// collectPeriod is how long updates are collected before they are applied and passed on together.
+	collectPeriod = 100 * time.Millisecond
+	fastPeriod    = 400 * time.Millisecond
+	slowPeriod    = time.Second
+	// heartbeatTicks is the number of slow ticks between two heartbeats.
+	heartbeatTicks = 2
+	// mergeTicks is the number of slow ticks after which the states of the servers are merged again even without updates: the
+	// lists of moving and leaving servers that an instance published stop counting when it has been silent for silentLimit.
+	mergeTicks    = 5
+	inboxCapacity = 1024
+	// exchangeTicks is the number of fast ticks between two exchanges when there are no updates.
 	exchangeTicks = 3
-	// silentLimit is the time without news after which an instance is not counted on.
+	// silentLimit is the time without updates from an instance after which it no longer counts as live.
 	silentLimit = 12 * time.Second
-	forgetLimit = 5 * time.Minute
+	// forgetAfter is the time without updates from an instance after which its entries are deleted.
+	forgetAfter = 5 * time.Minute
 )
 
-// Self says who this instance is.
+// Self identifies this instance.
 type Self struct {
 	Name        string
 	Domain      string
 	PeerAddr    string
 	Incarnation uint64
-	// Seeds are addresses of instances to ask first.
+	// Seeds are the addresses of instances that are contacted while no other instance is known.
 	Seeds []string
 	// ListAddr is the address of the platform's instance list.
 	ListAddr string
 }
 
-// Process names this start of the instance, for records that must tell one start from the next.
+// Process returns a name for this incarnation of the instance, for records that have to distinguish one start from the next.
 func (s Self) Process() string { return fmt.Sprintf("%s/%d", s.Name, s.Incarnation) }
 
-// Deps are the parts that the control loop works with.
+// Deps are the dependencies of the control loop.
 type Deps struct {
 	Store  *revision.Store
 	Keeper *revision.Keeper
@@ -68,7 +69,7 @@
 	Log    *logrus.Logger
 }
 
-// Loop is the control goroutine and its helpers.
+// Loop is the control goroutine and its helper goroutines.
 type Loop struct {
 	self  Self
 	deps  Deps
@@ -77,74 +78,79 @@
 
 	stopped chan struct{}
 
-	// What helpers and other goroutines read.
-	relay    atomic.Bool
+	// The fields below are shared with helper and other goroutines.
+	relay atomic.Bool
+	// chosen is true while this instance ranks first for the leadership of its domain, and leads while it holds that.
 	chosen   atomic.Bool
 	fetching atomic.Bool
-	alone    atomic.Bool
-	leads    atomic.Bool
-	// hearsKV is false while the last call to the key-value service failed.
-	hearsKV   atomic.Bool
-	directory atomic.Pointer[directory]
+	// alone is true while no other live instance of the domain is known.
+	alone atomic.Bool
+	leads atomic.Bool
+	// kvReachable is false while the last call to the key-value service failed.
+	kvReachable atomic.Bool
+	directory   atomic.Pointer[directory]
 
-	// relayNews is when each relay was last heard to hear the service; it belongs to watch.
-	relayNews map[string]relayNews
+	// relayProgress holds, by relay, its last known number of answers from the key-value service; only the goroutine of watchHead
+	// uses it.
+	relayProgress map[string]kvProgress
 
-	// The fields below belong to the control goroutine.
-	table        *gossip.Table
-	members      members
-	statusCache  *cache[InstanceStatus]
-	backendCache *cache[backendStatus]
-	namesCache   *cache[[]string]
-	usageCache   *cache[[]modelUsage]
-	index        *view.Index
-	backends     map[string]*backend
-	listed       []member.Listed
-	leftList     map[string]bool
-	heard        uint64
-	demand       map[string]float64
-	leaves       bool
-	ticks        int
-	beats        int
-	// newsDue delivers when news that were gathered are to be followed and spread; it is nil while there are none.
-	newsDue <-chan time.Time
-	polls   map[string]*poll
+	// Only the control goroutine uses the fields below.
+	table         *gossip.Table
+	members       members
+	statusCache   *cache[InstanceStatus]
+	backendCache  *cache[backendStatus]
+	namesCache    *cache[[]string]
+	usageCache    *cache[[]modelUsage]
+	index         *view.Index
+	backends      map[string]*backend
+	listed        []member.Listed
+	listedLeaving map[string]bool
+	kvAnswers     uint64
+	demand        map[string]float64
+	leaving       bool
+	fastTicks     int
+	slowTicks     int
+	// updatesDue delivers when the collected updates have to be applied and passed on; it is nil while there are none.
+	updatesDue <-chan time.Time
+	polls      map[string]*poll
+	// charged holds the cumulative usage on other instances that has already been charged to the gates.
 	charged map[chargedKey]float64
 }
 
-type relayNews struct {
-	heard uint64
-	at    time.Time
+// kvProgress is the number of answers that a relay has received from the key-value service and when this number last changed.
+type kvProgress struct {
+	answers   uint64
+	changedAt time.Time
 }
 
 // New returns a Loop and starts it with its helpers; all stop when ctx ends.
 func New(ctx context.Context, self Self, deps Deps) *Loop {
 	now := deps.Clock.Now()
 	l := &Loop{
-		self: self, deps: deps, inbox: make(chan message, inboxLength),
-		http:         &http.Client{Timeout: 2 * time.Second},
-		stopped:      make(chan struct{}),
-		table:        gossip.New(self.Name, self.Incarnation, now),
-		backends:     map[string]*backend{},
-		statusCache:  newCache[InstanceStatus](),
-		backendCache: newCache[backendStatus](),
-		namesCache:   newCache[[]string](),
-		usageCache:   newCache[[]modelUsage](),
-		leftList:     map[string]bool{},
-		polls:        map[string]*poll{},
-		charged:      map[chargedKey]float64{},
-		relayNews:    map[string]relayNews{},
+		self: self, deps: deps, inbox: make(chan message, inboxCapacity),
+		http:          &http.Client{Timeout: 2 * time.Second},
+		stopped:       make(chan struct{}),
+		table:         gossip.New(self.Name, self.Incarnation, now),
+		backends:      map[string]*backend{},
+		statusCache:   newCache[InstanceStatus](),
+		backendCache:  newCache[backendStatus](),
+		namesCache:    newCache[[]string](),
+		usageCache:    newCache[[]modelUsage](),
+		listedLeaving: map[string]bool{},
+		polls:         map[string]*poll{},
+		charged:       map[chargedKey]float64{},
+		relayProgress: map[string]kvProgress{},
 	}
-	// The helpers start with this instance's roles, which it has alone until it hears of others.
+	// The helpers need this instance's roles when they start; it has all of them until it learns of other instances.
 	l.refreshMembers()
 	go func() { l.run(ctx) }()
-	go func() { l.watch(ctx) }()
+	go func() { l.watchHead(ctx) }()
 	go func() { l.pollList(ctx) }()
-	go func() { l.askOthers(ctx) }()
+	go func() { l.pollOtherDomains(ctx) }()
 	return l
 }
 
-// post hands a message to the control goroutine; once that has stopped, the message is dropped.
+// post sends a message to the control goroutine; it drops the message if that has stopped.
 func (l *Loop) post(m message) {
 	select {
 	case l.inbox <- m:
@@ -152,7 +158,7 @@
 	}
 }
 
-// ask posts a message that carries a channel for its answer and waits for it; the zero answer means that the control
+// ask posts a message that carries a channel for the answer and waits for the answer. It returns the zero value if the control
 // goroutine has stopped.
 func ask[A any](l *Loop, build func(answer chan A) message) A {
 	answer := make(chan A, 1)
@@ -176,8 +182,8 @@
 		select {
 		case m := <-l.inbox:
 			l.handle(m)
-		case <-l.newsDue:
-			l.spreadNews()
+		case <-l.updatesDue:
+			l.applyUpdates()
 		case <-fast.C():
 			l.fastTick()
 		case <-slow.C():
@@ -188,19 +194,20 @@
 	}
 }
 
-// gatherNews makes news be followed and spread soon, together with what else comes until then.
-func (l *Loop) gatherNews() {
-	if l.newsDue == nil {
-		l.newsDue = l.deps.Clock.After(newsPeriod)
+// scheduleUpdate has the updates of the next collectPeriod applied and passed on together at its end.
+func (l *Loop) scheduleUpdate() {
+	if l.updatesDue == nil {
+		l.updatesDue = l.deps.Clock.After(collectPeriod)
 	}
 }
 
-// spreadNews follows the gathered news and passes them on to one neighbour, as that will to one of its own: they reach all
-// in a number of periods that grows with the logarithm of their number, at a cost that does not grow with the news.
-func (l *Loop) spreadNews() {
-	l.newsDue = nil
+// applyUpdates applies the collected updates and passes them on to one neighbour, which does the same. Updates thus reach all
+// instances in a number of periods that grows with the logarithm of the number of instances, and the number of exchanges does not
+// grow with the number of updates.
+func (l *Loop) applyUpdates() {
+	l.updatesDue = nil
 	if l.mergeBackends() {
-		l.publish()
+		l.publishSnapshot()
 	}
 	l.startExchange()
 }
@@ -208,70 +215,70 @@
 func (l *Loop) fastTick() {
 	l.setLimits()
 	l.startPolls()
-	l.ticks++
-	if l.ticks%exchangeTicks == 0 || len(l.strangerAddrs()) > 0 {
+	l.fastTicks++
+	if l.fastTicks%exchangeTicks == 0 || len(l.unknownAddrs()) > 0 {
 		l.startExchange()
 	}
 }
 
 func (l *Loop) slowTick() {
 	now := l.deps.Clock.Now()
-	l.beats++
-	if l.beats%beatTicks == 0 {
+	l.slowTicks++
+	if l.slowTicks%heartbeatTicks == 0 {
 		l.table.Beat(now)
 	}
-	l.table.Forget(now, forgetLimit)
+	l.table.Forget(now, forgetAfter)
 	l.refreshMembers()
-	l.stateDemand()
-	l.stateUsage()
-	if l.beats%mergeTicks == 0 && l.mergeBackends() {
-		l.publish()
+	l.publishDemand()
+	l.publishUsage()
+	if l.slowTicks%mergeTicks == 0 && l.mergeBackends() {
+		l.publishSnapshot()
 	}
 }
 
 func (l *Loop) handle(m message) {
 	switch m := m.(type) {
 	case exchangeAsked:
-		m.answer <- exchangeAnswer{Updates: l.table.Delta(m.digest), Digest: l.table.Digest()}
+		m.answer <- exchangeResponse{Updates: l.table.Delta(m.digest), Digest: l.table.Digest()}
 	case deltaAsked:
 		m.answer <- l.table.Delta(m.digest)
 	case updatesArrived:
-		l.merge(m.updates)
+		l.mergeUpdates(m.updates)
 	case reportArrived:
-		l.reported(m)
+		l.handleReport(m)
 	case listArrived:
-		l.listChanged(m.lines)
-	case configured:
-		l.configure()
-	case heard:
-		l.heard++
-	case moving:
+		l.handleList(m.lines)
+	case configurationChanged:
+		l.applyConfiguration()
+	case kvAnswered:
+		l.kvAnswers++
+	case movingChanged:
 		l.table.Set(entryMoving, encode(m.names))
-		l.gatherNews()
+		l.scheduleUpdate()
 	case statusAsked:
 		m.answer <- l.statuses()
 	case listAsked:
 		m.answer <- append([]member.Listed(nil), l.listed...)
-	case ordersAsked:
-		m.answer <- l.orders()
-	case leaving:
-		l.leave(m)
+	case serversAsked:
+		m.answer <- l.domainServers()
+	case leaveRequested:
+		l.announceLeave(m)
 	}
 }
 
-// merge takes statements of other instances in.
-func (l *Loop) merge(updates []gossip.Update) {
+// mergeUpdates merges updates from other instances into the table.
+func (l *Loop) mergeUpdates(updates []gossip.Update) {
 	if !l.table.Merge(updates, l.deps.Clock.Now()) {
 		return
 	}
 	l.refreshMembers()
 	l.chargeRemote()
-	l.gatherNews()
+	l.scheduleUpdate()
 	l.fetchNewer()
 }
 
-// configure follows a configuration that has just come into force.
-func (l *Loop) configure() {
+// applyConfiguration applies a configuration that has just come into force.
+func (l *Loop) applyConfiguration() {
 	f := l.deps.Keeper.InForce()
 	if f == nil || l.index != nil && l.index.Revision() >= f.Head().Revision {
 		return
@@ -279,32 +286,33 @@
 	l.index = view.NewIndex(f)
 	l.deps.Stats.Gauge("revision").Update(int64(f.Head().Revision))
 	l.deps.Log.WithField("revision", f.Head().Revision).Info("configuration in force")
-	l.followDocument()
+	l.syncBackends()
 	l.mergeBackends()
-	l.publish()
-	l.stateStatus()
+	l.publishSnapshot()
+	l.publishStatus()
 	l.exchangeWithAll()
 }
 
-func (l *Loop) leave(m leaving) {
-	l.leaves = true
-	l.stateStatus()
+// announceLeave publishes that this instance is stopping.
+func (l *Loop) announceLeave(m leaveRequested) {
+	l.leaving = true
+	l.publishStatus()
 	l.refreshMembers()
 	l.exchangeWithAll()
 	close(m.done)
 }
 
-// Leave tells the other instances that this one stops.
+// Leave notifies the other instances that this one is stopping.
 func (l *Loop) Leave() {
-	ask(l, func(done chan struct{}) message { return leaving{done: done} })
+	ask(l, func(done chan struct{}) message { return leaveRequested{done: done} })
 }
 
-// Statuses returns what is known of the domain's instances.
+// Statuses returns what is known about the instances of the domain.
 func (l *Loop) Statuses() []InstanceStatus {
 	return ask(l, func(answer chan []InstanceStatus) message { return statusAsked{answer: answer} })
 }
 
-// Listed returns the platform's instance list as this instance last read it.
+// Listed returns the platform's instance list as it was last read.
 func (l *Loop) Listed() []member.Listed {
 	return ask(l, func(answer chan []member.Listed) message { return listAsked{answer: answer} })
 }
--- a/control/members.go
+++ b/control/members.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// relays is the number of instances of a domain that watch the key-value service.
-	relays       = 2
+	// relayCount is the number of instances of a domain that watch the key-value service for the others.
+	relayCount   = 2
 	subjectRelay = "relay"
 	subjectLead  = "lead"
 )
@@ -33,23 +33,23 @@
 	return value, err == nil
 }
 
-// members is what this instance knows of the instances of its domain; it is replaced when that changes.
+// members is what this instance knows about the instances of its domain; it is replaced as a whole at each refresh.
 type members struct {
-	// live holds the names of the instances that can be counted on, this one included unless it leaves.
+	// live holds the names of the instances that have been heard from within silentLimit and are not leaving, this one included.
 	live []string
-	// statuses holds what the instances say about themselves, by name.
+	// statuses holds the status that each instance publishes about itself, by name.
 	statuses map[string]InstanceStatus
-	// neighbours holds the names of the instances to exchange news with.
+	// neighbours holds the names of the instances to exchange updates with.
 	neighbours []string
 }
 
-// refreshMembers derives the live instances, and this one's roles among them, from the table.
+// refreshMembers derives the live instances from the table and, if they have changed, this instance's roles among them.
 func (l *Loop) refreshMembers() {
 	m := members{statuses: map[string]InstanceStatus{}}
 	for _, o := range l.table.Origins(l.deps.Clock.Now()) {
 		s, ok := l.statusCache.get(o, entryStatus)
 		if o.Name == l.self.Name {
-			s.Leaving, ok = l.leaves, true
+			s.Leaving, ok = l.leaving, true
 		}
 		if !ok {
 			continue
@@ -69,11 +69,12 @@
 	}
 }
 
-// assignRoles follows a change of the live instances.
+// assignRoles derives the roles of this instance from the live instances: relay, leader candidate, neighbours and the servers to
+// poll.
 func (l *Loop) assignRoles() {
 	names := l.members.live
 	at := member.Position(names, subjectRelay, l.self.Name)
-	l.relay.Store(at >= 0 && at < relays)
+	l.relay.Store(at >= 0 && at < relayCount)
 	l.chosen.Store(member.Position(names, subjectLead, l.self.Name) == 0)
 	l.alone.Store(len(names) <= 1)
 	l.members.neighbours = member.Neighbours(names, l.self.Name)
@@ -81,30 +82,30 @@
 	l.assignPolls()
 }
 
-// stateStatus states what is true of this instance.
-func (l *Loop) stateStatus() {
+// publishStatus publishes this instance's status.
+func (l *Loop) publishStatus() {
 	s := InstanceStatus{
 		Name: l.self.Name, Domain: l.self.Domain, Addr: l.self.PeerAddr,
-		Revision: l.deps.Keeper.Revision(), Leaving: l.leaves, Heard: l.heard, Demand: l.demand,
+		Revision: l.deps.Keeper.Revision(), Leaving: l.leaving, KVAnswers: l.kvAnswers, Demand: l.demand,
 		Leads: l.leads.Load(),
 	}
 	l.table.Set(entryStatus, encode(s))
 }
 
-// stateDemand measures the demand at this instance, for its own limits and those of the others.
-func (l *Loop) stateDemand() {
+// publishDemand measures and publishes the demand at this instance; all instances derive their admission limits from it.
+func (l *Loop) publishDemand() {
 	l.demand = map[string]float64{}
 	l.deps.Gates.Each(func(model string, g gate) {
 		if d := math.Round(g.Offered()); d > 0 {
 			l.demand[model] = d
 		}
 	})
-	l.stateStatus()
+	l.publishStatus()
 }
 
-// statuses lists the instances of the domain.
+// statuses returns the current status of each known instance of the domain.
 func (l *Loop) statuses() []InstanceStatus {
-	l.stateStatus()
+	l.publishStatus()
 	l.refreshMembers()
 	out := make([]InstanceStatus, 0, len(l.members.statuses))
 	for _, s := range l.members.statuses {
--- /dev/null
+++ b/relay/pollers.go
@@ -0,0 +1,79 @@
+package relay
+
+import (
+	"sync"
+	"time"
+
+	"junctioncross/timer"
+)
+
+const (
+	// pollerCountDelay is how long after its first poll an instance has to wait until it knows the number of its pollers:
+	// several poll intervals.
+	pollerCountDelay = 3 * time.Second
+	// pollerTTL is how long an instance still counts after its last poll. Counting too many is safe, since shared limits are
+	// divided by the count.
+	pollerTTL = 60 * time.Second
+)
+
+// tally counts the instances of a domain that poll its relay, because most instances of a large fleet have no record in the
+// store.
+type tally struct {
+	clock *timer.Service
+
+	mu        sync.Mutex
+	startedAt time.Time
+	// lastPoll holds the time of each instance's last poll, by name.
+	lastPoll map[string]time.Time
+	sweptAt  time.Time
+}
+
+func newTally(clock *timer.Service) *tally {
+	return &tally{clock: clock, lastPoll: map[string]time.Time{}}
+}
+
+// add notes a poll of an instance.
+func (t *tally) add(name string) {
+	now := t.clock.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.startedAt.IsZero() {
+		t.startedAt = now
+	}
+	t.lastPoll[name] = now
+	if now.Sub(t.sweptAt) < pollerCountDelay {
+		return
+	}
+	t.sweptAt = now
+	for name, at := range t.lastPoll {
+		if now.Sub(at) > pollerTTL {
+			delete(t.lastPoll, name)
+		}
+	}
+}
+
+// size returns the number of polling instances, and 0 while it is unknown.
+func (t *tally) size() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.startedAt.IsZero() || t.clock.Since(t.startedAt) < pollerCountDelay {
+		return 0
+	}
+	return len(t.lastPoll)
+}
+
+// noteAsker counts the polling instance if it belongs to the domain of this instance.
+func (s *Source) noteAsker(p poll) {
+	if p.Domain == s.self.Domain && p.Name != "" {
+		s.tally.add(p.Name)
+	}
+}
+
+// counts returns the number of instances of each domain, as far as it is known.
+func (s *Source) counts() map[string]int {
+	if n := s.tally.size(); n > 0 && s.relay() {
+		// The relay itself polls nobody.
+		s.fleet.NoteCounts(map[string]int{s.self.Domain: n + 1})
+	}
+	return s.fleet.Counts()
+}
