--- a/app/checks.go
+++ b/app/checks.go
@@ -20,7 +20,7 @@
 // checks serves the load balancer's readiness checks, the metrics and the profiles of a hosted instance.
 type checks struct {
 	settings *config.Hosted
-	view     *follow.Board
+	view     *follow.FleetView
 	front    *front.Server
 	handler  *forward.Handler
 	clock    *timer.Service
@@ -32,7 +32,7 @@
 }
 
 func newChecks(
-	settings *config.Hosted, view *follow.Board, server *front.Server, handler *forward.Handler,
+	settings *config.Hosted, view *follow.FleetView, server *front.Server, handler *forward.Handler,
 	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *checks {
 	return &checks{settings: settings, view: view, front: server, handler: handler, clock: clock, stats: stats, log: log}
@@ -87,7 +87,7 @@
 	if c.front.Full() {
 		return "no room for connections", false
 	}
-	if service := c.handler.Pathless(); service != "" {
+	if service := c.handler.ServiceWithoutPath(); service != "" {
 		return "no whole path for " + service, false
 	}
 	return "ready", true
--- a/app/claims.go
+++ b/app/claims.go
@@ -17,13 +17,13 @@
 
 func newClaimLogs(
 	settings *config.Settings, self control.Self, store kv.Store, clock *timer.Service, stats *metrics.Registry,
-) *claim.Keeper {
-	return claim.NewKeeper(store, clock, stats, self.Process(), settings.Limits.ClaimPartitions)
+) *claim.Logs {
+	return claim.NewLogs(store, clock, stats, self.Process(), settings.Limits.ClaimPartitions)
 }
 
 // newClaimer returns a router that has each claim decided by the instance that writes its partition, over the links between
 // instances; it registers the handler that decides the claims of other instances here.
-func newClaimer(logs *claim.Keeper, loop *control.Loop, links *link.Client, mux *link.Mux, stats *metrics.Registry) claim.Asker {
+func newClaimer(logs *claim.Logs, loop *control.Loop, links *link.Client, mux *link.Mux, stats *metrics.Registry) claim.Claimer {
 	link.Handle(mux, link.KindClaim, func(ctx context.Context, _ keys.Identity, c claim.Claim) (claim.Answer, error) {
 		v, err := logs.Ask(ctx, c)
 		return claim.ToAnswer(v), err
--- a/app/hosted.go
+++ b/app/hosted.go
@@ -60,7 +60,7 @@
 	Loop     *follow.Loop
 	Leader   *leader.Leader
 	Census   *census.Census
-	Registry *relay.Rolls
+	Registry *relay.Registry
 	Relay    *relay.Source
 	Links    *link.Client
 	Trust    link.Trust
@@ -111,17 +111,17 @@
 		func() call.Codec { return platform.Codec{} },
 		func(s *platform.Store) relay.Store { return platform.NewFeeds(s) },
 		func(s *relay.Source) follow.Source { return s },
-		func(s *relay.Source) leader.Place { return s },
-		func(s *platform.Store) leader.Claim { return platform.NewClaims(s) },
-		func(b *census.Board) forward.Instances { return b },
-		func(b *census.Board) relay.Fleet { return b },
-		func(b *follow.Board) relay.Words { return b },
-		func(t *quarantine.Teller) relay.Ends { return t },
-		func(t *quarantine.Teller) forward.Teller { return t },
-		newQuarantineBook, newEndStore, quarantine.NewTeller,
-		func(b *census.Board) link.Trust { return keys.NewFleetKeyFrom(b.Key) },
-		func(clock *timer.Service) backend.Caller { return platform.NewEngines(clock) },
-		timer.NewSuspendable, metrics.New, follow.NewBoard, follow.New, newStdoutQueue, newHostedLog, decision.NewRecorder,
+		func(s *relay.Source) leader.Upstream { return s },
+		func(s *platform.Store) leader.Lock { return platform.NewLeaderLock(s) },
+		func(b *census.View) forward.Instances { return b },
+		func(b *census.View) relay.Fleet { return b },
+		func(b *follow.FleetView) relay.SharedReports { return b },
+		func(t *quarantine.Publisher) relay.Ends { return t },
+		func(t *quarantine.Publisher) forward.EndPublisher { return t },
+		newQuarantineBook, newEndStore, quarantine.NewPublisher,
+		func(b *census.View) link.Trust { return keys.NewFleetKeyFrom(b.Key) },
+		func(clock *timer.Service) backend.EngineClient { return platform.NewEngineClient(clock) },
+		timer.NewSuspendable, metrics.New, follow.NewFleetView, follow.New, newStdoutQueue, newHostedLog, decision.NewRecorder,
 		forwardSettings, forward.New, newFront, newOrderLeader, newChecks, newMembershipView, newRegistry, newCensus, relaySelf,
 		relay.New, link.NewClient,
 	)
@@ -135,8 +135,8 @@
 	return newLogger(queue, settings.Log, instanceHook{name: settings.Instance.Name, domain: settings.Instance.Domain})
 }
 
-func forwardSettings(settings *config.Hosted) forward.Terms {
-	s := forward.Terms{
+func forwardSettings(settings *config.Hosted) forward.Settings {
+	s := forward.Settings{
 		Domain: settings.Instance.Domain, StallTime: settings.Engines.StallTime,
 		Repeats: retry.Limit{
 			Window: settings.Repeats.Window, Share: retryShare * settings.Repeats.Share, Fixed: retryShare * settings.Repeats.Slack,
@@ -151,15 +151,15 @@
 
 func newQuarantineBook(settings *config.Hosted) *quarantine.Book {
 	q := settings.Quarantine
-	return quarantine.NewBook(quarantine.Terms{Ends: q.Ends, EndsOfOne: q.EndsOfOne, Keep: q.Keep, Most: q.Most})
+	return quarantine.NewBook(quarantine.Settings{Ends: q.Ends, EndsOfOne: q.EndsOfOne, Keep: q.Keep, MaxRequests: q.Most})
 }
 
-func newEndStore(settings *config.Hosted, store *platform.Store, clock *timer.Service) quarantine.Register {
-	return platform.NewQuarantines(store, clock, settings.Quarantine.Keep)
+func newEndStore(settings *config.Hosted, store *platform.Store, clock *timer.Service) quarantine.EndStore {
+	return platform.NewEndStore(store, clock, settings.Quarantine.Keep)
 }
 
 func newFront(
-	codec call.Codec, handler *forward.Handler, view *follow.Board, clock *timer.Service, stats *metrics.Registry,
+	codec call.Codec, handler *forward.Handler, view *follow.FleetView, clock *timer.Service, stats *metrics.Registry,
 ) *front.Server {
 	limits := func() catalog.Limits {
 		if c := view.Current().Catalog(); c != nil {
@@ -170,12 +170,12 @@
 	return front.New(codec, handler, limits, maxConnections, clock, stats)
 }
 
-func newMembershipView(settings *config.Hosted) *census.Board {
-	return census.NewBoard(settings.Relays.From)
+func newMembershipView(settings *config.Hosted) *census.View {
+	return census.NewView(settings.Relays.From)
 }
 
 func newCensus(
-	ctx context.Context, settings *config.Hosted, membership *census.Board, registry *relay.Rolls, clock *timer.Service,
+	ctx context.Context, settings *config.Hosted, membership *census.View, registry *relay.Registry, clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
 ) *census.Census {
 	self := census.Instance{
@@ -187,20 +187,20 @@
 
 func relaySelf(settings *config.Hosted) relay.Self {
 	return relay.Self{
-		Name: settings.Instance.Name, Domain: settings.Instance.Domain, Addr: settings.Listen.Peers, From: settings.Relays.From,
+		Name: settings.Instance.Name, Domain: settings.Instance.Domain, Addr: settings.Listen.Peers, RelaysFrom: settings.Relays.From,
 		ApplyTime: settings.Relays.ApplyTime,
 	}
 }
 
 func newRegistry(
 	self relay.Self, store *platform.Store, fleet relay.Fleet, links *link.Client, clock *timer.Service,
-) *relay.Rolls {
-	return relay.NewRolls(self, platform.NewRegisters(store), fleet, links, clock)
+) *relay.Registry {
+	return relay.NewRegistry(self, platform.NewInstanceRegistry(store), fleet, links, clock)
 }
 
 func newOrderLeader(
-	ctx context.Context, settings *config.Hosted, lock leader.Claim, upstream leader.Place, view *follow.Board,
-	engines backend.Caller, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
+	ctx context.Context, settings *config.Hosted, lock leader.Lock, upstream leader.Upstream, view *follow.FleetView,
+	engines backend.EngineClient, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *leader.Leader {
 	holder := settings.Instance.Name + "/" + strconv.FormatInt(clock.Now().UnixNano(), 36)
 	return leader.New(ctx, lock, upstream, holder, view, engines, clock, stats, log)
@@ -216,7 +216,7 @@
 	defer i.Front.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { i.Clock.Watch(ctx, i.logSuspension) }()
+	go func() { i.Clock.WatchSuspension(ctx, i.logSuspension) }()
 	if err := i.Checks.listen(); err != nil {
 		return err
 	}
@@ -273,7 +273,7 @@
 	}
 	restart := r.Settings.Listen != i.Settings.Listen || r.Settings.Store != i.Settings.Store ||
 		r.Settings.Instance != i.Settings.Instance
-	i.Handler.SetTerms(forwardSettings(r.Settings))
+	i.Handler.ApplySettings(forwardSettings(r.Settings))
 	i.Log.WithField("needs_restart", restart).Info("settings reloaded")
 }
 
--- a/app/provide.go
+++ b/app/provide.go
@@ -35,8 +35,8 @@
 		func() context.Context { return ctx },
 		func() *config.Settings { return settings },
 		timer.NewReal, metrics.New, newStderrQueue, newLog, decision.NewRecorder, newCertReloader,
-		func(r *keys.Ring) link.Trust { return r }, newStore, newSelf, newGates, newClaimLogs, newClaimer, newEntry, newCluster,
-		newLeader, newLoop, revision.NewStore, revision.NewKeeper, view.NewBoard, engine.NewCaller, pool.New, pipeline.New,
+		func(r *keys.CertReloader) link.Trust { return r }, newStore, newSelf, newGates, newClaimLogs, newClaimer, newEntry, newCluster,
+		newLeader, newLoop, revision.NewStore, revision.NewKeeper, view.NewSnapshotHolder, engine.NewClient, pool.New, pipeline.New,
 		service.New, link.NewMux, link.NewClient, operator.New,
 	)
 }
@@ -90,8 +90,8 @@
 	return nil
 }
 
-func newCertReloader(settings *config.Settings) (*keys.Ring, error) {
-	return keys.NewRing(keys.Files{
+func newCertReloader(settings *config.Settings) (*keys.CertReloader, error) {
+	return keys.NewCertReloader(keys.Files{
 		Authority: settings.Keys.Authority, Certificate: settings.Keys.Certificate, Key: settings.Keys.Key,
 	})
 }
@@ -119,11 +119,11 @@
 type entryDeps struct {
 	dig.In
 
-	Board   *view.Board
+	Board   *view.SnapshotHolder
 	Gates   *admit.Gates
 	Runner  *pipeline.Runner
 	Forward *service.Forwarder
-	Claims  claim.Asker
+	Claims  claim.Claimer
 	Clock   *timer.Service
 	Stats   *metrics.Registry
 	Record  *decision.Recorder
@@ -139,10 +139,10 @@
 
 	Store   *revision.Store
 	Keeper  *revision.Keeper
-	Board   *view.Board
+	Board   *view.SnapshotHolder
 	Gates   *admit.Gates
 	Pool    *pool.Pool
-	Engines *engine.Caller
+	Engines *engine.Client
 	Links   *link.Client
 	Clock   *timer.Service
 	Stats   *metrics.Registry
@@ -163,7 +163,7 @@
 }
 
 func newLeader(
-	ctx context.Context, loop *control.Loop, store kv.Store, self control.Self, engines *engine.Caller,
+	ctx context.Context, loop *control.Loop, store kv.Store, self control.Self, engines *engine.Client,
 	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *order.Leader {
 	return order.New(ctx, loop, order.NewLease(store, clock, self.Domain, self.Process()), engines, clock, stats, log)
--- a/app/run.go
+++ b/app/run.go
@@ -44,8 +44,8 @@
 	Loop     *control.Loop
 	Leader   *order.Leader
 	Mux      *link.Mux
-	Certs    *keys.Ring
-	Board    *view.Board
+	Certs    *keys.CertReloader
+	Board    *view.SnapshotHolder
 	Clock    *timer.Service
 	Stats    *metrics.Registry
 	Queue    *decision.Queue
@@ -139,7 +139,7 @@
 // listen starts the listeners for callers, operators and health checks.
 func (i *instance) listen(health *health) ([]*fasthttp.Server, error) {
 	callers := &fasthttp.Server{
-		Handler: i.Entry.Routes(), ErrorHandler: i.Entry.Broken, MaxRequestBodySize: i.Settings.Limits.BodyBytes,
+		Handler: i.Entry.Routes(), ErrorHandler: i.Entry.HandleReadError, MaxRequestBodySize: i.Settings.Limits.BodyBytes,
 		ReadTimeout: i.Settings.Limits.IdleTime, WriteTimeout: writeTimeout, IdleTimeout: i.Settings.Limits.IdleTime,
 		Concurrency: i.Settings.Limits.Connections, NoDefaultServerHeader: true, ReduceMemoryUsage: true,
 		Logger: discardLogger{}, StreamRequestBody: false,
--- a/fleet/engines.go
+++ b/fleet/engines.go
@@ -7,7 +7,7 @@
 	"junctioncross/standin"
 )
 
-var client = engine.NewCaller()
+var client = engine.NewClient()
 
 // EngineReport requests the load report of an engine.
 func EngineReport(addr string) (engine.Report, error) {
