--- a/fleet/process.go
+++ b/fleet/process.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-const stopLimit = 10 * time.Second
+const stopTimeout = 10 * time.Second
 
 // Process is one started program.
 type Process struct {
@@ -39,21 +39,22 @@
 	<-p.done
 }
 
-// starter starts processes from one operating-system thread, so that the kernel ends them when that thread's process dies.
+// starter starts all processes from one locked operating-system thread: the kernel kills them when the thread that started
+// them ends, which must not happen before the program ends.
 type starter struct {
-	dir  string
-	asks chan func()
+	dir   string
+	calls chan func()
 
 	mu  sync.Mutex
 	all []*Process
 }
 
 func newStarter(dir string) *starter {
-	s := &starter{dir: dir, asks: make(chan func())}
+	s := &starter{dir: dir, calls: make(chan func())}
 	go func() {
 		runtime.LockOSThread()
-		for ask := range s.asks {
-			ask()
+		for call := range s.calls {
+			call()
 		}
 	}()
 	return s
@@ -62,7 +63,7 @@
 func (s *starter) start(name, program string, args ...string) (*Process, error) {
 	p := &Process{name: name, done: make(chan struct{})}
 	result := make(chan error)
-	s.asks <- func() { result <- s.exec(p, program, args) }
+	s.calls <- func() { result <- s.exec(p, program, args) }
 	if err := <-result; err != nil {
 		return nil, errors.Wrapf(err, "fleet: start %s", name)
 	}
@@ -88,7 +89,7 @@
 	return p.cmd.Start()
 }
 
-// stopAll asks every process to end and kills those that do not in time.
+// stopAll sends SIGTERM to every process and kills those that have not ended after stopTimeout.
 func (s *starter) stopAll() {
 	s.mu.Lock()
 	all := s.all
@@ -97,7 +98,7 @@
 	for _, p := range all {
 		_ = p.Signal(syscall.SIGTERM)
 	}
-	limit := time.After(stopLimit)
+	limit := time.After(stopTimeout)
 	for _, p := range all {
 		select {
 		case <-p.done:
@@ -105,5 +106,5 @@
 			p.Kill()
 		}
 	}
-	close(s.asks)
+	close(s.calls)
 }
--- a/fleet/faults.go
+++ b/fleet/proxies.go
@@ -6,7 +6,8 @@
 	"junctioncross/fault"
 )
 
-// Faults holds the proxies between the processes of a fleet; without proxies every method returns the address itself.
+// Faults holds the proxies that inject faults between the processes of a fleet. If the fleet is not proxied, there are none,
+// and its processes reach each other directly.
 type Faults struct {
 	proxied bool
 
@@ -17,7 +18,7 @@
 	peers   map[string]*fault.UDP
 }
 
-func newFaults(proxied bool) *Faults {
+func newProxies(proxied bool) *Faults {
 	return &Faults{
 		proxied: proxied, kv: map[string]*fault.TCP{}, list: map[string]*fault.TCP{},
 		engines: map[string]*fault.TCP{}, peers: map[string]*fault.UDP{},
@@ -33,20 +34,23 @@
 // Engine returns the proxy in front of an engine.
 func (f *Faults) Engine(name string) *fault.TCP { return f.engines[name] }
 
-// Peer returns the proxy in front of an entry instance's peers' listener.
+// Peer returns the proxy in front of an entry instance's listener for other instances.
 func (f *Faults) Peer(name string) *fault.UDP { return f.peers[name] }
 
-func (f *Faults) engine(e *Engine) (string, error) { return f.tcp(f.engines, e.Name, e.Addr) }
+// engineAddr returns the address under which entry instances reach an engine.
+func (f *Faults) engineAddr(e *Engine) (string, error) { return f.tcpAddr(f.engines, e.Name, e.Addr) }
 
-func (f *Faults) platform(domain, kv, list string) (kvAddr, listAddr string, err error) {
-	if kvAddr, err = f.tcp(f.kv, domain, kv); err != nil {
+// platformAddrs returns the addresses under which a domain reaches the key-value service and the instance list.
+func (f *Faults) platformAddrs(domain, kv, list string) (kvAddr, listAddr string, err error) {
+	if kvAddr, err = f.tcpAddr(f.kv, domain, kv); err != nil {
 		return "", "", err
 	}
-	listAddr, err = f.tcp(f.list, domain, list)
+	listAddr, err = f.tcpAddr(f.list, domain, list)
 	return kvAddr, listAddr, err
 }
 
-func (f *Faults) tcp(all map[string]*fault.TCP, name, upstream string) (string, error) {
+// tcpAddr returns the address of the proxy of that name, which is started if needed; without proxies it returns upstream.
+func (f *Faults) tcpAddr(all map[string]*fault.TCP, name, upstream string) (string, error) {
 	if !f.proxied {
 		return upstream, nil
 	}
@@ -63,7 +67,8 @@
 	return p.Addr(), nil
 }
 
-func (f *Faults) entry(e *Entry) (string, error) {
+// peerAddr returns the address under which other instances reach an entry instance.
+func (f *Faults) peerAddr(e *Entry) (string, error) {
 	if !f.proxied {
 		return e.Peers, nil
 	}
