--- a/schema/beliefs.go
+++ b/schema/beliefs.go
@@ -35,20 +35,20 @@
 }
 
 // An event that the instance's chart does not know: a fault of junctioncross.
-type unexpected struct {
+type unexpectedEvent struct {
 	_ struct{} `msg:"unexpected event" level:"error"`
 	failure
 }
 
 // Settings were read again.
-type reloaded struct {
+type settingsReloaded struct {
 	_ struct{} `msg:"settings reloaded" level:"info"`
 	// Whether some of the changes wait for a restart.
 	NeedsRestart bool `log:"needs_restart"`
 }
 
 // Settings that were read again cannot be used.
-type notReloaded struct {
+type settingsNotReloaded struct {
 	_ struct{} `msg:"settings not reloaded, the former ones stay in force" level:"error"`
 	failure
 }
@@ -71,7 +71,7 @@
 }
 
 // The machine stood still while its steady clock did; what was heard before counts as older by that.
-type suspendedFor struct {
+type machineSuspended struct {
 	_ struct{} `msg:"machine was suspended" level:"warning"`
 	// For how long.
 	GapMS int64 `log:"gap_ms"`
@@ -84,7 +84,7 @@
 }
 
 // A feed of the store fails.
-type lost struct {
+type dependencyLost struct {
 	_ struct{} `msg:"dependency lost" level:"warning"`
 	// store.
 	Dependency string `log:"dependency"`
@@ -93,7 +93,7 @@
 }
 
 // A feed of the store is heard again.
-type regained struct {
+type dependencyRegained struct {
 	_ struct{} `msg:"dependency regained" level:"info"`
 	// store.
 	Dependency string `log:"dependency"`
@@ -101,7 +101,7 @@
 }
 
 // A feed comes from another place than before.
-type heardElsewhere struct {
+type feedSourceChanged struct {
 	_ struct{} `msg:"feed heard from elsewhere" level:"info"`
 	feed
 	// store, or the address of a relay.
@@ -109,7 +109,7 @@
 }
 
 // A place does not give a feed; the first failure of a row.
-type notHeard struct {
+type feedRequestFailed struct {
 	_ struct{} `msg:"feed not heard" level:"warning"`
 	feed
 	// store, or the address of a relay.
@@ -125,14 +125,14 @@
 }
 
 // A configuration of today's interface came into force.
-type inForceToday struct {
+type inForceJxdRun struct {
 	_ struct{} `msg:"configuration in force" level:"info"`
 	// Its revision.
 	Revision int64 `log:"revision"`
 }
 
 // A configuration was older than the one in force.
-type olderIgnored struct {
+type olderConfigIgnored struct {
 	_ struct{} `msg:"older configuration ignored" level:"warning"`
 	// Its version.
 	Version int64 `log:"version"`
@@ -141,7 +141,7 @@
 }
 
 // A configuration or an entry cannot be read.
-type notReadable struct {
+type valueNotReadable struct {
 	_ struct{} `msg:"value not readable, the former one stays in force" level:"error"`
 	// Its key in the store.
 	Key string `log:"key"`
@@ -151,7 +151,7 @@
 // For how many sequences the paths of a service have memory.
 type lanes struct {
 	_ struct{} `msg:"lanes" level:"info"`
-	belief
+	noRequest
 	// The service.
 	Service string `log:"service"`
 	// Paths.
@@ -165,16 +165,16 @@
 }
 
 // Repeats for a service were asked for; at most one line a second.
-type repeats struct {
+type retries struct {
 	_ struct{} `msg:"repeats" level:"info"`
-	belief
+	noRequest
 	// The service.
 	Service string `log:"service"`
-	allowance
+	retryBudget
 }
 
 // The instances that have a record: all of a small fleet, some of each domain of a large one.
-type counted struct {
+type instancesCounted struct {
 	_ struct{} `msg:"instances counted" level:"info"`
 	// How many.
 	Instances int64 `log:"instances"`
@@ -183,7 +183,7 @@
 }
 
 // The records cannot be read.
-type notCounted struct {
+type instancesNotCounted struct {
 	_ struct{} `msg:"instances not counted" level:"warning"`
 	failure
 }
@@ -233,7 +233,7 @@
 }
 
 // An operator confirmed a plan.
-type confirmed struct {
+type planConfirmed struct {
 	_ struct{} `msg:"plan confirmed" level:"info"`
 	// Name in the operator's certificate.
 	Operator string `log:"operator"`
--- a/schema/check.go
+++ b/schema/check.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrUnknown means that no line has such a message.
-var ErrUnknown = errors.New("schema: unknown line")
+// ErrUnknownMessage means that no line has such a message.
+var ErrUnknownMessage = errors.New("schema: unknown line")
 
 // Check returns an error that names what keeps a printed line from being one of the schema.
 func Check(printed []byte) error {
@@ -22,9 +22,9 @@
 		return errors.Wrap(err, "schema: line is no JSON object")
 	}
 	message, _ := values["msg"].(string)
-	known := Named(message)
+	known := LinesByMessage(message)
 	if len(known) == 0 {
-		return errors.Wrap(ErrUnknown, message)
+		return errors.Wrap(ErrUnknownMessage, message)
 	}
 	var problems []string
 	for _, l := range known {
@@ -41,15 +41,15 @@
 	if values["level"] != l.Level {
 		return errors.Errorf("level %v in place of %s", values["level"], l.Level)
 	}
-	fields := append(fieldsOf(reflect.TypeFor[every]()), l.Fields...)
+	fields := append(fieldsOf(reflect.TypeFor[commonFields]()), l.Fields...)
 	known := make(map[string]bool, len(fields))
 	for _, f := range fields {
 		known[f.Name] = true
-		value, there := values[f.Name]
-		if !there && !f.Optional {
+		value, present := values[f.Name]
+		if !present && !f.Optional {
 			return errors.Errorf("field %s is missing", f.Name)
 		}
-		if there && !f.Kind.fits(value) {
+		if present && !f.Kind.fits(value) {
 			return errors.Errorf("field %s is no %s: %v", f.Name, f.Kind, value)
 		}
 	}
--- a/schema/check_test.go
+++ b/schema/check_test.go
@@ -9,13 +9,13 @@
 	"junctioncross/schema"
 )
 
-const sound = `{"domain":"east","feed":"servers","from":"store","instance":"east-1","level":"info","msg":"feed heard from elsewhere","time":"2026-01-01T00:00:01Z"}`
+const validLine = `{"domain":"east","feed":"servers","from":"store","instance":"east-1","level":"info","msg":"feed heard from elsewhere","time":"2026-01-01T00:00:01Z"}`
 
 func TestALineOfTheSchemaIsAccepted(t *testing.T) {
-	require.NoError(t, schema.Check([]byte(sound)))
+	require.NoError(t, schema.Check([]byte(validLine)))
 }
 
-func TestALineThatTheSchemaDoesNotHaveIsNamed(t *testing.T) {
+func TestAnInvalidLineIsRejectedWithTheReason(t *testing.T) {
 	for change, want := range map[string]string{
 		`"msg":"feed heard from elsewhere"|"msg":"feed heard"`: "feed heard: schema: unknown line",
 		`"feed":"servers"|"feed":7`:                            "field feed is no text: 7",
@@ -26,6 +26,6 @@
 		`{"domain"|"domain"`:                                   "line is no JSON object",
 	} {
 		old, by, _ := strings.Cut(change, "|")
-		require.ErrorContains(t, schema.Check([]byte(strings.Replace(sound, old, by, 1))), want)
+		require.ErrorContains(t, schema.Check([]byte(strings.Replace(validLine, old, by, 1))), want)
 	}
 }
--- a/schema/code_test.go
+++ b/schema/code_test.go
@@ -24,16 +24,16 @@
 	recorderLevels = map[string]string{"Routine": "info", "Failure": "warning", "Last": "warning"}
 )
 
-// written is a line that the code writes.
-type written struct {
+// logCall is a line that the code writes.
+type logCall struct {
 	at      string
 	message string
 	level   string
 	fields  []string
 }
 
-// code is one package of the program.
-type code struct {
+// sourcePackage is one package of the program.
+type sourcePackage struct {
 	t     *testing.T
 	files *token.FileSet
 	funcs []*ast.FuncDecl
@@ -73,20 +73,20 @@
 }
 
 // linesOf returns the lines that a package writes.
-func linesOf(t *testing.T, dir string) []written {
-	c := &code{t: t, files: token.NewFileSet()}
-	for _, f := range filesOf(t, c.files, dir) {
+func linesOf(t *testing.T, dir string) []logCall {
+	s := &sourcePackage{t: t, files: token.NewFileSet()}
+	for _, f := range filesOf(t, s.files, dir) {
 		for _, d := range f.Decls {
 			if fn, ok := d.(*ast.FuncDecl); ok && fn.Body != nil {
-				c.funcs = append(c.funcs, fn)
+				s.funcs = append(s.funcs, fn)
 			}
 		}
 	}
-	var out []written
-	for _, fn := range c.funcs {
+	var out []logCall
+	for _, fn := range s.funcs {
 		ast.Inspect(fn, func(n ast.Node) bool {
 			if call, ok := n.(*ast.CallExpr); ok {
-				out = append(out, c.line(fn, call)...)
+				out = append(out, s.logCalls(fn, call)...)
 			}
 			return true
 		})
@@ -94,8 +94,8 @@
 	return out
 }
 
-// line returns what a call writes, once for each message that it may have.
-func (c *code) line(fn *ast.FuncDecl, call *ast.CallExpr) []written {
+// logCalls returns what a call writes, once for each message that it may have.
+func (s *sourcePackage) logCalls(fn *ast.FuncDecl, call *ast.CallExpr) []logCall {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return nil
@@ -106,40 +106,40 @@
 	} else if level == "" || len(call.Args) != 1 {
 		return nil
 	}
-	at := c.files.Position(call.Pos()).String()
-	fields := c.fields(fn, call)
-	var out []written
-	for _, m := range c.texts(fn, call.Args[message]) {
-		out = append(out, written{at: at, message: m, level: level, fields: fields})
+	at := s.files.Position(call.Pos()).String()
+	fields := s.fields(fn, call)
+	var out []logCall
+	for _, m := range s.possibleTexts(fn, call.Args[message]) {
+		out = append(out, logCall{at: at, message: m, level: level, fields: fields})
 	}
-	require.NotEmpty(c.t, out, "%s: the message must be a text, or a parameter that is given texts", at)
+	require.NotEmpty(s.t, out, "%s: the message must be a text, or a parameter that is given texts", at)
 	return out
 }
 
-// texts returns the values that an expression may have: a text, a sum of texts, or a parameter of the function.
-func (c *code) texts(fn *ast.FuncDecl, e ast.Expr) []string {
+// possibleTexts returns the values that an expression may have: a text, a sum of texts, or a parameter of the function.
+func (s *sourcePackage) possibleTexts(fn *ast.FuncDecl, e ast.Expr) []string {
 	switch e := e.(type) {
 	case *ast.BasicLit:
 		text, err := strconv.Unquote(e.Value)
-		require.NoError(c.t, err)
+		require.NoError(s.t, err)
 		return []string{text}
 	case *ast.BinaryExpr:
 		var out []string
-		for _, left := range c.texts(fn, e.X) {
-			for _, right := range c.texts(fn, e.Y) {
+		for _, left := range s.possibleTexts(fn, e.X) {
+			for _, right := range s.possibleTexts(fn, e.Y) {
 				out = append(out, left+right)
 			}
 		}
 		return out
 	case *ast.Ident:
-		return c.given(fn, e.Name)
+		return s.argumentTexts(fn, e.Name)
 	default:
 		return nil
 	}
 }
 
-// given returns the texts that calls in the package give a parameter of a function.
-func (c *code) given(fn *ast.FuncDecl, parameter string) []string {
+// argumentTexts returns the texts that calls in the package give a parameter of a function.
+func (s *sourcePackage) argumentTexts(fn *ast.FuncDecl, parameter string) []string {
 	index, n := -1, 0
 	for _, p := range fn.Type.Params.List {
 		for _, name := range p.Names {
@@ -153,11 +153,11 @@
 		return nil
 	}
 	var out []string
-	for _, caller := range c.funcs {
+	for _, caller := range s.funcs {
 		ast.Inspect(caller, func(node ast.Node) bool {
 			if call, ok := node.(*ast.CallExpr); ok && nameOf(call.Fun) == fn.Name.Name && len(call.Args) > index {
-				texts := c.texts(caller, call.Args[index])
-				require.NotEmpty(c.t, texts, c.files.Position(call.Pos()))
+				texts := s.possibleTexts(caller, call.Args[index])
+				require.NotEmpty(s.t, texts, s.files.Position(call.Pos()))
 				out = append(out, texts...)
 			}
 			return true
@@ -178,7 +178,7 @@
 }
 
 // fields returns the names of the fields that a call writes, as far as they stand in it or in a variable that it uses.
-func (c *code) fields(fn *ast.FuncDecl, call *ast.CallExpr) []string {
+func (s *sourcePackage) fields(fn *ast.FuncDecl, call *ast.CallExpr) []string {
 	var out []string
 	ast.Inspect(call, func(n ast.Node) bool {
 		switch n := n.(type) {
@@ -187,12 +187,12 @@
 		case *ast.CallExpr:
 			switch nameOf(n.Fun) {
 			case "WithField":
-				out = append(out, c.texts(fn, n.Args[0])...)
+				out = append(out, s.possibleTexts(fn, n.Args[0])...)
 			case "WithError":
 				out = append(out, "error")
 			}
 		case *ast.Ident:
-			out = append(out, assigned(fn, n.Name)...)
+			out = append(out, initialFields(fn, n.Name)...)
 		}
 		return true
 	})
@@ -213,8 +213,8 @@
 	return out
 }
 
-// assigned returns the names of the fields that a variable of a function starts with.
-func assigned(fn *ast.FuncDecl, variable string) []string {
+// initialFields returns the names of the fields that a variable of a function starts with.
+func initialFields(fn *ast.FuncDecl, variable string) []string {
 	var out []string
 	ast.Inspect(fn, func(n ast.Node) bool {
 		a, ok := n.(*ast.AssignStmt)
@@ -232,9 +232,9 @@
 	return out
 }
 
-// keeps reports whether one of the lines has the level and all of the fields.
-func keeps(w written) bool {
-	return slices.ContainsFunc(schema.Named(w.message), func(l schema.Line) bool {
+// inSchema reports whether one of the lines has the level and all of the fields.
+func inSchema(w logCall) bool {
+	return slices.ContainsFunc(schema.LinesByMessage(w.message), func(l schema.Line) bool {
 		return l.Level == w.level && !slices.ContainsFunc(w.fields, func(name string) bool {
 			_, ok := l.Field(name)
 			return !ok
@@ -242,7 +242,7 @@
 	})
 }
 
-func TestEachLineOfTheCodeIsInTheSchemaAndTheOtherWayRound(t *testing.T) {
+func TestCodeAndSchemaHaveTheSameLines(t *testing.T) {
 	packages := map[string]bool{}
 	packagesOf(t, "cmd/jxd", packages)
 	seen := map[string]bool{}
@@ -253,7 +253,7 @@
 		}
 		for _, w := range linesOf(t, dir) {
 			seen[w.message] = true
-			require.True(t, keeps(w), "%s: %q at level %s with the fields %v is not in the schema", w.at, w.message, w.level, w.fields)
+			require.True(t, inSchema(w), "%s: %q at level %s with the fields %v is not in the schema", w.at, w.message, w.level, w.fields)
 		}
 	}
 	require.Greater(t, len(seen), 50, "the code writes more lines than were found")
@@ -262,7 +262,7 @@
 	}
 }
 
-func TestThePageDescribesTheLines(t *testing.T) {
+func TestReferencePageIsUpToDate(t *testing.T) {
 	want, err := schema.Reference()
 	require.NoError(t, err)
 	got, err := os.ReadFile("../docs/LOG.md")
--- a/schema/common.go
+++ b/schema/common.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// every stands in all lines.
-type every struct {
+// commonFields stands in all lines.
+type commonFields struct {
 	// When the line was written, by the instance's clock.
 	Time time.Time `log:"time"`
 	// How much the line matters: info, warning or error.
@@ -22,14 +22,14 @@
 	Request string `log:"request"`
 }
 
-// belief marks a line of the recorder that is about no request.
-type belief struct {
+// noRequest marks a line of the recorder that is about no request.
+type noRequest struct {
 	// Always empty.
 	Request string `log:"request"`
 }
 
-// standing is what the lines on a request's decisions tell of it.
-type standing struct {
+// decisionFields is what the lines on a request's decisions tell of it.
+type decisionFields struct {
 	request
 	// How long the instance has held the request.
 	HeldMS int64 `log:"held_ms"`
@@ -61,8 +61,8 @@
 	Fingerprint string `log:"fingerprint"`
 }
 
-// allowance is what lines on repeats tell of the instance's part of the limit that all instances share.
-type allowance struct {
+// retryBudget is what lines on repeats tell of the instance's part of the limit that all instances share.
+type retryBudget struct {
 	// Requests for the service in the last window of the limit.
 	Requests int64 `log:"requests"`
 	// Repeats that the instance has left for the service; the part of one counts.
@@ -75,8 +75,8 @@
 	ProcessMS int64 `log:"process_ms"`
 }
 
-// silent is what lines on a stream that leaves its first part tell.
-type silent struct {
+// firstServerChange is what lines on a stream that leaves its first part tell.
+type firstServerChange struct {
 	request
 	server
 	// For how long the stream has had no event.
@@ -91,8 +91,8 @@
 	Next string `log:"next,optional"`
 }
 
-// rerouted is what lines on another path behind the first part tell.
-type rerouted struct {
+// pathChange is what lines on another path behind the first part tell.
+type pathChange struct {
 	request
 	// The path before.
 	OldPath string `log:"old_path"`
@@ -102,16 +102,16 @@
 	StillMS int64 `log:"still_ms"`
 }
 
-// notRerouted is a path that the first part did not take.
-type notRerouted struct {
-	rerouted
+// pathChangeRefused is a path that the first part did not take.
+type pathChangeRefused struct {
+	pathChange
 	// Why.
 	Error string `log:"error"`
 }
 
-// expected is what was predicted for a request that waits for room.
-type expected struct {
-	standing
+// waitForecast is what was predicted for a request that waits for room.
+type waitForecast struct {
+	decisionFields
 	// Rooms that must come before the request has its own.
 	Places float64 `log:"places"`
 	// Streams under way that move.
@@ -126,9 +126,9 @@
 	Returned bool `log:"returned"`
 }
 
-// answered is what a server said of itself.
-type answered struct {
-	belief
+// serverReport is what a server said of itself.
+type serverReport struct {
+	noRequest
 	server
 	// What gave reason to ask.
 	Why string `log:"why"`
@@ -146,8 +146,8 @@
 	Layers string `log:"layers"`
 }
 
-// entryOf is what a server's entry in the store tells.
-type entryOf struct {
+// serverEntry is what a server's entry in the store tells.
+type serverEntry struct {
 	server
 	// The service that it is of.
 	Service string `log:"service"`
@@ -178,8 +178,8 @@
 	Lease int64 `log:"lease"`
 }
 
-// orderOfToday is an order to a model engine of today's interface.
-type orderOfToday struct {
+// engineOrder is an order to a model engine of today's interface.
+type engineOrder struct {
 	// Name of the backend server.
 	Server string `log:"server"`
 	// The model that it shall hold a part of.
@@ -190,8 +190,8 @@
 	Fence int64 `log:"fence"`
 }
 
-// today is what the lines on a request of today's interface tell.
-type today struct {
+// requestJxdRun is what the lines on a request of today's interface tell.
+type requestJxdRun struct {
 	request
 	// The client account that asks; empty while it is not known.
 	Account string `log:"account"`
@@ -201,8 +201,8 @@
 	Config int64 `log:"config,optional"`
 }
 
-// stage is what lines on an attempt of today's interface tell.
-type stage struct {
+// attemptJxdRun is what lines on an attempt of today's interface tell.
+type attemptJxdRun struct {
 	request
 	// The client account that asks.
 	Account string `log:"account"`
--- a/schema/lines.go
+++ b/schema/lines.go
@@ -13,35 +13,35 @@
 	requestLines = []any{
 		sentStream{},
 		sentPlain{},
-		turnedAway{},
+		refusedByServer{},
 		streamBroken{},
 		plainBroken{},
-		endedUnder{},
-		harmless{},
-		noRepeat{},
+		terminatedUnderRequest{},
+		requestCleared{},
+		noRetry{},
 		handedOver{},
-		firstSilent{},
-		waitsToGoOn{},
+		firstServerSilent{},
+		waitsToResume{},
 		repaired{},
 		notRepaired{},
 		noPathForRepair{},
 		evacuated{},
 		notEvacuated{},
-		tooLate{},
-		waited{},
+		roomTooLate{},
+		waitedForRoom{},
 		pathRegained{},
 		refused{},
 		denied{},
 		givenUp{},
 		brokenOff{},
 		failurePassedOn{},
-		callerLeft{},
+		callerDisconnected{},
 		finished{},
 		stageFailed{},
-		refusedToday{},
-		brokenOffToday{},
+		refusedJxdRun{},
+		brokenOffJxdRun{},
 		cutByCaller{},
-		finishedToday{},
+		finishedJxdRun{},
 		unexpectedInAttempt{},
 	}
 	beliefLines = []any{
@@ -49,49 +49,49 @@
 		serving{},
 		stopping{},
 		stopped{},
-		unexpected{},
-		reloaded{},
-		notReloaded{},
+		unexpectedEvent{},
+		settingsReloaded{},
+		settingsNotReloaded{},
 		readiness{},
 		metricsNotWritten{},
-		suspendedFor{},
+		machineSuspended{},
 		clockNotRead{},
-		lost{},
-		regained{},
-		heardElsewhere{},
-		notHeard{},
+		dependencyLost{},
+		dependencyRegained{},
+		feedSourceChanged{},
+		feedRequestFailed{},
 		inForce{},
-		inForceToday{},
-		olderIgnored{},
-		notReadable{},
+		inForceJxdRun{},
+		olderConfigIgnored{},
+		valueNotReadable{},
 		serverKnown{},
 		serversKnown{},
 		serverChanged{},
 		serverGone{},
-		endHeard{},
-		endsNotTold{},
-		vanished{},
+		endReceived{},
+		endsNotPublished{},
+		entryVanished{},
 		noAnswer{},
-		garbled{},
-		startedAgain{},
+		reportNotReadable{},
+		otherIncarnationAnswers{},
 		lateEntry{},
 		earlierPosition{},
 		lostWrites{},
-		leftoverEntry{},
-		saysFarewell{},
-		wantsNothing{},
-		namesLimit{},
-		namesNoLimit{},
-		entryOfAnother{},
+		restoredEntry{},
+		leaveNotice{},
+		serverBackOff{},
+		serverLimit{},
+		serverLimitRemoved{},
+		newerIncarnation{},
 		entryUnusable{},
 		otherLayers{},
-		full{},
-		slow{},
-		well{},
+		serverFull{},
+		serverSlow{},
+		serverNormal{},
 		lanes{},
-		repeats{},
-		counted{},
-		notCounted{},
+		retries{},
+		instancesCounted{},
+		instancesNotCounted{},
 		recordNotWritten{},
 		recordEnded{},
 		recordReplaced{},
@@ -99,22 +99,22 @@
 		recordNotRenewed{},
 		peerRefused{},
 		operatorRefused{},
-		confirmed{},
+		planConfirmed{},
 	}
 	orderLines = []any{
-		givesOrders{},
-		noLongerGivesOrders{},
-		rightNotTaken{},
-		rightNotRenewed{},
-		rightNotReturned{},
+		leadershipGained{},
+		leadershipLost{},
+		leadershipNotAcquired{},
+		leadershipNotRenewed{},
+		leadershipNotReleased{},
 		orderGiven{},
-		orderGivenToday{},
+		orderGivenJxdRun{},
 		orderFailed{},
-		orderUnsure{},
+		orderUnanswered{},
 		orderRefused{},
 		orderWithoutEffect{},
 		coverage{},
-		tooSmall{},
+		domainTooSmall{},
 	}
 )
 
@@ -135,9 +135,9 @@
 	Name     string
 	Kind     Kind
 	Optional bool
-	// owner and member name the place of its comment.
-	owner  string
-	member string
+	// typeName and member name the place of its comment.
+	typeName string
+	goName   string
 }
 
 // Line is one line of the log.
@@ -145,8 +145,8 @@
 	Message string
 	Level   string
 	// Fields are those beside the fields of every line.
-	Fields []Field
-	name   string
+	Fields   []Field
+	typeName string
 }
 
 // Field returns the field of that name.
@@ -159,8 +159,8 @@
 	return Field{}, false
 }
 
-// all holds the lines by message.
-var all = sync.OnceValue(func() map[string][]Line {
+// linesByMessage holds the lines by message.
+var linesByMessage = sync.OnceValue(func() map[string][]Line {
 	out := map[string][]Line{}
 	for _, l := range Lines() {
 		out[l.Message] = append(out[l.Message], l)
@@ -173,15 +173,15 @@
 	return linesOf(slices.Concat(requestLines, beliefLines, orderLines))
 }
 
-// Named returns the lines with a message.
-func Named(message string) []Line { return all()[message] }
+// LinesByMessage returns the lines with a message.
+func LinesByMessage(message string) []Line { return linesByMessage()[message] }
 
 func linesOf(values []any) []Line {
 	out := make([]Line, len(values))
 	for i, v := range values {
 		t := reflect.TypeOf(v)
 		tag := t.Field(0).Tag
-		out[i] = Line{Message: tag.Get("msg"), Level: tag.Get("level"), Fields: fieldsOf(t), name: t.Name()}
+		out[i] = Line{Message: tag.Get("msg"), Level: tag.Get("level"), Fields: fieldsOf(t), typeName: t.Name()}
 	}
 	return out
 }
@@ -196,7 +196,7 @@
 			continue
 		}
 		if name, rest, _ := strings.Cut(f.Tag.Get("log"), ","); name != "" {
-			out = append(out, Field{Name: name, Kind: kindOf(f.Type), Optional: rest == "optional", owner: t.Name(), member: f.Name})
+			out = append(out, Field{Name: name, Kind: kindOf(f.Type), Optional: rest == "optional", typeName: t.Name(), goName: f.Name})
 		}
 	}
 	return out
--- a/schema/orders.go
+++ b/schema/orders.go
@@ -1,7 +1,7 @@
 package schema
 
 // The instance has the right to give orders.
-type givesOrders struct {
+type leadershipGained struct {
 	_ struct{} `msg:"gives orders" level:"info"`
 	// Name of this start of the instance.
 	Holder string `log:"holder"`
@@ -10,26 +10,26 @@
 }
 
 // The right is over.
-type noLongerGivesOrders struct {
+type leadershipLost struct {
 	_ struct{} `msg:"no longer gives orders" level:"warning"`
 	// Name of this start of the instance.
 	Holder string `log:"holder"`
 }
 
 // The store did not give the right.
-type rightNotTaken struct {
+type leadershipNotAcquired struct {
 	_ struct{} `msg:"right to give orders not taken" level:"warning"`
 	failure
 }
 
 // The store did not let the right last for longer.
-type rightNotRenewed struct {
+type leadershipNotRenewed struct {
 	_ struct{} `msg:"right to give orders not renewed" level:"warning"`
 	failure
 }
 
 // The store did not take the right back.
-type rightNotReturned struct {
+type leadershipNotReleased struct {
 	_ struct{} `msg:"right to give orders not given back, it ends by itself" level:"warning"`
 	failure
 }
@@ -41,20 +41,20 @@
 }
 
 // A model engine of today's interface took an order.
-type orderGivenToday struct {
+type orderGivenJxdRun struct {
 	_ struct{} `msg:"order given" level:"info"`
-	orderOfToday
+	engineOrder
 }
 
 // A model engine of today's interface did not take an order.
 type orderFailed struct {
 	_ struct{} `msg:"order failed" level:"warning"`
-	orderOfToday
+	engineOrder
 	failure
 }
 
 // It is not known whether a server took an order.
-type orderUnsure struct {
+type orderUnanswered struct {
 	_ struct{} `msg:"order without an answer" level:"warning"`
 	order
 	failure
@@ -100,7 +100,7 @@
 }
 
 // The servers of a domain cannot hold a whole model with the usual room for sequences.
-type tooSmall struct {
+type domainTooSmall struct {
 	_ struct{} `msg:"domain too small for a copy of the model with the usual room" level:"warning"`
 	// The model.
 	Model string `log:"model"`
--- a/schema/reference.go
+++ b/schema/reference.go
@@ -32,14 +32,14 @@
 	}
 	var out strings.Builder
 	out.WriteString(head + "## In every line\n\n")
-	writeFields(&out, fieldsOf(reflect.TypeFor[every]()), comments)
+	writeFields(&out, fieldsOf(reflect.TypeFor[commonFields]()), comments)
 	for _, part := range []struct {
 		title string
 		lines []any
 	}{{"Requests", requestLines}, {"Beliefs", beliefLines}, {"Orders", orderLines}} {
 		out.WriteString("\n## " + part.title + "\n")
 		for _, l := range linesOf(part.lines) {
-			fmt.Fprintf(&out, "\n### %s\n\n%s Level %s.\n", l.Message, comments[l.name], l.Level)
+			fmt.Fprintf(&out, "\n### %s\n\n%s Level %s.\n", l.Message, comments[l.typeName], l.Level)
 			if len(l.Fields) > 0 {
 				out.WriteString("\n")
 				writeFields(&out, l.Fields, comments)
@@ -56,7 +56,7 @@
 		if f.Optional {
 			maybe = "maybe"
 		}
-		fmt.Fprintf(out, "| `%s` | %s | %s | %s |\n", f.Name, f.Kind, maybe, comments[f.owner+"."+f.member])
+		fmt.Fprintf(out, "| `%s` | %s | %s | %s |\n", f.Name, f.Kind, maybe, comments[f.typeName+"."+f.goName])
 	}
 }
 
@@ -82,17 +82,19 @@
 	}
 	for _, s := range types.Specs {
 		spec := s.(*ast.TypeSpec)
-		out[spec.Name.Name] = text(types.Doc)
+		out[spec.Name.Name] = joinedText(types.Doc)
 		fields, ok := spec.Type.(*ast.StructType)
 		if !ok {
 			continue
 		}
 		for _, f := range fields.Fields.List {
 			for _, name := range f.Names {
-				out[spec.Name.Name+"."+name.Name] = text(f.Doc)
+				out[spec.Name.Name+"."+name.Name] = joinedText(f.Doc)
 			}
 		}
 	}
 }
 
-func text(comment *ast.CommentGroup) string { return strings.Join(strings.Fields(comment.Text()), " ") }
+func joinedText(comment *ast.CommentGroup) string {
+	return strings.Join(strings.Fields(comment.Text()), " ")
+}
--- a/schema/requests.go
+++ b/schema/requests.go
@@ -3,7 +3,7 @@
 // A stream was sent along a path.
 type sentStream struct {
 	_ struct{} `msg:"sent" level:"info"`
-	standing
+	decisionFields
 	// Id of the path's first server.
 	Server string `log:"server"`
 	// Number of the attempt.
@@ -27,7 +27,7 @@
 // A request of a plain service was sent to a server.
 type sentPlain struct {
 	_ struct{} `msg:"sent" level:"info"`
-	standing
+	decisionFields
 	server
 	// Number of the attempt.
 	Attempt int64 `log:"attempt"`
@@ -36,9 +36,9 @@
 }
 
 // A server did not take the request; it has not run there.
-type turnedAway struct {
+type refusedByServer struct {
 	_ struct{} `msg:"turned away" level:"warning"`
-	standing
+	decisionFields
 	server
 	// Status of the answer.
 	Status int64 `log:"status"`
@@ -53,7 +53,7 @@
 // The stream of an answer broke.
 type streamBroken struct {
 	_ struct{} `msg:"attempt broken" level:"warning"`
-	standing
+	decisionFields
 	server
 	// The path at that time.
 	Path string `log:"path"`
@@ -73,7 +73,7 @@
 // The answer of a plain service broke.
 type plainBroken struct {
 	_ struct{} `msg:"attempt broken" level:"warning"`
-	standing
+	decisionFields
 	server
 	fingerprint
 	// How it counts.
@@ -83,7 +83,7 @@
 }
 
 // A server has ended while it ran a request that it had just begun.
-type endedUnder struct {
+type terminatedUnderRequest struct {
 	_ struct{} `msg:"server ended under a request" level:"warning"`
 	request
 	server
@@ -93,7 +93,7 @@
 }
 
 // A server has run a request under which others had ended.
-type harmless struct {
+type requestCleared struct {
 	_ struct{} `msg:"request proved harmless" level:"warning"`
 	request
 	fingerprint
@@ -102,10 +102,10 @@
 }
 
 // The instance's part of the allowed repeats is spent.
-type noRepeat struct {
+type noRetry struct {
 	_ struct{} `msg:"no repeat" level:"warning"`
-	standing
-	allowance
+	decisionFields
+	retryBudget
 	// Why.
 	Reason string `log:"reason"`
 }
@@ -113,19 +113,19 @@
 // A stream goes on at another first part, since its own leaves or gives up its layers.
 type handedOver struct {
 	_ struct{} `msg:"handed over" level:"warning"`
-	silent
+	firstServerChange
 }
 
 // The first part of a stream does not answer or does not know it: it goes on elsewhere.
-type firstSilent struct {
+type firstServerSilent struct {
 	_ struct{} `msg:"first part is silent" level:"warning"`
-	silent
+	firstServerChange
 }
 
 // A stream that has begun cannot go on yet.
-type waitsToGoOn struct {
+type waitsToResume struct {
 	_ struct{} `msg:"waits to go on" level:"warning"`
-	standing
+	decisionFields
 	// What is in its way.
 	Reason string `log:"reason"`
 	// The last event that was passed on, -1 before the first.
@@ -143,13 +143,13 @@
 // Lost parts of a path were replaced.
 type repaired struct {
 	_ struct{} `msg:"repaired" level:"warning"`
-	rerouted
+	pathChange
 }
 
 // The first part did not take the new path.
 type notRepaired struct {
 	_ struct{} `msg:"not repaired" level:"warning"`
-	notRerouted
+	pathChangeRefused
 }
 
 // No path without the lost parts is known.
@@ -165,25 +165,25 @@
 // Parts that leave were replaced.
 type evacuated struct {
 	_ struct{} `msg:"evacuated" level:"warning"`
-	rerouted
+	pathChange
 }
 
 // The first part did not take the path without parts that leave.
 type notEvacuated struct {
 	_ struct{} `msg:"not evacuated" level:"warning"`
-	notRerouted
+	pathChangeRefused
 }
 
 // The request is refused, since room is not likely to come in time.
-type tooLate struct {
+type roomTooLate struct {
 	_ struct{} `msg:"room would come too late" level:"warning"`
-	expected
+	waitForecast
 }
 
 // A wait for room is over.
-type waited struct {
+type waitedForRoom struct {
 	_ struct{} `msg:"waited for room" level:"info"`
-	expected
+	waitForecast
 	// How long it took.
 	WaitedMS int64 `log:"waited_ms"`
 	// Whether room came.
@@ -203,7 +203,7 @@
 // The end of a request that has not run.
 type refused struct {
 	_ struct{} `msg:"refused" level:"warning"`
-	standing
+	decisionFields
 	// Why.
 	Reason string `log:"reason"`
 	// not_run.
@@ -217,7 +217,7 @@
 // The end of a request for a route or with a key that the configuration in force does not have.
 type denied struct {
 	_ struct{} `msg:"denied" level:"warning"`
-	standing
+	decisionFields
 	// What is not there.
 	Reason string `log:"reason"`
 	// Status of the answer.
@@ -227,7 +227,7 @@
 // The end of a request that may have run and has no answer.
 type givenUp struct {
 	_ struct{} `msg:"given up" level:"warning"`
-	standing
+	decisionFields
 	// Why.
 	Reason string `log:"reason"`
 	// unknown.
@@ -239,7 +239,7 @@
 // The end of a stream that had begun and could not go on.
 type brokenOff struct {
 	_ struct{} `msg:"broken off" level:"warning"`
-	standing
+	decisionFields
 	// broken.
 	Reason string `log:"reason"`
 	// Why the last attempt did not deliver; empty where the time was over.
@@ -259,15 +259,15 @@
 // The end of a request whose server failed itself.
 type failurePassedOn struct {
 	_ struct{} `msg:"failure passed on" level:"warning"`
-	standing
+	decisionFields
 	// Why.
 	Reason string `log:"reason"`
 }
 
 // The end of a request whose caller left.
-type callerLeft struct {
+type callerDisconnected struct {
 	_ struct{} `msg:"finished" level:"warning"`
-	standing
+	decisionFields
 	// caller left.
 	Outcome string `log:"outcome"`
 }
@@ -275,7 +275,7 @@
 // The end of a request whose answer was passed on.
 type finished struct {
 	_ struct{} `msg:"finished" level:"info"`
-	standing
+	decisionFields
 	// whole.
 	Outcome string `log:"outcome"`
 	// When the first event was passed on, of a stream.
@@ -291,16 +291,16 @@
 // A backend server did not do its stage of an attempt (today's interface).
 type stageFailed struct {
 	_ struct{} `msg:"stage failed" level:"warning"`
-	stage
+	attemptJxdRun
 	// Name of the backend server.
 	Server string `log:"server"`
 	failure
 }
 
 // The end of a request of today's interface without the answer that was asked for.
-type refusedToday struct {
+type refusedJxdRun struct {
 	_ struct{} `msg:"refused" level:"warning"`
-	today
+	requestJxdRun
 	// Why.
 	Reason string `log:"reason"`
 	// not_run, ran or unknown.
@@ -312,9 +312,9 @@
 }
 
 // The end of a stream of today's interface that had begun and could not go on.
-type brokenOffToday struct {
+type brokenOffJxdRun struct {
 	_ struct{} `msg:"broken off" level:"warning"`
-	today
+	requestJxdRun
 	// Why.
 	Reason string `log:"reason"`
 	// not_run or unknown.
@@ -327,16 +327,16 @@
 // The end of a stream of today's interface that its caller no longer reads.
 type cutByCaller struct {
 	_ struct{} `msg:"stream cut by the caller" level:"warning"`
-	today
+	requestJxdRun
 	// Tokens that were passed on.
 	Tokens int64 `log:"tokens"`
 	failure
 }
 
 // The end of a request of today's interface that was answered.
-type finishedToday struct {
+type finishedJxdRun struct {
 	_ struct{} `msg:"finished" level:"info"`
-	today
+	requestJxdRun
 	// whole.
 	Outcome string `log:"outcome"`
 	// Status of the answer.
@@ -348,6 +348,6 @@
 // An event that an attempt's chart does not know: a fault of junctioncross.
 type unexpectedInAttempt struct {
 	_ struct{} `msg:"unexpected event" level:"error"`
-	stage
+	attemptJxdRun
 	failure
 }
--- a/schema/servers.go
+++ b/schema/servers.go
@@ -3,7 +3,7 @@
 // The first entry of a server.
 type serverKnown struct {
 	_ struct{} `msg:"server known" level:"info"`
-	entryOf
+	serverEntry
 }
 
 // Entries of many servers at once, which have no lines of their own.
@@ -18,7 +18,7 @@
 // Another entry of a known server.
 type serverChanged struct {
 	_ struct{} `msg:"server changed" level:"info"`
-	entryOf
+	serverEntry
 }
 
 // The server is no longer counted on.
@@ -28,7 +28,7 @@
 }
 
 // Another instance tells that a server has ended under a request.
-type endHeard struct {
+type endReceived struct {
 	_ struct{} `msg:"end under a request heard" level:"info"`
 	fingerprint
 	// Servers that have ended under the request so far.
@@ -36,7 +36,7 @@
 }
 
 // The other instances cannot be told which servers ended under which requests; it is tried again.
-type endsNotTold struct {
+type endsNotPublished struct {
 	_ struct{} `msg:"ends of servers not told" level:"warning"`
 	// How many.
 	Ends int64 `log:"ends"`
@@ -44,7 +44,7 @@
 }
 
 // The server's entry may have lapsed with the store.
-type vanished struct {
+type entryVanished struct {
 	_ struct{} `msg:"server entry vanished around an outage of the store, kept for now" level:"info"`
 	// Id of the backend server.
 	Server string `log:"server"`
@@ -66,7 +66,7 @@
 }
 
 // The store came back from a copy that still has the entry of a server which has left; it gets no new work for now.
-type leftoverEntry struct {
+type restoredEntry struct {
 	_ struct{} `msg:"entry of a server that has left is there again" level:"info"`
 	server
 }
@@ -100,14 +100,14 @@
 }
 
 // A server says in an answer that it leaves, whatever its entry says: it gets no new work.
-type saysFarewell struct {
+type leaveNotice struct {
 	_ struct{} `msg:"server says that it leaves" level:"warning"`
 	request
 	server
 }
 
 // A server turned a request away and wants nothing from this instance for a time.
-type wantsNothing struct {
+type serverBackOff struct {
 	_ struct{} `msg:"server wants nothing yet" level:"warning"`
 	request
 	server
@@ -120,7 +120,7 @@
 }
 
 // A server names in an answer how many requests it takes from all instances together; without a request it was a report.
-type namesLimit struct {
+type serverLimit struct {
 	_ struct{} `msg:"server names a limit" level:"warning"`
 	request
 	server
@@ -133,7 +133,7 @@
 }
 
 // A server that had named a limit names none in an answer.
-type namesNoLimit struct {
+type serverLimitRemoved struct {
 	_ struct{} `msg:"server names no limit any more" level:"warning"`
 	request
 	server
@@ -142,7 +142,7 @@
 // A server gives no answer to the question how it is.
 type noAnswer struct {
 	_ struct{} `msg:"server does not answer" level:"warning"`
-	belief
+	noRequest
 	server
 	// What gave reason to ask.
 	Why string `log:"why"`
@@ -150,9 +150,9 @@
 }
 
 // A server's answer to the question how it is cannot be read; what was known stays.
-type garbled struct {
+type reportNotReadable struct {
 	_ struct{} `msg:"report not readable" level:"warning"`
-	belief
+	noRequest
 	server
 	// What gave reason to ask.
 	Why string `log:"why"`
@@ -160,9 +160,9 @@
 }
 
 // Another start of a server answers at its address: what it ran is lost.
-type startedAgain struct {
+type otherIncarnationAnswers struct {
 	_ struct{} `msg:"another start of the server answers" level:"warning"`
-	belief
+	noRequest
 	server
 	// The start that was known, in milliseconds since 1970.
 	Born int64 `log:"born"`
@@ -171,7 +171,7 @@
 }
 
 // A newer entry of a server tells that it has started again under its id: what it ran is lost.
-type entryOfAnother struct {
+type newerIncarnation struct {
 	_ struct{} `msg:"server started again" level:"info"`
 	server
 	// The start that was known, in milliseconds since 1970.
@@ -193,23 +193,23 @@
 // A server holds other layers than its entry says.
 type otherLayers struct {
 	_ struct{} `msg:"server holds other layers" level:"warning"`
-	answered
+	serverReport
 }
 
 // A server has hardly any memory left.
-type full struct {
+type serverFull struct {
 	_ struct{} `msg:"server is full" level:"warning"`
-	answered
+	serverReport
 }
 
 // A server is slower than usual.
-type slow struct {
+type serverSlow struct {
 	_ struct{} `msg:"server is slow" level:"warning"`
-	answered
+	serverReport
 }
 
 // A server that was doubted is well.
-type well struct {
+type serverNormal struct {
 	_ struct{} `msg:"server is well" level:"info"`
-	answered
+	serverReport
 }
