--- a/decision/format.go
+++ b/decision/format.go
@@ -15,8 +15,8 @@
 // need no reflection.
 type Formatter struct{}
 
-// usualFields is the number of fields that most lines have at most.
-const usualFields = 32
+// typicalFields is the number of fields that most lines have at most.
+const typicalFields = 32
 
 // Format implements logrus.Formatter.
 func (Formatter) Format(e *logrus.Entry) ([]byte, error) {
@@ -24,7 +24,7 @@
 	if out == nil {
 		out = &bytes.Buffer{}
 	}
-	names := make([]string, 0, usualFields)
+	names := make([]string, 0, typicalFields)
 	for name := range e.Data {
 		names = append(names, name)
 	}
--- a/decision/format_test.go
+++ b/decision/format_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestLinesAreThoseOfTheLoggersOwnFormatter(t *testing.T) {
+func TestFormatMatchesTheJSONFormatterOfLogrus(t *testing.T) {
 	got, err := decision.Formatter{}.Format(entry())
 	require.NoError(t, err)
 	want, err := (&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}).Format(entry())
@@ -35,7 +35,7 @@
 	require.Equal(t, byte('\n'), got[len(got)-1])
 }
 
-func TestANumberThatJSONLacksDoesNotCostTheLine(t *testing.T) {
+func TestANumberThatJSONLacksIsWrittenAsText(t *testing.T) {
 	e := entry()
 	e.Data["likelihood"] = math.NaN()
 	got, err := decision.Formatter{}.Format(e)
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -18,18 +18,18 @@
 	// reserveBytes is kept for lines that sampling must not leave out: the ends of some 6,000 failed requests, while the output
 	// takes nothing.
 	reserveBytes = 2 << 20
-	// gatherTime is how long lines wait for others, so that a busy instance makes one system call for many.
-	gatherTime = 100 * time.Millisecond
+	// batchTime is how long lines wait for others, so that a busy instance makes one system call for many.
+	batchTime = 100 * time.Millisecond
 )
 
 // Queue is a writer that never blocks: it keeps lines in bounded memory until they are written.
 type Queue struct {
 	out     io.Writer
 	dropped gometrics.Counter
-	// keptDropped counts those of the dropped lines that had the reserve as well.
-	keptDropped gometrics.Counter
-	failed      gometrics.Counter
-	ready       chan struct{}
+	// reserveDropped counts those of the dropped lines that had the reserve as well.
+	reserveDropped gometrics.Counter
+	writeErrors    gometrics.Counter
+	ready          chan struct{}
 
 	mu      sync.Mutex
 	pending bytes.Buffer
@@ -38,15 +38,15 @@
 // NewQueue returns a Queue that writes to out.
 func NewQueue(out io.Writer, clock *timer.Service, stats *metrics.Registry) *Queue {
 	q := &Queue{
-		out: out, dropped: stats.Counter("log_lines_dropped_total"), keptDropped: stats.Counter("log_kept_lines_dropped_total"),
-		failed: stats.Counter("log_write_errors_total"),
-		ready:  make(chan struct{}, 1),
+		out: out, dropped: stats.Counter("log_lines_dropped_total"), reserveDropped: stats.Counter("log_kept_lines_dropped_total"),
+		writeErrors: stats.Counter("log_write_errors_total"),
+		ready:       make(chan struct{}, 1),
 	}
 	go func() {
 		var writing bytes.Buffer
 		for range q.ready {
-			<-clock.After(gatherTime)
-			q.take(&writing)
+			<-clock.After(batchTime)
+			q.swap(&writing)
 			q.write(&writing)
 		}
 	}()
@@ -56,7 +56,7 @@
 // Write takes over one line that shall survive; it drops the line when the reserve is full as well and never returns an error.
 func (q *Queue) Write(line []byte) (int, error) {
 	if !q.add(line, queueBytes+reserveBytes) {
-		q.keptDropped.Inc(1)
+		q.reserveDropped.Inc(1)
 	}
 	return len(line), nil
 }
@@ -95,11 +95,11 @@
 // Flush writes what is pending; it may block as long as the output does.
 func (q *Queue) Flush() {
 	var writing bytes.Buffer
-	q.take(&writing)
+	q.swap(&writing)
 	q.write(&writing)
 }
 
-func (q *Queue) take(into *bytes.Buffer) {
+func (q *Queue) swap(into *bytes.Buffer) {
 	into.Reset()
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -112,7 +112,7 @@
 		return
 	}
 	if _, err := q.out.Write(lines.Bytes()); err != nil {
-		q.failed.Inc(1)
+		q.writeErrors.Inc(1)
 	}
 	if lines.Cap() > 2*queueBytes {
 		// What the reserve took is given back.
--- a/decision/recorder.go
+++ b/decision/recorder.go
@@ -37,28 +37,28 @@
 	stats   *metrics.Registry
 
 	mu      sync.Mutex
-	routine allowance
-	failure allowance
-	// kept holds when a line of each kind was last written.
-	kept map[string]time.Time
+	routine tokenBucket
+	failure tokenBucket
+	// lastWritten holds when a line of each kind was last written.
+	lastWritten map[string]time.Time
 }
 
-// bounded is an output that may leave lines out.
-type bounded interface{ Sampled() io.Writer }
+// sampler is an output that may leave lines out.
+type sampler interface{ Sampled() io.Writer }
 
 // NewRecorder returns a Recorder that writes to log.
 func NewRecorder(log *logrus.Logger, clock *timer.Service, stats *metrics.Registry) *Recorder {
 	now := clock.Now()
 	return &Recorder{
-		log: log, sampled: sampledOf(log), clock: clock, stats: stats, kept: map[string]time.Time{},
-		routine: allowance{rate: routineRate, burst: routineBurst, left: routineBurst, at: now},
-		failure: allowance{rate: failureRate, burst: failureBurst, left: failureBurst, at: now},
+		log: log, sampled: sampledLogger(log), clock: clock, stats: stats, lastWritten: map[string]time.Time{},
+		routine: tokenBucket{rate: routineRate, burst: routineBurst, tokens: routineBurst, updatedAt: now},
+		failure: tokenBucket{rate: failureRate, burst: failureBurst, tokens: failureBurst, updatedAt: now},
 	}
 }
 
-// sampledOf returns a logger that does as another one, but for lines that may be left out.
-func sampledOf(log *logrus.Logger) *logrus.Logger {
-	out, ok := log.Out.(bounded)
+// sampledLogger returns a logger that does as another one, but for lines that may be left out.
+func sampledLogger(log *logrus.Logger) *logrus.Logger {
+	out, ok := log.Out.(sampler)
 	if !ok {
 		return log
 	}
@@ -81,10 +81,10 @@
 	r.log.WithFields(fields).Log(logrus.WarnLevel, decision)
 }
 
-func (r *Recorder) write(a *allowance, level logrus.Level, request, decision string, fields Fields) {
+func (r *Recorder) write(bucket *tokenBucket, level logrus.Level, request, decision string, fields Fields) {
 	now := r.clock.Now()
 	r.mu.Lock()
-	log, allowed := r.sampled, a.take(now)
+	log, allowed := r.sampled, bucket.allow(now)
 	if r.isFirst(decision, now) {
 		log, allowed = r.log, true
 	}
@@ -102,27 +102,27 @@
 
 // isFirst reports whether a line is the first of its kind for a while; the caller holds the lock.
 func (r *Recorder) isFirst(kind string, now time.Time) bool {
-	if at, seen := r.kept[kind]; seen && now.Sub(at) < kindPeriod {
+	if at, seen := r.lastWritten[kind]; seen && now.Sub(at) < kindPeriod {
 		return false
 	}
-	r.kept[kind] = now
+	r.lastWritten[kind] = now
 	return true
 }
 
-// allowance is a token bucket.
-type allowance struct {
-	rate  float64
-	burst float64
-	left  float64
-	at    time.Time
+// tokenBucket is a token bucket.
+type tokenBucket struct {
+	rate      float64
+	burst     float64
+	tokens    float64
+	updatedAt time.Time
 }
 
-func (a *allowance) take(now time.Time) bool {
-	a.left = min(a.left+now.Sub(a.at).Seconds()*a.rate, a.burst)
-	a.at = now
-	if a.left < 1 {
+func (b *tokenBucket) allow(now time.Time) bool {
+	b.tokens = min(b.tokens+now.Sub(b.updatedAt).Seconds()*b.rate, b.burst)
+	b.updatedAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	a.left--
+	b.tokens--
 	return true
 }
--- a/decision/recorder_test.go
+++ b/decision/recorder_test.go
@@ -17,25 +17,25 @@
 	"junctioncross/timer"
 )
 
-// pipe is an output that takes nothing until it is opened.
-type pipe struct {
-	open chan struct{}
-	mu   sync.Mutex
-	all  strings.Builder
+// blockedOutput is an output that takes nothing until it is opened.
+type blockedOutput struct {
+	open    chan struct{}
+	mu      sync.Mutex
+	written strings.Builder
 }
 
 // Write implements io.Writer.
-func (p *pipe) Write(lines []byte) (int, error) {
-	<-p.open
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.all.Write(lines)
+func (o *blockedOutput) Write(lines []byte) (int, error) {
+	<-o.open
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.written.Write(lines)
 }
 
-func (p *pipe) String() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.all.String()
+func (o *blockedOutput) String() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.written.String()
 }
 
 // many is more than all allowances together let through at once, and less than the reserve takes.
@@ -80,9 +80,9 @@
 	require.Equal(t, 2, strings.Count(out.String(), "path regained"), "a kind that was not seen for a while is first again")
 }
 
-// TestLinesThatMustSurviveWaitForAnOutputThatTakesNothing blocks the output while lines of all kinds come, and opens it then.
-func TestLinesThatMustSurviveWaitForAnOutputThatTakesNothing(t *testing.T) {
-	out := &pipe{open: make(chan struct{})}
+// TestUnsampledLinesAreKeptWhileTheOutputBlocks blocks the output while lines of all kinds come, and opens it then.
+func TestUnsampledLinesAreKeptWhileTheOutputBlocks(t *testing.T) {
+	out := &blockedOutput{open: make(chan struct{})}
 	clock := clockwork.NewFakeClock()
 	stats := metrics.New()
 	q := decision.NewQueue(out, timer.New(clock), stats)
@@ -109,7 +109,7 @@
 
 // TestTheReserveIsBounded fills it as well.
 func TestTheReserveIsBounded(t *testing.T) {
-	out := &pipe{open: make(chan struct{})}
+	out := &blockedOutput{open: make(chan struct{})}
 	defer close(out.open)
 	stats := metrics.New()
 	q := decision.NewQueue(out, timer.New(clockwork.NewFakeClock()), stats)
