--- a/story/beliefs.go
+++ b/story/beliefs.go
@@ -49,5 +49,5 @@
 			short[l.Text("of_domain")] = l.Text("short_layers") + " layers"
 		}
 	}
-	return listed("; too small for a copy of the model with the usual room: ", short)
+	return listByName("; too small for a copy of the model with the usual room: ", short)
 }
--- a/story/cause.go
+++ b/story/cause.go
@@ -13,22 +13,22 @@
 	switch last.message {
 	case "finished":
 		if last.Text("outcome") == "whole" {
-			return "none: the answer was passed on whole after " + held + " ms" + troubles(own)
+			return "none: the answer was passed on whole after " + held + " ms" + problems(own)
 		}
-		return "the caller left after " + held + " ms" + troubles(own)
+		return "the caller left after " + held + " ms" + problems(own)
 	case "stream cut by the caller":
-		return "the caller left after " + held + " ms and " + last.Text("tokens") + " tokens" + troubles(own)
+		return "the caller left after " + held + " ms and " + last.Text("tokens") + " tokens" + problems(own)
 	case "refused":
-		return refusal(last) + troubles(own)
+		return refusal(last) + problems(own)
 	case "denied":
 		return "the configuration in force (version " + last.Text("config") + ", confirmed " + last.Text("config_age_ms") +
 			" ms before) does not allow it: " + last.Text("reason")
 	case "broken off":
-		return brokenOff(last) + troubles(own)
+		return brokenOff(last) + problems(own)
 	case "given up":
-		return "it may have run, and was given up: " + last.Text("reason") + troubles(own)
+		return "it may have run, and was given up: " + last.Text("reason") + problems(own)
 	case "failure passed on":
-		return "the server itself failed: " + last.Text("reason") + troubles(own)
+		return "the server itself failed: " + last.Text("reason") + problems(own)
 	default:
 		return "the story ends with \"" + last.message + "\"; the log has no line on its end (dropped, or the instance died)"
 	}
@@ -40,7 +40,7 @@
 		return "the stream broke after " + tokens + " tokens and could not be continued: " + last.Text("reason") + " (" + last.Text("error") + ")"
 	}
 	text := "the stream broke after event " + last.Text("last_event") + " and could not be continued"
-	why, ok := obstacles[last.Text("last_attempt")]
+	why, ok := resumeObstacles[last.Text("last_attempt")]
 	if !ok {
 		why = last.Text("last_attempt")
 	}
@@ -54,8 +54,8 @@
 	return text
 }
 
-// obstacles says what kept a stream that had begun from going on.
-var obstacles = map[string]string{
+// resumeObstacles says what kept a stream that had begun from going on.
+var resumeObstacles = map[string]string{
 	"no_room":             "no path had room for it",
 	"attempts_used_up":    "it may still run on as many servers as it is allowed to",
 	"repeat_budget_spent": "the instance's part of the allowed repeats was spent",
@@ -65,8 +65,8 @@
 	"quarantined":         "several servers ended under it",
 }
 
-// refusals says why a request was refused.
-var refusals = map[string]string{
+// refusalCauses says why a request was refused.
+var refusalCauses = map[string]string{
 	"no_room":             "every path that the instance knew had no memory left for it",
 	"refused_by_backend":  "each server that it was sent to turned it away",
 	"repeat_budget_spent": "a server turned it away and the instance's part of the allowed repeats was spent",
@@ -83,7 +83,7 @@
 }
 
 func refusal(last Line) string {
-	text, ok := refusals[last.Text("reason")]
+	text, ok := refusalCauses[last.Text("reason")]
 	if !ok {
 		text = last.Text("reason")
 	}
@@ -114,11 +114,11 @@
 	return out
 }
 
-// troubles lists what went wrong on the way.
-func troubles(own []Line) string {
+// problems lists what went wrong on the way.
+func problems(own []Line) string {
 	var out []string
 	for _, l := range own[:len(own)-1] {
-		if text := trouble(l); text != "" {
+		if text := problem(l); text != "" {
 			out = append(out, text)
 		}
 	}
@@ -128,33 +128,33 @@
 	return "; on the way: " + strings.Join(out, ", ")
 }
 
-// wanted says for how long a server that turned a request away wants nothing, if it said so.
-func wanted(l Line) string {
+// backOff says for how long a server that turned a request away wants nothing, if it said so.
+func backOff(l Line) string {
 	if ms := l.Text("retry_after_ms"); ms != "" && ms != "0" {
 		return ", which wanted nothing for " + ms + " ms"
 	}
 	return ""
 }
 
-// trouble says what a line tells of something that went wrong, or nothing.
-func trouble(l Line) string {
+// problem says what a line tells of something that went wrong, or nothing.
+func problem(l Line) string {
 	switch l.message {
 	case "turned away":
-		return "turned away by " + l.Text("server") + " with status " + l.Text("status") + wanted(l)
+		return "turned away by " + l.Text("server") + " with status " + l.Text("status") + backOff(l)
 	case "attempt broken":
 		return "the answer of " + l.Text("server") + " broke (" + l.Text("error") + ")"
 	case "stage failed":
 		return l.Text("server") + " failed in attempt " + l.Text("attempt") + " (" + l.Text("error") + ")"
 	case "first part is silent":
-		return "first part " + l.Text("server") + " fell silent" + onward(l)
+		return "first part " + l.Text("server") + " fell silent" + resumedOn(l)
 	case "handed over":
-		return "left " + l.Text("server") + ", which was leaving or gave up its layers" + onward(l)
+		return "left " + l.Text("server") + ", which was leaving or gave up its layers" + resumedOn(l)
 	case "waits to go on":
-		return "had to wait to go on: " + obstacles[l.Text("reason")]
+		return "had to wait to go on: " + resumeObstacles[l.Text("reason")]
 	case "room would come too late":
 		return "room was not likely to come in time (" + l.Text("likelihood") + " for " + l.Text("places") + " places in " + l.Text("left_ms") + " ms)"
 	case "waited for room":
-		return wait(l)
+		return roomWait(l)
 	case "repaired":
 		return "path repaired after " + l.Text("still_ms") + " ms without an event"
 	case "not repaired":
@@ -176,15 +176,15 @@
 	}
 }
 
-// onward says where a stream that left its first part went on, if the line tells.
-func onward(l Line) string {
+// resumedOn says where a stream that left its first part went on, if the line tells.
+func resumedOn(l Line) string {
 	if next := l.Text("next"); next != "" {
 		return ", went on at " + next
 	}
 	return ""
 }
 
-func wait(l Line) string {
+func roomWait(l Line) string {
 	text := "waited " + l.Text("waited_ms") + " ms for room"
 	if l.Text("came") != "true" {
 		return text + " in vain"
@@ -192,8 +192,8 @@
 	return text
 }
 
-// listed returns texts by name after a heading, or nothing when there are none.
-func listed(heading string, texts map[string]string) string {
+// listByName returns texts by name after a heading, or nothing when there are none.
+func listByName(heading string, texts map[string]string) string {
 	if len(texts) == 0 {
 		return ""
 	}
--- a/story/line.go
+++ b/story/line.go
@@ -13,8 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// longestLine bounds one line of a log.
-const longestLine = 1 << 20
+// maxLineBytes bounds one line of a log.
+const maxLineBytes = 1 << 20
 
 // Line is one line of an instance's log.
 type Line struct {
@@ -47,7 +47,7 @@
 // objects are counted as skipped.
 func Read(from io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 64<<10), longestLine)
+	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
@@ -76,14 +76,14 @@
 	return line, err
 }
 
-// hidden fields stand elsewhere in a printed line, or say nothing of the decision.
-var hidden = map[string]bool{"time": true, "msg": true, "request": true, "instance": true, "domain": true, "level": true}
+// hiddenFields stand elsewhere in a printed line, or say nothing of the decision.
+var hiddenFields = map[string]bool{"time": true, "msg": true, "request": true, "instance": true, "domain": true, "level": true}
 
 // String returns the line for people, its time counted from start.
 func (l Line) format(start time.Time) string {
 	names := make([]string, 0, len(l.fields))
 	for name := range l.fields {
-		if !hidden[name] {
+		if !hiddenFields[name] {
 			names = append(names, name)
 		}
 	}
--- a/story/story_test.go
+++ b/story/story_test.go
@@ -31,7 +31,7 @@
 	return out.String()
 }
 
-func TestWhyTellsTheStoryWithTheBeliefsThatMattered(t *testing.T) {
+func TestWhyPrintsTheRelevantBeliefs(t *testing.T) {
 	got := why(t, "r1")
 	require.Contains(t, got, "repaired")
 	require.Contains(t, got, "belief")
@@ -45,14 +45,14 @@
 	require.Contains(t, why(t, "r4"), "the log has no line on its end")
 }
 
-func TestARequestWithoutALineIsSaidToHaveNone(t *testing.T) {
+func TestWhyReportsARequestWithoutLines(t *testing.T) {
 	lines, _, err := story.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	var out strings.Builder
 	require.False(t, story.Why(&out, lines, "r9"))
 }
 
-func TestTimelineTellsBeliefsOnly(t *testing.T) {
+func TestTimelineOmitsLinesAboutRequests(t *testing.T) {
 	lines, _, err := story.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	var out strings.Builder
@@ -75,7 +75,7 @@
 	return `{"instance":"i","request":"r","time":"2026-01-01T00:00:0` + second + `Z",` + fields + "}\n"
 }
 
-func TestTheSentenceNamesWhatAStreamWentThrough(t *testing.T) {
+func TestTheCauseListsTheProblemsOfAStream(t *testing.T) {
 	end := line("9", `"msg":"finished","outcome":"whole","held_ms":9`)
 	for fields, want := range map[string]string{
 		`"msg":"handed over","server":"s1","next":"s2"`:      "left s1, which was leaving or gave up its layers, went on at s2",
@@ -91,13 +91,13 @@
 	}
 }
 
-func TestTheSentenceSaysWhatKeptAStreamFromGoingOn(t *testing.T) {
+func TestTheCauseSaysWhyAStreamWasNotResumed(t *testing.T) {
 	got := cause(t, line("1", `"msg":"broken off","last_event":7,"last_attempt":"repeat_budget_spent","runs":2,"most_runs":3,"still_ms":900,"patience_ms":2000`), "r")
 	require.Equal(t, "the stream broke after event 7 and could not be continued: the instance's part of the allowed repeats was spent "+
 		"(ran on 2 servers, 3 allowed at once; still for 900 ms, callers wait 2000 ms)", got)
 }
 
-func TestTheSentenceOnARefusalNamesDomainsThatAreTooSmall(t *testing.T) {
+func TestTheCauseOfARefusalNamesDomainsThatAreTooSmall(t *testing.T) {
 	const small = "domain too small for a copy of the model with the usual room"
 	other := func(second, fields string) string {
 		return `{"instance":"j","time":"2026-01-01T00:00:0` + second + `Z",` + fields + "}\n"
@@ -111,7 +111,7 @@
 		"; too small for a copy of the model with the usual room: east (4 layers)", cause(t, log, "r"))
 }
 
-func TestTheStoryShowsWhatWasKnownOfThePaths(t *testing.T) {
+func TestWhyPrintsBeliefsAboutThePathsOfTheService(t *testing.T) {
 	log := `{"instance":"i","msg":"lanes","request":"","service":"s","own_domain":0,"time":"2026-01-01T00:00:01Z"}
 {"instance":"i","msg":"path regained","request":"q","service":"s","spell_ms":700,"time":"2026-01-01T00:00:01Z"}
 {"instance":"i","msg":"lanes","request":"","service":"other","own_domain":3,"time":"2026-01-01T00:00:01Z"}
@@ -125,7 +125,7 @@
 	require.NotContains(t, out.String(), "own_domain=3")
 }
 
-func TestTheSentenceOnARefusalOfTodaysInterfaceTellsItsFate(t *testing.T) {
+func TestTheCauseOfARefusalByJxdRunNamesTheFate(t *testing.T) {
 	for fate, want := range map[string]string{
 		"not_run": "it has not run: ", "unknown": "it may have run, and was given up: ", "ran": "a request with its key has run before: ",
 	} {
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestABeliefAboutAServerWithASimilarNameIsNoPartOfTheStory(t *testing.T) {
+func TestWhyOmitsBeliefsAboutServersWithSimilarNames(t *testing.T) {
 	log := `{"instance":"i","msg":"server gone","server":"s1","time":"2026-01-01T00:00:01Z"}
 {"instance":"i","msg":"server gone","server":"s12","time":"2026-01-01T00:00:01Z"}
 {"instance":"i","msg":"stopping","time":"2026-01-01T00:00:01Z"}
