--- a/metrics/registry_test.go
+++ b/metrics/registry_test.go
@@ -9,7 +9,7 @@
 	"junctioncross/metrics"
 )
 
-func TestADistributionKeepsItsValuesAndIsMadeOnce(t *testing.T) {
+func TestAHistogramKeepsItsValuesAndIsCreatedOnce(t *testing.T) {
 	stats := metrics.New()
 	for v := range int64(4) {
 		stats.Histogram("wait_ms").Update(v)
