--- a/schema/beliefs.go
+++ b/schema/beliefs.go
@@ -9,7 +9,7 @@
 	Store string `log:"store,optional"`
 }
 
-// The instance of today's interface has its first configuration.
+// The instance (jxd run) has its first configuration.
 type serving struct {
 	_ struct{} `msg:"serving" level:"info"`
 }
@@ -17,154 +17,155 @@
 // The instance was told to stop.
 type stopping struct {
 	_ struct{} `msg:"stopping" level:"info"`
-	// Requests under way (jxd serve).
+	// Requests in progress (jxd serve).
 	Running int64 `log:"running,optional"`
-	// How long it may take (jxd serve).
+	// How long stopping may take (jxd serve).
 	GraceMS int64 `log:"grace_ms,optional"`
 }
 
-// The instance ends.
+// The instance has stopped.
 type stopped struct {
 	_ struct{} `msg:"stopped" level:"info"`
-	// Requests under way (jxd serve).
+	// Requests in progress (jxd serve).
 	Running int64 `log:"running,optional"`
-	// How long it took (jxd serve).
+	// How long stopping took (jxd serve).
 	TookMS int64 `log:"took_ms,optional"`
-	// Whether nothing was under way (jxd run).
+	// Whether no request was in progress (jxd run).
 	Idle bool `log:"idle,optional"`
 }
 
-// An event that the instance's chart does not know: a fault of junctioncross.
+// An event that the instance's state machine does not allow in its present state: a bug of junctioncross.
 type unexpectedEvent struct {
 	_ struct{} `msg:"unexpected event" level:"error"`
 	failure
 }
 
-// Settings were read again.
+// The settings file was reloaded.
 type settingsReloaded struct {
 	_ struct{} `msg:"settings reloaded" level:"info"`
-	// Whether some of the changes wait for a restart.
+	// Whether some of the changes take effect only after a restart.
 	NeedsRestart bool `log:"needs_restart"`
 }
 
-// Settings that were read again cannot be used.
+// The settings file was read again and cannot be used.
 type settingsNotReloaded struct {
 	_ struct{} `msg:"settings not reloaded, the former ones stay in force" level:"error"`
 	failure
 }
 
-// The answer to the balancer's check changed.
+// The answer to the readiness check of the load balancer changed.
 type readiness struct {
 	_ struct{} `msg:"readiness changed" level:"info"`
-	// Whether callers should come here.
+	// Whether the load balancer should send requests to this instance.
 	Ready bool `log:"ready"`
-	// Why.
+	// Why the instance is or is not ready.
 	Reason string `log:"reason"`
 	// How long ago the configuration was confirmed.
 	ConfigAgeMS int64 `log:"config_age_ms"`
 }
 
-// A scrape could not be answered.
+// A request for metrics could not be answered.
 type metricsNotWritten struct {
 	_ struct{} `msg:"metrics not written" level:"warning"`
 	failure
 }
 
-// The machine stood still while its steady clock did; what was heard before counts as older by that.
+// The machine was suspended while its monotonic clock stood still; what the instance learned before counts as older by
+// that time.
 type machineSuspended struct {
 	_ struct{} `msg:"machine was suspended" level:"warning"`
-	// For how long.
+	// How long the machine was suspended.
 	GapMS int64 `log:"gap_ms"`
 }
 
-// The clock that counts suspension could not be read.
+// The boot clock, which also counts the time of suspension, could not be read.
 type clockNotRead struct {
 	_ struct{} `msg:"clock not read" level:"error"`
 	failure
 }
 
-// A feed of the store fails.
+// Requests for a feed of the store fail.
 type dependencyLost struct {
 	_ struct{} `msg:"dependency lost" level:"warning"`
-	// store.
+	// Always store.
 	Dependency string `log:"dependency"`
 	feed
 	failure
 }
 
-// A feed of the store is heard again.
+// Requests for a feed of the store succeed again.
 type dependencyRegained struct {
 	_ struct{} `msg:"dependency regained" level:"info"`
-	// store.
+	// Always store.
 	Dependency string `log:"dependency"`
 	feed
 }
 
-// A feed comes from another place than before.
+// Updates of a feed come from another upstream than before.
 type feedSourceChanged struct {
 	_ struct{} `msg:"feed heard from elsewhere" level:"info"`
 	feed
-	// store, or the address of a relay.
+	// The upstream: store, or the address of a relay.
 	From string `log:"from"`
 }
 
-// A place does not give a feed; the first failure of a row.
+// Requests for a feed to an upstream fail; only the first of consecutive failures is logged.
 type feedRequestFailed struct {
 	_ struct{} `msg:"feed not heard" level:"warning"`
 	feed
-	// store, or the address of a relay.
+	// The upstream: store, or the address of a relay.
 	From string `log:"from"`
 	failure
 }
 
-// A configuration of the platform came into force.
+// A configuration of the platform came into force (jxd serve).
 type inForce struct {
 	_ struct{} `msg:"configuration in force" level:"info"`
-	// Its version.
+	// Version of the configuration.
 	Version int64 `log:"version"`
 }
 
-// A configuration of today's interface came into force.
+// A configuration came into force (jxd run).
 type inForceJxdRun struct {
 	_ struct{} `msg:"configuration in force" level:"info"`
-	// Its revision.
+	// Revision of the configuration.
 	Revision int64 `log:"revision"`
 }
 
-// A configuration was older than the one in force.
+// A configuration was older than the one in force and is ignored.
 type olderConfigIgnored struct {
 	_ struct{} `msg:"older configuration ignored" level:"warning"`
-	// Its version.
+	// Version of the configuration.
 	Version int64 `log:"version"`
 	// The version in force.
 	InForce int64 `log:"in_force"`
 }
 
-// A configuration or an entry cannot be read.
+// A configuration or an entry in the store cannot be decoded.
 type valueNotReadable struct {
 	_ struct{} `msg:"value not readable, the former one stays in force" level:"error"`
-	// Its key in the store.
+	// The key in the store.
 	Key string `log:"key"`
 	failure
 }
 
-// For how many sequences the paths of a service have memory.
+// The number of sequences for which the paths of a service have memory; a lane is a path with that number.
 type lanes struct {
 	_ struct{} `msg:"lanes" level:"info"`
 	noRequest
 	// The service.
 	Service string `log:"service"`
-	// Paths.
+	// Number of lanes.
 	Lanes int64 `log:"lanes"`
-	// Sequences of the paths of the own domain.
+	// Sequences on paths within the instance's own domain.
 	OwnDomain int64 `log:"own_domain"`
-	// Sequences of the paths of others.
+	// Sequences on paths within another domain.
 	OtherDomains int64 `log:"other_domains"`
-	// Sequences of the paths that cross domains.
+	// Sequences on paths that cross domains.
 	Crossing int64 `log:"crossing"`
 }
 
-// Repeats for a service were asked for; at most one line a second.
+// Retries for a service were requested from the retry budget; logged at most once a second for each service.
 type retries struct {
 	_ struct{} `msg:"repeats" level:"info"`
 	noRequest
@@ -173,56 +174,57 @@
 	retryBudget
 }
 
-// The instances that have a record: all of a small fleet, some of each domain of a large one.
+// The number of instances with a registration record changed; in a small fleet all instances have one, in a large fleet
+// some of each domain.
 type instancesCounted struct {
 	_ struct{} `msg:"instances counted" level:"info"`
-	// How many.
+	// Number of instances with a record.
 	Instances int64 `log:"instances"`
-	// How many there were before.
+	// The previous number.
 	Before int64 `log:"before"`
 }
 
-// The records cannot be read.
+// The registration records cannot be read.
 type instancesNotCounted struct {
 	_ struct{} `msg:"instances not counted" level:"warning"`
 	failure
 }
 
-// The own record cannot be written.
+// The instance's own registration record cannot be written.
 type recordNotWritten struct {
 	_ struct{} `msg:"record of the instance not written" level:"warning"`
 	failure
 }
 
-// The own record has ended; another one is written.
+// The instance's own registration record has expired; the instance writes a new one.
 type recordEnded struct {
 	_ struct{} `msg:"record of the instance has ended" level:"warning"`
 }
 
-// Another instance has written its record over the own one, which was of less use.
+// Another instance has overwritten the registration record of this one, which was of less use.
 type recordReplaced struct {
 	_ struct{} `msg:"record of the instance was replaced" level:"warning"`
 }
 
-// The fleet's key cannot be written.
+// The fleet key, by which instances authenticate to each other, cannot be written.
 type keyNotWritten struct {
 	_ struct{} `msg:"the fleet's key not written" level:"warning"`
 	failure
 }
 
-// The own record cannot be renewed.
+// The lease of the instance's own registration record cannot be renewed.
 type recordNotRenewed struct {
 	_ struct{} `msg:"record of the instance not renewed" level:"warning"`
 	failure
 }
 
-// An instance could not prove itself.
+// A connection from another instance was refused, because its authentication failed.
 type peerRefused struct {
 	_ struct{} `msg:"link peer refused" level:"warning"`
 	failure
 }
 
-// An operator's call failed.
+// A call of an operator was refused or failed.
 type operatorRefused struct {
 	_ struct{} `msg:"operator refused" level:"info"`
 	// Name in the operator's certificate.
@@ -239,6 +241,6 @@
 	Operator string `log:"operator"`
 	// Id of the plan.
 	Plan string `log:"plan"`
-	// The revision that came of it.
+	// The revision of the configuration that resulted.
 	Revision int64 `log:"revision"`
 }
--- a/schema/check.go
+++ b/schema/check.go
@@ -10,16 +10,17 @@
 	"github.com/pkg/errors"
 )
 
-// ErrUnknownMessage means that no line has such a message.
+// ErrUnknownMessage means that no line of the schema has the message.
 var ErrUnknownMessage = errors.New("schema: unknown line")
 
-// Check returns an error that names what keeps a printed line from being one of the schema.
+// Check returns an error that says why a printed line does not conform to the schema; it wraps ErrUnknownMessage if no line has
+// its message.
 func Check(printed []byte) error {
 	values := map[string]any{}
 	decoder := json.NewDecoder(bytes.NewReader(printed))
 	decoder.UseNumber()
 	if err := decoder.Decode(&values); err != nil {
-		return errors.Wrap(err, "schema: line is no JSON object")
+		return errors.Wrap(err, "schema: line is not a JSON object")
 	}
 	message, _ := values["msg"].(string)
 	known := LinesByMessage(message)
@@ -39,7 +40,7 @@
 
 func (l Line) check(values map[string]any) error {
 	if values["level"] != l.Level {
-		return errors.Errorf("level %v in place of %s", values["level"], l.Level)
+		return errors.Errorf("level %v instead of %s", values["level"], l.Level)
 	}
 	fields := append(fieldsOf(reflect.TypeFor[commonFields]()), l.Fields...)
 	known := make(map[string]bool, len(fields))
@@ -50,7 +51,7 @@
 			return errors.Errorf("field %s is missing", f.Name)
 		}
 		if present && !f.Kind.fits(value) {
-			return errors.Errorf("field %s is no %s: %v", f.Name, f.Kind, value)
+			return errors.Errorf("field %s is not of kind %s: %v", f.Name, f.Kind, value)
 		}
 	}
 	for name := range values {
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// fits reports whether a value as JSON has it is of the kind.
+// fits reports whether a value decoded from JSON is of the kind.
 func (k Kind) fits(value any) bool {
 	switch v := value.(type) {
 	case bool:
--- a/schema/code_test.go
+++ b/schema/code_test.go
@@ -18,13 +18,14 @@
 
 const module = "junctioncross/"
 
-// levels holds the level that each call writes at: those of a logger, with one argument, and those of the recorder, with three.
+// loggerLevels and recorderLevels map the method that writes a line to its level. Methods of a logger take one argument, those of
+// the recorder three.
 var (
 	loggerLevels   = map[string]string{"Debug": "debug", "Info": "info", "Warn": "warning", "Error": "error"}
 	recorderLevels = map[string]string{"Routine": "info", "Failure": "warning", "Last": "warning"}
 )
 
-// logCall is a line that the code writes.
+// logCall is a call that writes a line, with one message that it may have.
 type logCall struct {
 	at      string
 	message string
@@ -32,14 +33,14 @@
 	fields  []string
 }
 
-// sourcePackage is one package of the program.
+// sourcePackage holds the parsed functions of one package of the program.
 type sourcePackage struct {
 	t     *testing.T
 	files *token.FileSet
 	funcs []*ast.FuncDecl
 }
 
-// packagesOf returns the packages of this module that a package is made of, with itself.
+// packagesOf adds a package and all packages of this module that it imports, directly or not, to seen.
 func packagesOf(t *testing.T, dir string, seen map[string]bool) {
 	if seen[dir] {
 		return
@@ -72,7 +73,7 @@
 	return out
 }
 
-// linesOf returns the lines that a package writes.
+// linesOf returns the calls of a package that write lines.
 func linesOf(t *testing.T, dir string) []logCall {
 	s := &sourcePackage{t: t, files: token.NewFileSet()}
 	for _, f := range filesOf(t, s.files, dir) {
@@ -94,7 +95,7 @@
 	return out
 }
 
-// logCalls returns what a call writes, once for each message that it may have.
+// logCalls returns a call that writes a line, once for each message that it may have, and nothing for any other call.
 func (s *sourcePackage) logCalls(fn *ast.FuncDecl, call *ast.CallExpr) []logCall {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
@@ -112,11 +113,11 @@
 	for _, m := range s.possibleTexts(fn, call.Args[message]) {
 		out = append(out, logCall{at: at, message: m, level: level, fields: fields})
 	}
-	require.NotEmpty(s.t, out, "%s: the message must be a text, or a parameter that is given texts", at)
+	require.NotEmpty(s.t, out, "%s: the message must be a string literal, or a parameter for which callers pass literals", at)
 	return out
 }
 
-// possibleTexts returns the values that an expression may have: a text, a sum of texts, or a parameter of the function.
+// possibleTexts returns the values that an expression may have: a string literal, a concatenation, or a parameter of the function.
 func (s *sourcePackage) possibleTexts(fn *ast.FuncDecl, e ast.Expr) []string {
 	switch e := e.(type) {
 	case *ast.BasicLit:
@@ -138,7 +139,7 @@
 	}
 }
 
-// argumentTexts returns the texts that calls in the package give a parameter of a function.
+// argumentTexts returns the texts that callers in the package pass for a parameter of a function.
 func (s *sourcePackage) argumentTexts(fn *ast.FuncDecl, parameter string) []string {
 	index, n := -1, 0
 	for _, p := range fn.Type.Params.List {
@@ -177,7 +178,8 @@
 	}
 }
 
-// fields returns the names of the fields that a call writes, as far as they stand in it or in a variable that it uses.
+// fields returns the names of the fields that a call writes, as far as they are literals in the call or in the initial value of a
+// variable that it uses.
 func (s *sourcePackage) fields(fn *ast.FuncDecl, call *ast.CallExpr) []string {
 	var out []string
 	ast.Inspect(call, func(n ast.Node) bool {
@@ -213,7 +215,7 @@
 	return out
 }
 
-// initialFields returns the names of the fields that a variable of a function starts with.
+// initialFields returns the names of the fields in the value that a variable of a function is initialized with.
 func initialFields(fn *ast.FuncDecl, variable string) []string {
 	var out []string
 	ast.Inspect(fn, func(n ast.Node) bool {
@@ -232,7 +234,7 @@
 	return out
 }
 
-// inSchema reports whether one of the lines has the level and all of the fields.
+// inSchema reports whether a line of the schema has the message, the level and all of the fields of a call.
 func inSchema(w logCall) bool {
 	return slices.ContainsFunc(schema.LinesByMessage(w.message), func(l schema.Line) bool {
 		return l.Level == w.level && !slices.ContainsFunc(w.fields, func(name string) bool {
@@ -247,7 +249,7 @@
 	packagesOf(t, "cmd/jxd", packages)
 	seen := map[string]bool{}
 	for dir := range packages {
-		// The recorder passes on what others write.
+		// The recorder only passes on the lines of its callers.
 		if dir == "decision" {
 			continue
 		}
@@ -256,7 +258,7 @@
 			require.True(t, inSchema(w), "%s: %q at level %s with the fields %v is not in the schema", w.at, w.message, w.level, w.fields)
 		}
 	}
-	require.Greater(t, len(seen), 50, "the code writes more lines than were found")
+	require.Greater(t, len(seen), 50, "the search has missed calls that write lines")
 	for _, l := range schema.Lines() {
 		require.True(t, seen[l.Message], "no code writes %q", l.Message)
 	}
@@ -269,8 +271,8 @@
 	require.NoError(t, err)
 	require.Equal(t, want, string(got), "run jxd lines > docs/LOG.md")
 	for _, l := range schema.Lines() {
-		require.NotContains(t, string(got), "|  |\n", "each field has a meaning")
-		require.NotContains(t, string(got), "\n Level", "each line says what it tells")
+		require.NotContains(t, string(got), "|  |\n", "each field has a description")
+		require.NotContains(t, string(got), "\n Level", "each line has a description")
 		require.Contains(t, string(got), "### "+l.Message+"\n")
 	}
 }
--- a/schema/common.go
+++ b/schema/common.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// commonFields stands in all lines.
+// commonFields holds the fields that every line has.
 type commonFields struct {
 	// When the line was written, by the instance's clock.
 	Time time.Time `log:"time"`
-	// How much the line matters: info, warning or error.
+	// Severity: info, warning or error.
 	Level string `log:"level"`
-	// Which decision or belief the line tells.
+	// The decision or the change of belief that the line reports.
 	Msg string `log:"msg"`
 	// The instance that wrote the line.
 	Instance string `log:"instance"`
@@ -16,24 +16,24 @@
 	Domain string `log:"domain"`
 }
 
-// request names the request that a line is about.
+// request is embedded in lines about a request.
 type request struct {
 	// Id of the request.
 	Request string `log:"request"`
 }
 
-// noRequest marks a line of the recorder that is about no request.
+// noRequest is embedded in lines that the recorder writes about no particular request.
 type noRequest struct {
 	// Always empty.
 	Request string `log:"request"`
 }
 
-// decisionFields is what the lines on a request's decisions tell of it.
+// decisionFields holds what lines about decisions on a request (jxd serve) have in common.
 type decisionFields struct {
 	request
 	// How long the instance has held the request.
 	HeldMS int64 `log:"held_ms"`
-	// How many servers it was sent to.
+	// Number of servers that it was sent to.
 	Sends int64 `log:"sends"`
 	// Version of the configuration in force; missing before the first.
 	Config int64 `log:"config,optional"`
@@ -43,157 +43,157 @@
 	Route string `log:"route,optional"`
 	// The service of that route.
 	Service string `log:"service,optional"`
-	// The client account that asks.
+	// The client account that made the request.
 	Account string `log:"account,optional"`
 }
 
-// server names a backend server.
+// server identifies a backend server.
 type server struct {
 	// Id of the backend server.
 	Server string `log:"server"`
-	// IP number and port of the backend server.
+	// IP address and port of the backend server.
 	Address string `log:"address"`
 }
 
-// fingerprint is what lines on a request that a server may have ended under tell.
+// fingerprint is embedded in lines about a request that a server may have terminated under.
 type fingerprint struct {
-	// What stands for the request by path, caller and body, whatever attempt of its caller it is.
+	// Hash of the request's path, caller and body; the same for all attempts of a caller.
 	Fingerprint string `log:"fingerprint"`
 }
 
-// retryBudget is what lines on repeats tell of the instance's part of the limit that all instances share.
+// retryBudget holds what lines about retries report of the instance's share of the retry budget of the fleet.
 type retryBudget struct {
 	// Requests for the service in the last window of the limit.
 	Requests int64 `log:"requests"`
-	// Repeats that the instance has left for the service; the part of one counts.
+	// Retries that the instance has left for the service, with fractions.
 	Left float64 `log:"left"`
-	// The instance's part of the repeats that are allowed besides a share of the requests.
+	// The instance's share of the fixed number of retries that is allowed in addition to a share of the requests.
 	FixedPart float64 `log:"fixed_part"`
-	// The instances that these are divided by.
+	// Number of instances among which the budget is divided.
 	Instances int64 `log:"instances"`
-	// How long ago the process started; it had no repeats saved then.
+	// How long ago the process started; its budget was empty then.
 	ProcessMS int64 `log:"process_ms"`
 }
 
-// firstServerChange is what lines on a stream that leaves its first part tell.
+// firstServerChange holds what lines about a stream that leaves the first server of its path have in common.
 type firstServerChange struct {
 	request
 	server
-	// For how long the stream has had no event.
+	// How long the stream has had no event.
 	StillMS int64 `log:"still_ms"`
-	// Whether the server's entry has vanished.
+	// Whether the server's entry has vanished from the store.
 	Gone bool `log:"gone"`
-	// For how long the server has been known to leave.
+	// How long the server has been known to be leaving.
 	LeavingMS int64 `log:"leaving_ms"`
-	// How much longer the stream was expected to last.
+	// Expected remaining time of the stream.
 	ExpectedLeftMS int64 `log:"expected_left_ms,optional"`
-	// The first part on which it goes on; missing where the stream is cut first and a path looked for then.
+	// The first server of the new path; missing if the connection is closed first and a path is chosen afterwards.
 	Next string `log:"next,optional"`
 }
 
-// pathChange is what lines on another path behind the first part tell.
+// pathChange holds what lines about a new path behind the same first server have in common.
 type pathChange struct {
 	request
-	// The path before.
+	// The previous path.
 	OldPath string `log:"old_path"`
-	// The path that was asked for.
+	// The new path, as sent to the first server.
 	Path string `log:"path"`
-	// For how long the stream has had no event.
+	// How long the stream has had no event.
 	StillMS int64 `log:"still_ms"`
 }
 
-// pathChangeRefused is a path that the first part did not take.
+// pathChangeRefused is embedded in lines about a new path that the first server did not accept.
 type pathChangeRefused struct {
 	pathChange
-	// Why.
+	// Why the new path was not accepted.
 	Error string `log:"error"`
 }
 
-// waitForecast is what was predicted for a request that waits for room.
+// waitForecast is the forecast for a request that waits for room.
 type waitForecast struct {
 	decisionFields
-	// Rooms that must come before the request has its own.
+	// Places (room for one stream of usual length each) that must become free before the request gets one.
 	Places float64 `log:"places"`
-	// Streams under way that move.
+	// Streams in progress on this instance that are not stalled.
 	Streams int64 `log:"streams"`
-	// How long the request might wait.
+	// How long the request may still wait.
 	LeftMS int64 `log:"left_ms"`
-	// How likely it has a path by then.
+	// Predicted probability that it gets a path within that time.
 	Likelihood float64 `log:"likelihood"`
-	// When it has one as likely as not.
+	// Predicted median of the wait.
 	PredictedWaitMS int64 `log:"predicted_wait_ms"`
-	// Whether the caller was refused before and came back.
+	// Whether this is a returning caller: one that was refused before.
 	Returned bool `log:"returned"`
 }
 
-// serverReport is what a server said of itself.
+// serverReport is a server's answer to a state query.
 type serverReport struct {
 	noRequest
 	server
-	// What gave reason to ask.
+	// Why the server was queried.
 	Why string `log:"why"`
-	// How many times slower than usual it is; 0 when it did not say.
+	// How many times slower than usual for its kind the server runs; 0 if it does not say.
 	Pace float64 `log:"pace"`
-	// Requests that run on it.
+	// Requests that run on the server.
 	Running int64 `log:"running"`
-	// Requests that wait on it.
+	// Requests that wait on the server.
 	Waiting int64 `log:"waiting"`
-	// Its taken memory, in tokens times layers.
+	// Memory of the server that is in use, in tokens times layers.
 	MemoryUsed float64 `log:"memory_used"`
-	// Its whole memory, in the same unit.
+	// Total memory of the server, in the same unit.
 	Memory float64 `log:"memory"`
-	// The layers that it holds.
+	// The layers that the server holds.
 	Layers string `log:"layers"`
 }
 
-// serverEntry is what a server's entry in the store tells.
+// serverEntry is the content of a server's entry in the store.
 type serverEntry struct {
 	server
-	// The service that it is of.
+	// The service that the server belongs to.
 	Service string `log:"service"`
-	// Its failure domain.
+	// The server's failure domain.
 	ServerDomain string `log:"server_domain"`
-	// Its kind.
+	// The server's kind.
 	Kind string `log:"kind"`
-	// Whether it leaves.
+	// Whether the server is leaving.
 	Leaving bool `log:"leaving"`
-	// The layers that it holds.
+	// The layers that the server holds.
 	Layers string `log:"layers"`
 	// The store's revision of the entry.
 	Revision int64 `log:"revision"`
-	// The era of the store in which it counts.
+	// The era of the store to which that revision belongs.
 	Era int64 `log:"era"`
 }
 
-// order is an order to a server of a platform.
+// order is an order of the leader to a backend server of a platform (jxd serve).
 type order struct {
 	server
-	// The layers that it shall hold.
+	// The layers that the server is to hold.
 	Layers string `log:"layers"`
-	// Whether it holds others now.
+	// Whether the server holds other layers now.
 	Moves bool `log:"moves"`
-	// The number of orders that it is known to have taken.
+	// Number of orders that the server is known to have taken.
 	ExpectOrders int64 `log:"expect_orders"`
-	// The lease that the right to give orders hangs on.
+	// The lease that the leader lock is attached to.
 	Lease int64 `log:"lease"`
 }
 
-// engineOrder is an order to a model engine of today's interface.
+// engineOrder is an order of the leader to a model engine (jxd run).
 type engineOrder struct {
 	// Name of the backend server.
 	Server string `log:"server"`
-	// The model that it shall hold a part of.
+	// The model whose layers the server is to hold.
 	Model string `log:"model"`
-	// The layers that it shall hold.
+	// The layers that the server is to hold.
 	Layers string `log:"layers"`
-	// The number that orders the leaders.
+	// Fencing token of the leader; a later leader has a higher one.
 	Fence int64 `log:"fence"`
 }
 
-// requestJxdRun is what the lines on a request of today's interface tell.
+// requestJxdRun holds what lines about a request of jxd run have in common.
 type requestJxdRun struct {
 	request
-	// The client account that asks; empty while it is not known.
+	// The client account that made the request; empty while it is not known.
 	Account string `log:"account"`
 	// How long the instance has held the request.
 	HeldMS int64 `log:"held_ms"`
@@ -201,23 +201,23 @@
 	Config int64 `log:"config,optional"`
 }
 
-// attemptJxdRun is what lines on an attempt of today's interface tell.
+// attemptJxdRun holds what lines about an attempt of jxd run have in common.
 type attemptJxdRun struct {
 	request
-	// The client account that asks.
+	// The client account that made the request.
 	Account string `log:"account"`
 	// Number of the attempt.
 	Attempt int64 `log:"attempt"`
 }
 
-// feed is a part of the store that an instance follows.
+// feed is embedded in lines about a feed: a part of the store whose changes an instance follows.
 type feed struct {
-	// Which part: the configuration or the servers.
+	// The feed: configuration, servers or quarantine.
 	Feed string `log:"feed"`
 }
 
-// failure is a line that only tells why something failed.
+// failure is embedded in lines that report why something failed.
 type failure struct {
-	// Why.
+	// Why it failed.
 	Error string `log:"error"`
 }
--- a/schema/doc.go
+++ b/schema/doc.go
@@ -1,2 +1,3 @@
-// Package schema names each line of an instance's log with its fields and their kinds; docs/LOG.md is made from its types.
+// Package schema describes every line of an instance's log: message, level, and the names and kinds of its
+// fields. docs/LOG.md is generated from its types.
 package schema
--- a/schema/lines.go
+++ b/schema/lines.go
@@ -8,7 +8,9 @@
 	"time"
 )
 
-// requestLines, beliefLines and orderLines hold one value of each line's type; lines with the same message are told apart by their fields.
+// requestLines, beliefLines and orderLines hold one value of the type of each line: those about requests, those about what the
+// instance knows of the fleet and of itself (its beliefs), and those about orders to servers. Several lines may have the same
+// message; these differ in their fields.
 var (
 	requestLines = []any{
 		sentStream{},
@@ -118,10 +120,10 @@
 	}
 )
 
-// Kind is what values of a field are.
+// Kind is the type of the values of a field.
 type Kind string
 
-// Kinds of values.
+// The kinds of values; a time is a text in the format of RFC 3339.
 const (
 	KindText    Kind = "text"
 	KindInteger Kind = "integer"
@@ -130,21 +132,21 @@
 	KindTime    Kind = "time"
 )
 
-// Field is one field of a line.
+// Field describes one field of a line.
 type Field struct {
 	Name     string
 	Kind     Kind
 	Optional bool
-	// typeName and member name the place of its comment.
+	// typeName and goName are the struct type and the struct field that declare it; its description is the comment there.
 	typeName string
 	goName   string
 }
 
-// Line is one line of the log.
+// Line describes one kind of line in the log.
 type Line struct {
 	Message string
 	Level   string
-	// Fields are those beside the fields of every line.
+	// Fields are the fields in addition to those that every line has.
 	Fields   []Field
 	typeName string
 }
@@ -159,7 +161,7 @@
 	return Field{}, false
 }
 
-// linesByMessage holds the lines by message.
+// linesByMessage returns all lines, by message.
 var linesByMessage = sync.OnceValue(func() map[string][]Line {
 	out := map[string][]Line{}
 	for _, l := range Lines() {
@@ -168,12 +170,12 @@
 	return out
 })
 
-// Lines returns all lines.
+// Lines returns the descriptions of all lines.
 func Lines() []Line {
 	return linesOf(slices.Concat(requestLines, beliefLines, orderLines))
 }
 
-// LinesByMessage returns the lines with a message.
+// LinesByMessage returns the lines with the given message.
 func LinesByMessage(message string) []Line { return linesByMessage()[message] }
 
 func linesOf(values []any) []Line {
@@ -186,7 +188,7 @@
 	return out
 }
 
-// fieldsOf returns the fields of a type and of those that are embedded in it.
+// fieldsOf returns the log fields of a struct type and of the structs embedded in it.
 func fieldsOf(t reflect.Type) []Field {
 	var out []Field
 	for i := range t.NumField() {
--- a/schema/orders.go
+++ b/schema/orders.go
@@ -1,52 +1,52 @@
 package schema
 
-// The instance has the right to give orders.
+// The instance has acquired the leader lock: it alone gives orders to servers.
 type leadershipGained struct {
 	_ struct{} `msg:"gives orders" level:"info"`
-	// Name of this start of the instance.
+	// Name of the instance and its present start, under which it takes the lock.
 	Holder string `log:"holder"`
-	// The lease that the right hangs on.
+	// The lease that the leader lock is attached to.
 	Lease int64 `log:"lease"`
 }
 
-// The right is over.
+// The instance has lost the leader lock or given it back.
 type leadershipLost struct {
 	_ struct{} `msg:"no longer gives orders" level:"warning"`
-	// Name of this start of the instance.
+	// Name of the instance and its present start, under which it takes the lock.
 	Holder string `log:"holder"`
 }
 
-// The store did not give the right.
+// A call to the store to acquire the leader lock failed.
 type leadershipNotAcquired struct {
 	_ struct{} `msg:"right to give orders not taken" level:"warning"`
 	failure
 }
 
-// The store did not let the right last for longer.
+// A call to the store to renew the lease of the leader lock failed.
 type leadershipNotRenewed struct {
 	_ struct{} `msg:"right to give orders not renewed" level:"warning"`
 	failure
 }
 
-// The store did not take the right back.
+// A call to the store to release the leader lock failed; the lock ends when its lease expires.
 type leadershipNotReleased struct {
 	_ struct{} `msg:"right to give orders not given back, it ends by itself" level:"warning"`
 	failure
 }
 
-// A server of a platform took an order.
+// A backend server of a platform took an order (jxd serve).
 type orderGiven struct {
 	_ struct{} `msg:"order given" level:"info"`
 	order
 }
 
-// A model engine of today's interface took an order.
+// A model engine took an order (jxd run).
 type orderGivenJxdRun struct {
 	_ struct{} `msg:"order given" level:"info"`
 	engineOrder
 }
 
-// A model engine of today's interface did not take an order.
+// A model engine did not take an order (jxd run).
 type orderFailed struct {
 	_ struct{} `msg:"order failed" level:"warning"`
 	engineOrder
@@ -67,7 +67,7 @@
 	failure
 }
 
-// A server does not hold what it was ordered to.
+// A server took an order and does not hold the layers that it was ordered to.
 type orderWithoutEffect struct {
 	_ struct{} `msg:"order had no effect" level:"warning"`
 	// Id of the backend server.
@@ -76,40 +76,40 @@
 	Layers string `log:"layers"`
 	// The layers that it holds.
 	Holds string `log:"holds"`
-	// The orders that it has taken.
+	// Number of orders that it has taken.
 	Orders int64 `log:"orders"`
 }
 
-// What is known of the holders of a model, after a change; the whole fleet has no domain.
+// What is known of the servers that hold a model, for one domain or for the whole fleet; logged after a change.
 type coverage struct {
 	_ struct{} `msg:"coverage" level:"info"`
 	// The model.
 	Model string `log:"model"`
-	// The domain, empty for the whole fleet.
+	// The domain; empty for the whole fleet.
 	OfDomain string `log:"of_domain"`
-	// Layers without a holder.
+	// Number of layers that no server holds.
 	Missing int64 `log:"missing"`
-	// The least number of sequences that the holders of a layer have memory for.
+	// Number of sequences that the servers of a layer have memory for, at the layer where it is lowest.
 	Room int64 `log:"room"`
-	// Servers of the domain.
+	// Number of servers of the domain.
 	Servers int64 `log:"servers"`
-	// Those that hold nothing.
+	// Number of them that hold no layers.
 	Empty int64 `log:"empty"`
-	// Orders that do not show yet.
+	// Number of orders whose effect is not visible yet.
 	OrdersUnderWay int64 `log:"orders_under_way"`
 }
 
-// The servers of a domain cannot hold a whole model with the usual room for sequences.
+// The servers of a domain cannot hold a complete copy of the model with the usual room for sequences.
 type domainTooSmall struct {
 	_ struct{} `msg:"domain too small for a copy of the model with the usual room" level:"warning"`
 	// The model.
 	Model string `log:"model"`
 	// The domain.
 	OfDomain string `log:"of_domain"`
-	// Servers of the domain.
+	// Number of servers of the domain.
 	Servers int64 `log:"servers"`
-	// Layers for which there is no memory.
+	// Number of layers for which there is no memory.
 	ShortLayers int64 `log:"short_layers"`
-	// That memory, in megabytes.
+	// Memory that these layers would need, in megabytes.
 	ShortMB int64 `log:"short_mb"`
 }
--- a/schema/reference.go
+++ b/schema/reference.go
@@ -19,8 +19,9 @@
 const head = `# Lines of the log
 
 Written by ` + "`jxd lines > docs/LOG.md`" + ` from the types of package schema; a test compares the two. An instance prints one JSON object a
-line: ` + "`jxd serve`" + ` to standard output, ` + "`jxd run`" + ` to standard error. Fields that may be missing are marked "maybe". Names end in their unit.
-Two lines with the same ` + "`msg`" + ` are told apart by their fields. How to read a story: docs/OPERATIONS.md.
+line: ` + "`jxd serve`" + ` to standard output, ` + "`jxd run`" + ` to standard error. Fields that may be missing are marked "maybe". The names of
+quantities end in their unit. Lines with the same ` + "`msg`" + ` differ in their fields. How to follow a request through the log:
+docs/OPERATIONS.md.
 
 `
 
@@ -60,7 +61,7 @@
 	}
 }
 
-// typeComments returns the doc comments of all types and of their fields.
+// typeComments returns the doc comments of all types, by name, and of their fields, by Type.Field.
 func typeComments() (map[string]string, error) {
 	out := map[string]string{}
 	files, err := doccomment.Files(sources)
--- a/schema/requests.go
+++ b/schema/requests.go
@@ -4,23 +4,23 @@
 type sentStream struct {
 	_ struct{} `msg:"sent" level:"info"`
 	decisionFields
-	// Id of the path's first server.
+	// Id of the first server of the path.
 	Server string `log:"server"`
 	// Number of the attempt.
 	Attempt int64 `log:"attempt"`
-	// The servers with their layers.
+	// The servers of the path with their layers.
 	Path string `log:"path"`
-	// The predicted time of a step.
+	// Predicted time of a step.
 	PredictedStepUS int64 `log:"predicted_step_us"`
-	// The predicted time to read the prompt.
+	// Predicted time to read the prompt (prefill).
 	PredictedReadUS int64 `log:"predicted_read_us"`
-	// Tokens that were reserved.
+	// Number of tokens for which memory was reserved.
 	Tokens int64 `log:"tokens"`
-	// The part of the lane's memory that was thought to be taken.
+	// Share of the lane's memory that was estimated to be in use.
 	LaneLoad float64 `log:"lane_load"`
-	// Whether the caller was refused before and came back.
+	// Whether this is a returning caller: one that was refused before.
 	Returned bool `log:"returned"`
-	// Id of the event after which the stream goes on; empty from its start.
+	// Id of the event after which the stream resumes; empty if it starts from the beginning.
 	ResumeAfter string `log:"resume_after"`
 }
 
@@ -31,264 +31,264 @@
 	server
 	// Number of the attempt.
 	Attempt int64 `log:"attempt"`
-	// Requests of this instance that run on the server, with this one.
+	// Number of requests of this instance on the server, including this one.
 	OwnRunning int64 `log:"own_running"`
 }
 
-// A server did not take the request; it has not run there.
+// A server refused the request; it has not run there.
 type refusedByServer struct {
 	_ struct{} `msg:"turned away" level:"warning"`
 	decisionFields
 	server
-	// Status of the answer.
+	// HTTP status of the answer.
 	Status int64 `log:"status"`
-	// The address that the answer blames, if it names one.
+	// Address of the server on the path that caused the refusal, if the answer names one.
 	Fault string `log:"fault"`
-	// For how long the server wants nothing from this instance; 0 when it did not say.
+	// Back-off that the server asked this instance for; 0 if it asked for none.
 	RetryAfterMS int64 `log:"retry_after_ms"`
-	// Whether the server says that it leaves.
+	// Whether the answer says that the server is leaving.
 	Leaving bool `log:"leaving"`
 }
 
-// The stream of an answer broke.
+// The stream from a server ended before the answer was complete.
 type streamBroken struct {
 	_ struct{} `msg:"attempt broken" level:"warning"`
 	decisionFields
 	server
-	// The path at that time.
+	// The path that the stream used.
 	Path string `log:"path"`
-	// How it broke.
+	// How the answer ended.
 	Error string `log:"error"`
-	// The last event that was passed on, -1 before the first.
+	// Number of the last event that was passed on; -1 before the first.
 	LastEvent int64 `log:"last_event"`
-	// How many servers may have run the request.
+	// Number of servers that may have run the request.
 	Runs int64 `log:"runs"`
-	// Whether the server's entry has vanished.
+	// Whether the server's entry has vanished from the store.
 	Gone bool `log:"gone"`
-	// For how long the server has been known to leave.
+	// How long the server has been known to be leaving.
 	LeavingMS int64 `log:"leaving_ms"`
 	fingerprint
 }
 
-// The answer of a plain service broke.
+// The answer of a plain service ended before it was complete.
 type plainBroken struct {
 	_ struct{} `msg:"attempt broken" level:"warning"`
 	decisionFields
 	server
 	fingerprint
-	// How it counts.
+	// The reason that the failure is counted under.
 	Reason string `log:"reason"`
-	// How it broke.
+	// How the answer ended.
 	Error string `log:"error"`
 }
 
-// A server has ended while it ran a request that it had just begun.
+// A server terminated shortly after it had started to run the request.
 type terminatedUnderRequest struct {
 	_ struct{} `msg:"server ended under a request" level:"warning"`
 	request
 	server
 	fingerprint
-	// Servers that have ended under the request so far.
+	// Number of servers that have terminated while they ran the request, so far.
 	Ends int64 `log:"ends"`
 }
 
-// A server has run a request under which others had ended.
+// A server has run the request without terminating, although others had terminated under it: the request is cleared.
 type requestCleared struct {
 	_ struct{} `msg:"request proved harmless" level:"warning"`
 	request
 	fingerprint
-	// Servers that had ended under the request.
+	// Number of servers that had terminated while they ran the request.
 	Ends int64 `log:"ends"`
 }
 
-// The instance's part of the allowed repeats is spent.
+// The request is not retried, since the instance's share of the retry budget is spent.
 type noRetry struct {
 	_ struct{} `msg:"no repeat" level:"warning"`
 	decisionFields
 	retryBudget
-	// Why.
+	// Always repeat_budget_spent.
 	Reason string `log:"reason"`
 }
 
-// A stream goes on at another first part, since its own leaves or gives up its layers.
+// A stream resumes on a path with another first server, since its present one is leaving or drops its layers.
 type handedOver struct {
 	_ struct{} `msg:"handed over" level:"warning"`
 	firstServerChange
 }
 
-// The first part of a stream does not answer or does not know it: it goes on elsewhere.
+// The first server of a stream's path does not answer or does not know the stream, which resumes on another path.
 type firstServerSilent struct {
 	_ struct{} `msg:"first part is silent" level:"warning"`
 	firstServerChange
 }
 
-// A stream that has begun cannot go on yet.
+// A stream that has begun cannot be resumed yet.
 type waitsToResume struct {
 	_ struct{} `msg:"waits to go on" level:"warning"`
 	decisionFields
-	// What is in its way.
+	// What prevents it.
 	Reason string `log:"reason"`
-	// The last event that was passed on, -1 before the first.
+	// Number of the last event that was passed on; -1 before the first.
 	LastEvent int64 `log:"last_event"`
-	// For how long the stream has had no event.
+	// How long the stream has had no event.
 	StillMS int64 `log:"still_ms"`
-	// Servers that may still run the request.
+	// Number of servers that may still be running the request.
 	Standing int64 `log:"standing"`
-	// How many may.
+	// Limit on the number of servers that may run the request.
 	MostRuns int64 `log:"most_runs"`
-	// The instances that the allowance is divided by.
+	// Number of instances among which the retry budget is divided.
 	Instances int64 `log:"instances"`
 }
 
-// Lost parts of a path were replaced.
+// The lost servers behind the first one of a path were replaced.
 type repaired struct {
 	_ struct{} `msg:"repaired" level:"warning"`
 	pathChange
 }
 
-// The first part did not take the new path.
+// The first server did not accept the repaired path.
 type notRepaired struct {
 	_ struct{} `msg:"not repaired" level:"warning"`
 	pathChangeRefused
 }
 
-// No path without the lost parts is known.
+// No path without the lost servers is known.
 type noPathForRepair struct {
 	_ struct{} `msg:"no path for a repair" level:"warning"`
 	request
-	// The present path.
+	// The path in use.
 	Path string `log:"path"`
-	// For how long the stream has had no event.
+	// How long the stream has had no event.
 	StillMS int64 `log:"still_ms"`
 }
 
-// Parts that leave were replaced.
+// Leaving servers behind the first one of a path were replaced.
 type evacuated struct {
 	_ struct{} `msg:"evacuated" level:"warning"`
 	pathChange
 }
 
-// The first part did not take the path without parts that leave.
+// The first server did not accept the path without the leaving servers.
 type notEvacuated struct {
 	_ struct{} `msg:"not evacuated" level:"warning"`
 	pathChangeRefused
 }
 
-// The request is refused, since room is not likely to come in time.
+// The request is refused, since a path is unlikely to have room for it in time.
 type roomTooLate struct {
 	_ struct{} `msg:"room would come too late" level:"warning"`
 	waitForecast
 }
 
-// A wait for room is over.
+// A wait for room has ended.
 type waitedForRoom struct {
 	_ struct{} `msg:"waited for room" level:"info"`
 	waitForecast
-	// How long it took.
+	// How long the request waited.
 	WaitedMS int64 `log:"waited_ms"`
-	// Whether room came.
+	// Whether the request got a path with room.
 	Came bool `log:"came"`
 }
 
-// A service has a whole path again.
+// A service has a complete path again.
 type pathRegained struct {
 	_ struct{} `msg:"path regained" level:"info"`
 	request
 	// The service.
 	Service string `log:"service"`
-	// For how long it had none.
+	// How long it had none.
 	SpellMS int64 `log:"spell_ms"`
 }
 
-// The end of a request that has not run.
+// The request ended without having run (jxd serve).
 type refused struct {
 	_ struct{} `msg:"refused" level:"warning"`
 	decisionFields
-	// Why.
+	// Why the request was refused.
 	Reason string `log:"reason"`
-	// not_run.
+	// Always not_run.
 	Fate string `log:"fate"`
-	// When the caller was asked to come back.
+	// Retry-After time that the caller was given.
 	RetryAfterMS int64 `log:"retry_after_ms"`
-	// How long the caller would have waited.
+	// How long the caller was willing to wait.
 	WaitMS int64 `log:"wait_ms"`
 }
 
-// The end of a request for a route or with a key that the configuration in force does not have.
+// The request ended because the configuration in force does not have its route or its key.
 type denied struct {
 	_ struct{} `msg:"denied" level:"warning"`
 	decisionFields
-	// What is not there.
+	// What the configuration does not have.
 	Reason string `log:"reason"`
-	// Status of the answer.
+	// HTTP status of the answer.
 	Status int64 `log:"status"`
 }
 
-// The end of a request that may have run and has no answer.
+// The request ended without an answer and may have run.
 type givenUp struct {
 	_ struct{} `msg:"given up" level:"warning"`
 	decisionFields
-	// Why.
+	// Why the request was given up.
 	Reason string `log:"reason"`
-	// unknown.
+	// Always unknown.
 	Fate string `log:"fate"`
-	// Status of the answer.
+	// HTTP status of the answer.
 	Status int64 `log:"status"`
 }
 
-// The end of a stream that had begun and could not go on.
+// The stream ended early: it had begun and could not be resumed.
 type brokenOff struct {
 	_ struct{} `msg:"broken off" level:"warning"`
 	decisionFields
-	// broken.
+	// Always broken.
 	Reason string `log:"reason"`
-	// Why the last attempt did not deliver; empty where the time was over.
+	// Why the last attempt failed; empty if the time of the request was over.
 	LastAttempt string `log:"last_attempt"`
-	// The last event that was passed on, -1 before the first.
+	// Number of the last event that was passed on; -1 before the first.
 	LastEvent int64 `log:"last_event"`
-	// How many servers may have run the request.
+	// Number of servers that may have run the request.
 	Runs int64 `log:"runs"`
-	// How many may.
+	// Limit on the number of servers that may run the request.
 	MostRuns int64 `log:"most_runs"`
-	// For how long the stream has had no event.
+	// How long the stream has had no event.
 	StillMS int64 `log:"still_ms"`
-	// How long callers wait for the next event before they leave.
+	// How long callers of the route wait for the next event before they disconnect.
 	PatienceMS int64 `log:"patience_ms"`
 }
 
-// The end of a request whose server failed itself.
+// The request ended with a failure of the server itself, which was passed on to the caller.
 type failurePassedOn struct {
 	_ struct{} `msg:"failure passed on" level:"warning"`
 	decisionFields
-	// Why.
+	// How the server failed.
 	Reason string `log:"reason"`
 }
 
-// The end of a request whose caller left.
+// The request ended because its caller disconnected.
 type callerDisconnected struct {
 	_ struct{} `msg:"finished" level:"warning"`
 	decisionFields
-	// caller left.
+	// Always "caller left".
 	Outcome string `log:"outcome"`
 }
 
-// The end of a request whose answer was passed on.
+// The request ended with an answer that was passed on completely.
 type finished struct {
 	_ struct{} `msg:"finished" level:"info"`
 	decisionFields
-	// whole.
+	// Always whole: the answer is complete.
 	Outcome string `log:"outcome"`
-	// When the first event was passed on, of a stream.
+	// Time until the first event of a stream was passed on.
 	FirstEventMS int64 `log:"first_event_ms,optional"`
-	// The longest pause of a stream.
+	// Longest pause between two events of a stream.
 	LongestPauseMS int64 `log:"longest_pause_ms,optional"`
-	// Repairs of a stream.
+	// Number of times that the path of a stream was repaired.
 	Repairs int64 `log:"repairs,optional"`
-	// Events of a stream.
+	// Number of events of a stream.
 	Events int64 `log:"events,optional"`
 }
 
-// A backend server did not do its stage of an attempt (today's interface).
+// A backend server failed in its stage of an attempt (jxd run).
 type stageFailed struct {
 	_ struct{} `msg:"stage failed" level:"warning"`
 	attemptJxdRun
@@ -297,55 +297,55 @@
 	failure
 }
 
-// The end of a request of today's interface without the answer that was asked for.
+// The request ended without the requested answer (jxd run).
 type refusedJxdRun struct {
 	_ struct{} `msg:"refused" level:"warning"`
 	requestJxdRun
-	// Why.
+	// Why the request was refused.
 	Reason string `log:"reason"`
-	// not_run, ran or unknown.
+	// Whether the request has run: not_run, ran or unknown.
 	Fate string `log:"fate"`
-	// Status of the answer.
+	// HTTP status of the answer.
 	Status int64 `log:"status"`
-	// When the caller was asked to come back; 0 when it was not.
+	// Retry-After time that the caller was given; 0 if none.
 	RetryAfterMS int64 `log:"retry_after_ms"`
 }
 
-// The end of a stream of today's interface that had begun and could not go on.
+// The stream ended early: it had begun and could not be resumed (jxd run).
 type brokenOffJxdRun struct {
 	_ struct{} `msg:"broken off" level:"warning"`
 	requestJxdRun
-	// Why.
+	// Why the stream was broken off.
 	Reason string `log:"reason"`
-	// not_run or unknown.
+	// Whether the request has run: not_run or unknown.
 	Fate string `log:"fate"`
-	// Tokens that were passed on.
+	// Number of tokens that were passed on.
 	Tokens int64 `log:"tokens"`
 	failure
 }
 
-// The end of a stream of today's interface that its caller no longer reads.
+// The stream ended because its caller no longer reads it (jxd run).
 type cutByCaller struct {
 	_ struct{} `msg:"stream cut by the caller" level:"warning"`
 	requestJxdRun
-	// Tokens that were passed on.
+	// Number of tokens that were passed on.
 	Tokens int64 `log:"tokens"`
 	failure
 }
 
-// The end of a request of today's interface that was answered.
+// The request ended with an answer that was passed on completely (jxd run).
 type finishedJxdRun struct {
 	_ struct{} `msg:"finished" level:"info"`
 	requestJxdRun
-	// whole.
+	// Always whole: the answer is complete.
 	Outcome string `log:"outcome"`
-	// Status of the answer.
+	// HTTP status of the answer.
 	Status int64 `log:"status"`
-	// Tokens of a stream.
+	// Number of tokens of a stream.
 	Tokens int64 `log:"tokens,optional"`
 }
 
-// An event that an attempt's chart does not know: a fault of junctioncross.
+// An event that the state machine of an attempt does not allow in its present state: a bug of junctioncross (jxd run).
 type unexpectedInAttempt struct {
 	_ struct{} `msg:"unexpected event" level:"error"`
 	attemptJxdRun
--- a/schema/servers.go
+++ b/schema/servers.go
@@ -1,214 +1,215 @@
 package schema
 
-// The first entry of a server.
+// The first entry of a server was read.
 type serverKnown struct {
 	_ struct{} `msg:"server known" level:"info"`
 	serverEntry
 }
 
-// Entries of many servers at once, which have no lines of their own.
+// Entries of many servers were read at once; they get no lines of their own.
 type serversKnown struct {
 	_ struct{} `msg:"servers known" level:"info"`
-	// The number of servers that are known now.
+	// Number of servers that are known now.
 	Servers int64 `log:"servers"`
-	// The number of entries that came.
+	// Number of entries that were read.
 	Entries int64 `log:"entries"`
 }
 
-// Another entry of a known server.
+// A new entry of a known server was read.
 type serverChanged struct {
 	_ struct{} `msg:"server changed" level:"info"`
 	serverEntry
 }
 
-// The server is no longer counted on.
+// The server's entry was removed; the server gets no new work.
 type serverGone struct {
 	_ struct{} `msg:"server gone" level:"info"`
 	server
 }
 
-// Another instance tells that a server has ended under a request.
+// Another instance reports that a server terminated while it ran a request.
 type endReceived struct {
 	_ struct{} `msg:"end under a request heard" level:"info"`
 	fingerprint
-	// Servers that have ended under the request so far.
+	// Number of servers that have terminated while they ran the request, so far.
 	Ends int64 `log:"ends"`
 }
 
-// The other instances cannot be told which servers ended under which requests; it is tried again.
+// The records of servers that terminated under requests could not be published to the other instances; it is tried again.
 type endsNotPublished struct {
 	_ struct{} `msg:"ends of servers not told" level:"warning"`
-	// How many.
+	// Number of records that are not published yet.
 	Ends int64 `log:"ends"`
 	failure
 }
 
-// The server's entry may have lapsed with the store.
+// The server's entry may have vanished only because its lease expired while the store was unavailable.
 type entryVanished struct {
 	_ struct{} `msg:"server entry vanished around an outage of the store, kept for now" level:"info"`
 	// Id of the backend server.
 	Server string `log:"server"`
 }
 
-// An entry of a backend server that came after a newer one, or is of an earlier start, changes nothing.
+// An entry of a server is ignored, because it is older than the known one or of an earlier incarnation of the server.
 type lateEntry struct {
 	_ struct{} `msg:"late entry ignored" level:"warning"`
 	// Id of the backend server.
 	Server string `log:"server"`
-	// The revision of the entry.
+	// Revision of the entry.
 	Revision int64 `log:"revision"`
-	// The revision of the one that is known.
+	// Revision of the known entry.
 	Known int64 `log:"known"`
-	// The era of the store that the entry is of.
+	// Era of the store to which the entry belongs.
 	Era int64 `log:"era"`
-	// The era of the one that is known.
+	// Era of the known entry.
 	KnownEra int64 `log:"known_era"`
 }
 
-// The store came back from a copy that still has the entry of a server which has left; it gets no new work for now.
+// The store was restored from a copy that still has the entry of a server that has left; the server gets no new work for now.
 type restoredEntry struct {
 	_ struct{} `msg:"entry of a server that has left is there again" level:"info"`
 	server
 }
 
-// The store came back without its latest writes, and gives their revisions out again.
+// The store has come back without its latest writes and assigns their revisions again, in a new era.
 type lostWrites struct {
 	_ struct{} `msg:"store has lost writes" level:"warning"`
 	feed
-	// How often the store has lost writes, as it counts.
+	// The new era: how many times the store has lost writes, by its own count.
 	Era int64 `log:"era"`
-	// The same before.
+	// The previous era.
 	Was int64 `log:"was"`
-	// The revision of the store.
+	// Revision of the store.
 	At int64 `log:"at"`
-	// The revision up to which the feed was known.
+	// Revision up to which the feed was known.
 	Held int64 `log:"held"`
 }
 
-// A feed was read whole, and the store had not come as far as was known.
+// A full read of a feed returned an earlier position of the store than was known.
 type earlierPosition struct {
 	_ struct{} `msg:"feed read at an earlier position" level:"warning"`
 	feed
-	// The revision of the store.
+	// Revision of the store.
 	At int64 `log:"at"`
-	// The revision up to which the feed was known.
+	// Revision up to which the feed was known.
 	Held int64 `log:"held"`
-	// The era of the store that the reading is of.
+	// Era of the store at the time of the read.
 	Era int64 `log:"era"`
-	// The era of what was known.
+	// Era of the position that was known.
 	HeldEra int64 `log:"held_era"`
 }
 
-// A server says in an answer that it leaves, whatever its entry says: it gets no new work.
+// A server says in an answer that it is leaving (a leave notice); it gets no new work, whatever its entry says.
 type leaveNotice struct {
 	_ struct{} `msg:"server says that it leaves" level:"warning"`
 	request
 	server
 }
 
-// A server turned a request away and wants nothing from this instance for a time.
+// A server refused a request and asked this instance to back off for a time.
 type serverBackOff struct {
 	_ struct{} `msg:"server wants nothing yet" level:"warning"`
 	request
 	server
-	// What it asked for.
+	// Back-off that the server asked for.
 	RetryAfterMS int64 `log:"retry_after_ms"`
-	// For how long it is left alone.
+	// Back-off that the instance keeps.
 	LeftAloneMS int64 `log:"left_alone_ms"`
-	// Whether it was left alone already.
+	// Whether the server was backed off already.
 	Again bool `log:"again"`
 }
 
-// A server names in an answer how many requests it takes from all instances together; without a request it was a report.
+// A server names a rate limit for the requests of all instances together, in an answer or, where the request is empty, in its
+// report.
 type serverLimit struct {
 	_ struct{} `msg:"server names a limit" level:"warning"`
 	request
 	server
 	// Requests a second.
 	LimitPerS float64 `log:"limit_per_s"`
-	// The number of instances that share the limit.
+	// Number of instances that share the limit.
 	Instances int64 `log:"instances"`
-	// The time between two requests of this instance.
+	// Time between two requests of this instance.
 	PeriodMS int64 `log:"period_ms"`
 }
 
-// A server that had named a limit names none in an answer.
+// A server that had named a rate limit names none in an answer.
 type serverLimitRemoved struct {
 	_ struct{} `msg:"server names no limit any more" level:"warning"`
 	request
 	server
 }
 
-// A server gives no answer to the question how it is.
+// A server did not answer a state query.
 type noAnswer struct {
 	_ struct{} `msg:"server does not answer" level:"warning"`
 	noRequest
 	server
-	// What gave reason to ask.
+	// Why the server was queried.
 	Why string `log:"why"`
 	failure
 }
 
-// A server's answer to the question how it is cannot be read; what was known stays.
+// A server's answer to a state query cannot be decoded; what was known of the server stays valid.
 type reportNotReadable struct {
 	_ struct{} `msg:"report not readable" level:"warning"`
 	noRequest
 	server
-	// What gave reason to ask.
+	// Why the server was queried.
 	Why string `log:"why"`
 	failure
 }
 
-// Another start of a server answers at its address: what it ran is lost.
+// A later incarnation of a server answers at its address; the requests that the earlier one ran are lost.
 type otherIncarnationAnswers struct {
 	_ struct{} `msg:"another start of the server answers" level:"warning"`
 	noRequest
 	server
-	// The start that was known, in milliseconds since 1970.
+	// Start time of the known incarnation, in milliseconds since 1970.
 	Born int64 `log:"born"`
-	// The start that answers.
+	// Start time of the incarnation that answers.
 	Answers int64 `log:"answers"`
 }
 
-// A newer entry of a server tells that it has started again under its id: what it ran is lost.
+// A newer entry of a server shows that it was restarted under the same id; the requests that it ran before are lost.
 type newerIncarnation struct {
 	_ struct{} `msg:"server started again" level:"info"`
 	server
-	// The start that was known, in milliseconds since 1970.
+	// Start time of the known incarnation, in milliseconds since 1970.
 	Born int64 `log:"born"`
 }
 
-// An entry is none that a server writes of itself. A server that was known is not used until there is a good one.
+// An entry is malformed or names no known service. If its server was known, it is not used until there is a valid entry.
 type entryUnusable struct {
 	_ struct{} `msg:"entry names no server to use" level:"warning"`
-	// Id that the entry stands under.
+	// Id under which the entry is stored.
 	Server string `log:"server"`
-	// The first field that is wrong.
+	// The first invalid field.
 	Field string `log:"field"`
-	// How the field begins.
+	// The beginning of the field's value.
 	Value string `log:"value"`
 	failure
 }
 
-// A server holds other layers than its entry says.
+// A server reports other layers than its entry.
 type otherLayers struct {
 	_ struct{} `msg:"server holds other layers" level:"warning"`
 	serverReport
 }
 
-// A server has hardly any memory left.
+// A server reports that hardly any of its memory is free.
 type serverFull struct {
 	_ struct{} `msg:"server is full" level:"warning"`
 	serverReport
 }
 
-// A server is slower than usual.
+// A server reports that it is slower than usual for its kind.
 type serverSlow struct {
 	_ struct{} `msg:"server is slow" level:"warning"`
 	serverReport
 }
 
-// A server that was doubted is well.
+// A server that was queried because of a suspicion reports nothing unusual.
 type serverNormal struct {
 	_ struct{} `msg:"server is well" level:"info"`
 	serverReport
