--- a/decision/format.go
+++ b/decision/format.go
@@ -11,11 +11,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Formatter writes lines as the logger's own formatter for JSON does, at a part of its price: most values are texts and numbers, which
-// need no reflection.
+// Formatter writes the same JSON as logrus.JSONFormatter at a fraction of the cost: most values are texts and numbers, which need no
+// reflection.
 type Formatter struct{}
 
-// typicalFields is the number of fields that most lines have at most.
+// typicalFields is a capacity that suffices for the fields of most lines.
 const typicalFields = 32
 
 // Format implements logrus.Formatter.
@@ -56,13 +56,13 @@
 	}
 	body, err := json.Marshal(value)
 	if err != nil {
-		// A number that JSON does not have must not cost the line.
+		// JSON has no NaN and no infinities; such a value is written as text rather than losing the line.
 		return appendText(line, fmt.Sprint(value))
 	}
 	return append(line, body...)
 }
 
-// appendText appends a text in quotes.
+// appendText appends a text as a JSON string.
 func appendText(line []byte, text string) []byte {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
--- a/decision/format_test.go
+++ b/decision/format_test.go
@@ -14,7 +14,7 @@
 	"junctioncross/models"
 )
 
-// entry returns a line with values of all kinds that lines have.
+// entry returns a log entry with values of all kinds that occur in lines.
 func entry() *logrus.Entry {
 	return &logrus.Entry{
 		Time: time.Unix(100, 42).UTC(), Level: logrus.WarnLevel, Message: `value "x" not readable`,
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// queueBytes holds some seconds of lines at the highest rate of a small instance.
+	// queueBytes is the capacity of the queue for lines of all kinds: a few seconds of lines at the highest rate of a small instance.
 	queueBytes = 256 << 10
-	// reserveBytes is kept for lines that sampling must not leave out: the ends of some 6,000 failed requests, while the output
-	// takes nothing.
+	// reserveBytes is additional capacity for lines that sampling must not omit: the last lines of some 6,000 failed requests while
+	// the output blocks.
 	reserveBytes = 2 << 20
-	// batchTime is how long lines wait for others, so that a busy instance makes one system call for many.
+	// batchTime is how long lines wait for others, so that a busy instance writes many of them in one system call.
 	batchTime = 100 * time.Millisecond
 )
 
-// Queue is a writer that never blocks: it keeps lines in bounded memory until they are written.
+// Queue is a writer that never blocks: it buffers lines in bounded memory until they are written to the output.
 type Queue struct {
 	out     io.Writer
 	dropped gometrics.Counter
-	// reserveDropped counts those of the dropped lines that had the reserve as well.
+	// reserveDropped counts the dropped lines for which the reserve was full, too; dropped includes them.
 	reserveDropped gometrics.Counter
 	writeErrors    gometrics.Counter
 	ready          chan struct{}
@@ -35,7 +35,7 @@
 	pending bytes.Buffer
 }
 
-// NewQueue returns a Queue that writes to out.
+// NewQueue returns a Queue that writes to out; it starts a goroutine that runs as long as the process.
 func NewQueue(out io.Writer, clock *timer.Service, stats *metrics.Registry) *Queue {
 	q := &Queue{
 		out: out, dropped: stats.Counter("log_lines_dropped_total"), reserveDropped: stats.Counter("log_kept_lines_dropped_total"),
@@ -53,7 +53,7 @@
 	return q
 }
 
-// Write takes over one line that shall survive; it drops the line when the reserve is full as well and never returns an error.
+// Write queues one line that sampling must not omit; it drops the line if the reserve is full as well and never returns an error.
 func (q *Queue) Write(line []byte) (int, error) {
 	if !q.add(line, queueBytes+reserveBytes) {
 		q.reserveDropped.Inc(1)
@@ -61,19 +61,19 @@
 	return len(line), nil
 }
 
-// Sampled returns a writer of lines that may be left out: it leaves the reserve to the others.
+// Sampled returns a writer for lines that may be omitted: it does not use the reserve.
 func (q *Queue) Sampled() io.Writer { return sampled{queue: q} }
 
-// sampled is the Queue without its reserve.
+// sampled writes to the Queue without its reserve.
 type sampled struct{ queue *Queue }
 
-// Write takes over one line; it drops the line when the queue is full and never returns an error.
+// Write queues one line; it drops the line if the queue is full and never returns an error.
 func (s sampled) Write(line []byte) (int, error) {
 	s.queue.add(line, queueBytes)
 	return len(line), nil
 }
 
-// add takes a line over unless more than a limit would wait then, and reports whether it did.
+// add queues a line unless more than limit bytes would be pending then, and reports whether it did.
 func (q *Queue) add(line []byte, limit int) bool {
 	q.mu.Lock()
 	fits := q.pending.Len()+len(line) <= limit
@@ -92,7 +92,7 @@
 	return true
 }
 
-// Flush writes what is pending; it may block as long as the output does.
+// Flush writes the pending lines; it blocks as long as the output does.
 func (q *Queue) Flush() {
 	var writing bytes.Buffer
 	q.swap(&writing)
@@ -103,7 +103,7 @@
 	into.Reset()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	// The buffers change places, so that both keep their memory.
+	// Swapping the buffers lets both keep their memory.
 	*into, q.pending = q.pending, *into
 }
 
@@ -115,7 +115,7 @@
 		q.writeErrors.Inc(1)
 	}
 	if lines.Cap() > 2*queueBytes {
-		// What the reserve took is given back.
+		// Releases the memory that the reserve needed.
 		*lines = bytes.Buffer{}
 	}
 }
--- a/decision/recorder.go
+++ b/decision/recorder.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// routineRate and routineBurst bound the lines on requests that went well: a small instance answers some ten a second
-	// with three lines each, so that everything is kept on a usual day.
+	// routineRate and routineBurst limit the lines about requests that go well, in lines a second and lines at once. A small
+	// instance answers about ten requests a second with three lines each, so that normally all lines are kept.
 	routineRate  = 100.0
 	routineBurst = 400.0
-	// failureRate and failureBurst bound the lines on requests that did not, which have their own allowance.
+	// failureRate and failureBurst limit the lines about requests that do not go well, separately from the others.
 	failureRate  = 200.0
 	failureBurst = 1000.0
-	// kindPeriod is how long after a line of a kind the next one is kept whatever the allowance says. There are some fifty kinds on
-	// requests, so that this adds a few lines a second at most.
+	// kindPeriod is the interval at which one line with each message is kept regardless of the limits. There are about fifty
+	// messages about requests, so that this adds a few lines a second at most.
 	kindPeriod = 10 * time.Second
 )
 
-// Fields are the inputs and the outcome of a decision.
+// Fields are the inputs and the outcome of a decision, by name.
 type Fields = logrus.Fields
 
-// Recorder writes the lines on requests and keeps them within an allowance, but for the first of each kind and the last lines of
-// requests that failed.
+// Recorder writes the lines about requests and limits their rate. The limits do not apply to the first line with each message in a
+// while, nor to the last lines of failed requests.
 type Recorder struct {
 	log *logrus.Logger
-	// sampled is the same for lines that may be left out.
+	// sampled is the same logger for lines that may be omitted.
 	sampled *logrus.Logger
 	clock   *timer.Service
 	stats   *metrics.Registry
@@ -39,14 +39,15 @@
 	mu      sync.Mutex
 	routine tokenBucket
 	failure tokenBucket
-	// lastWritten holds when a line of each kind was last written.
+	// lastWritten holds when each message was last written regardless of the limits.
 	lastWritten map[string]time.Time
 }
 
-// sampler is an output that may leave lines out.
+// sampler is an output with a second writer for lines that may be omitted.
 type sampler interface{ Sampled() io.Writer }
 
-// NewRecorder returns a Recorder that writes to log.
+// NewRecorder returns a Recorder that writes to log. If the output of log is a Queue, lines that may be omitted do not use its
+// reserve.
 func NewRecorder(log *logrus.Logger, clock *timer.Service, stats *metrics.Registry) *Recorder {
 	now := clock.Now()
 	return &Recorder{
@@ -56,7 +57,7 @@
 	}
 }
 
-// sampledLogger returns a logger that does as another one, but for lines that may be left out.
+// sampledLogger returns a logger like log for lines that may be omitted.
 func sampledLogger(log *logrus.Logger) *logrus.Logger {
 	out, ok := log.Out.(sampler)
 	if !ok {
@@ -65,17 +66,17 @@
 	return &logrus.Logger{Out: out.Sampled(), Formatter: log.Formatter, Hooks: log.Hooks, Level: log.GetLevel(), ExitFunc: log.ExitFunc}
 }
 
-// Routine writes a line on a request that goes as it should.
+// Routine writes a line about a request that goes well, or about no request if that is empty; the line may be omitted.
 func (r *Recorder) Routine(request, decision string, fields Fields) {
 	r.write(&r.routine, logrus.InfoLevel, request, decision, fields)
 }
 
-// Failure writes a line on something that went wrong with a request.
+// Failure writes a line about something that went wrong with a request, or apart from any if that is empty; the line may be omitted.
 func (r *Recorder) Failure(request, decision string, fields Fields) {
 	r.write(&r.failure, logrus.WarnLevel, request, decision, fields)
 }
 
-// Last writes the last line on a request that failed; it is never left out for want of an allowance.
+// Last writes the last line about a failed request; the rate limits do not apply to it.
 func (r *Recorder) Last(request, decision string, fields Fields) {
 	fields["request"] = request
 	r.log.WithFields(fields).Log(logrus.WarnLevel, decision)
@@ -100,7 +101,8 @@
 	log.WithFields(fields).Log(level, decision)
 }
 
-// isFirst reports whether a line is the first of its kind for a while; the caller holds the lock.
+// isFirst reports whether no line with the message was kept as the first in the last kindPeriod, and if so records this one; the
+// caller holds the lock.
 func (r *Recorder) isFirst(kind string, now time.Time) bool {
 	if at, seen := r.lastWritten[kind]; seen && now.Sub(at) < kindPeriod {
 		return false
@@ -109,7 +111,7 @@
 	return true
 }
 
-// tokenBucket is a token bucket.
+// tokenBucket limits a rate of lines; rate is in tokens a second, and each line takes one token.
 type tokenBucket struct {
 	rate      float64
 	burst     float64
--- a/decision/recorder_test.go
+++ b/decision/recorder_test.go
@@ -17,7 +17,7 @@
 	"junctioncross/timer"
 )
 
-// blockedOutput is an output that takes nothing until it is opened.
+// blockedOutput is an output that blocks until it is opened.
 type blockedOutput struct {
 	open    chan struct{}
 	mu      sync.Mutex
@@ -38,7 +38,7 @@
 	return o.written.String()
 }
 
-// many is more than all allowances together let through at once, and less than the reserve takes.
+// many is a number of lines above all rate limits together and below the capacity of the reserve.
 const many = 3000
 
 func newRecorder(out io.Writer, clock *timer.Service, stats *metrics.Registry) *decision.Recorder {
@@ -56,7 +56,7 @@
 		r.Last(fmt.Sprint("r", n), "refused", decision.Fields{})
 	}
 	require.Equal(t, many, strings.Count(out.String(), `"msg":"refused"`))
-	require.Less(t, strings.Count(out.String(), `"msg":"turned away"`), many, "the allowance of the others is spent")
+	require.Less(t, strings.Count(out.String(), `"msg":"turned away"`), many, "the other lines exceed their rate limit")
 }
 
 func TestTheFirstLineOfEachKindSurvivesSampling(t *testing.T) {
@@ -72,15 +72,16 @@
 	spend()
 	r.Routine("r", "path regained", decision.Fields{})
 	r.Routine("r", "path regained", decision.Fields{})
-	require.Equal(t, 1, strings.Count(out.String(), "path regained"), "the first of its kind, and no more")
+	require.Equal(t, 1, strings.Count(out.String(), "path regained"), "only the first line with a message is kept regardless of the limits")
 	require.EqualValues(t, 1, stats.Counter(`log_lines_sampled_out_total{decision="path regained"}`).Count())
 	clock.Advance(time.Minute)
 	spend()
 	r.Routine("r", "path regained", decision.Fields{})
-	require.Equal(t, 2, strings.Count(out.String(), "path regained"), "a kind that was not seen for a while is first again")
+	require.Equal(t, 2, strings.Count(out.String(), "path regained"), "after a while, the next line with the message is kept again")
 }
 
-// TestUnsampledLinesAreKeptWhileTheOutputBlocks blocks the output while lines of all kinds come, and opens it then.
+// TestUnsampledLinesAreKeptWhileTheOutputBlocks fills the queue while the output is blocked, which must not
+// drop the lines that sampling keeps, and unblocks it then.
 func TestUnsampledLinesAreKeptWhileTheOutputBlocks(t *testing.T) {
 	out := &blockedOutput{open: make(chan struct{})}
 	clock := clockwork.NewFakeClock()
@@ -107,7 +108,7 @@
 	require.Less(t, strings.Count(out.String(), filler), 400)
 }
 
-// TestTheReserveIsBounded fills it as well.
+// TestTheReserveIsBounded writes more to a blocked output than queue and reserve hold.
 func TestTheReserveIsBounded(t *testing.T) {
 	out := &blockedOutput{open: make(chan struct{})}
 	defer close(out.open)
