--- a/story/beliefs.go
+++ b/story/beliefs.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// beliefs returns the changes of belief that mattered for a request: those of its instances about the servers that it was sent to, and
-// about the paths of its service.
+// beliefs returns the lines that report what the instances of a request learned, shortly before and during the request, about the
+// servers that it was sent to and about the paths of its service. own holds the lines about the request, sorted by time.
 func beliefs(lines, own []Line) []Line {
 	instances, first, last := map[string]bool{}, own[0].at, own[len(own)-1].at
 	servers, services := map[string]bool{}, map[string]bool{}
@@ -29,14 +29,14 @@
 	}))
 }
 
-// shortage says which domains were known to be too small when a request was refused for want of room; the instance that gives orders
-// tells it, whichever that is.
+// shortage returns which domains were known to be too small when a request was refused for lack of room. These lines are written by
+// the leader, which may be any instance.
 func shortage(lines, own []Line) string {
 	last := own[len(own)-1]
 	if last.message != "refused" || last.Text("reason") != "no_room" {
 		return ""
 	}
-	// A new coverage of a domain follows each change, and the word that it is too small follows that.
+	// After each change, the leader logs the coverage of a domain and then, if the domain is too small, a line that says so.
 	short := map[string]string{}
 	for _, l := range sorted(lines) {
 		if l.at.After(last.at) {
--- a/story/line.go
+++ b/story/line.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// maxLineBytes bounds one line of a log.
+// maxLineBytes is the maximum length of a line; a longer one ends Read with an error.
 const maxLineBytes = 1 << 20
 
 // Line is one line of an instance's log.
@@ -25,16 +25,16 @@
 	fields   map[string]any
 }
 
-// Request returns the id of the request that the line is about, or an empty text.
+// Request returns the id of the request that the line is about, or an empty text if it is about none.
 func (l Line) Request() string { return l.request }
 
 // Instance returns the name of the instance that wrote the line.
 func (l Line) Instance() string { return l.instance }
 
-// Message returns the decision or belief that the line tells.
+// Message returns the message, which names the decision or belief that the line reports.
 func (l Line) Message() string { return l.message }
 
-// Text returns a field as text, or an empty text.
+// Text returns the value of a field as text, or an empty text if the line does not have the field.
 func (l Line) Text(field string) string {
 	v, ok := l.fields[field]
 	if !ok {
@@ -43,8 +43,8 @@
 	return fmt.Sprint(v)
 }
 
-// Read returns the lines of a log; what stands before the first brace of a line is left out, and lines that are no JSON
-// objects are counted as skipped.
+// Read returns the lines of a log. Text before the first brace of a line is ignored. Lines that are not JSON objects or have no valid
+// time are skipped and counted. An error comes from reading, or means that a line is longer than 1 MiB.
 func Read(from io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
@@ -76,10 +76,10 @@
 	return line, err
 }
 
-// hiddenFields stand elsewhere in a printed line, or say nothing of the decision.
+// hiddenFields are printed elsewhere in the line, or are irrelevant to the decision.
 var hiddenFields = map[string]bool{"time": true, "msg": true, "request": true, "instance": true, "domain": true, "level": true}
 
-// String returns the line for people, its time counted from start.
+// format returns the line in readable form, with its time relative to start.
 func (l Line) format(start time.Time) string {
 	names := make([]string, 0, len(l.fields))
 	for name := range l.fields {
--- a/story/why.go
+++ b/story/why.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// beliefWindow is how long before the end of a request a change of belief about one of its servers counts as its cause.
+// beliefWindow is how long before the first line about a request a belief about its servers or paths counts as relevant to it.
 const beliefWindow = 5 * time.Second
 
-// Why writes the story of one request and its cause in a sentence; it reports whether there is any line on it.
+// Why writes the lines about one request, the relevant beliefs of its instances, and a sentence on the cause of its outcome. It
+// reports whether there is any line about the request.
 //
-// The times of different instances are compared as they are: an instance's clock may be off by some seconds.
+// Times of different instances are compared without correction: the clock of an instance may be off by some seconds.
 func Why(out io.Writer, lines []Line, request string) bool {
 	own := sorted(filter(lines, func(l Line) bool { return l.request == request }))
 	if len(own) == 0 {
@@ -28,7 +29,7 @@
 	return true
 }
 
-// Timeline writes what an instance did and believed beside its requests; it reports whether there is any line on it.
+// Timeline writes the lines of an instance that are about no request; it reports whether there are any.
 func Timeline(out io.Writer, lines []Line, instance string) bool {
 	own := sorted(filter(lines, func(l Line) bool { return l.instance == instance && l.request == "" }))
 	for _, l := range own {
