--- a/metrics/doc.go
+++ b/metrics/doc.go
@@ -1,2 +1,2 @@
-// Package metrics counts what the system does and prints the counts in the text exposition format.
+// Package metrics holds the metrics of a process and prints them in the text exposition format of Prometheus.
 package metrics
--- a/metrics/registry.go
+++ b/metrics/registry.go
@@ -13,12 +13,12 @@
 
 const (
 	prefix = "jx_"
-	// sampleSize and sampleAlpha are the library's usual values: 99% confidence over the last five minutes.
+	// sampleSize and sampleAlpha are the usual values of the library: the sample represents the last five minutes with 99% confidence.
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// Registry holds the counters, gauges and timings of one process.
+// Registry holds the counters, gauges and histograms of one process.
 type Registry struct {
 	inner gometrics.Registry
 }
@@ -26,37 +26,37 @@
 // New returns an empty Registry.
 func New() *Registry { return &Registry{inner: gometrics.NewRegistry()} }
 
-// Counter returns the counter of that name and creates it when there is none.
+// Counter returns the counter with that name (labels included, without the prefix jx_) and creates it if there is none.
 func (r *Registry) Counter(name string) gometrics.Counter {
 	return gometrics.GetOrRegisterCounter(name, r.inner)
 }
 
-// Gauge returns the gauge of that name and creates it when there is none.
+// Gauge returns the gauge with that name and creates it if there is none.
 func (r *Registry) Gauge(name string) gometrics.Gauge {
 	return gometrics.GetOrRegisterGauge(name, r.inner)
 }
 
-// Histogram returns the distribution of that name and creates it when there is none; it keeps a sample of bounded size.
+// Histogram returns the histogram with that name and creates it if there is none; it keeps a sample of bounded size.
 func (r *Registry) Histogram(name string) gometrics.Histogram {
 	return r.inner.GetOrRegister(name, newHistogram).(gometrics.Histogram)
 }
 
-// newHistogram is called only for a name that is not there yet, since a sample is large.
+// newHistogram is passed to the registry as a function, which calls it only for a new name: the memory of a sample is large.
 func newHistogram() gometrics.Histogram {
 	return gometrics.NewHistogram(gometrics.NewExpDecaySample(sampleSize, sampleAlpha))
 }
 
-// Refused counts one refusal with its reason and fate.
+// Refused counts one refused request by its reason and fate.
 func (r *Registry) Refused(reason models.Reason, fate models.Fate) {
 	r.Counter(fmt.Sprintf("refusals_total{reason=%q,fate=%q}", reason, fate)).Inc(1)
 }
 
-// Retried counts one retried attempt with its reason.
+// Retried counts one retried attempt by its reason.
 func (r *Registry) Retried(reason models.Reason) {
 	r.Counter(fmt.Sprintf("retries_total{reason=%q}", reason)).Inc(1)
 }
 
-// Write prints every metric, sorted by name; it returns the writer's error.
+// Write prints all metrics, sorted by name; it returns the error of the writer.
 func (r *Registry) Write(w io.Writer) error {
 	lines := make([]string, 0, 64)
 	r.inner.Each(func(name string, metric any) {
@@ -72,10 +72,10 @@
 	return err
 }
 
-// quantiles are those that operators watch: the usual, the slow and the slowest requests.
+// quantiles are those that operators watch: median, slow and slowest requests.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// summary returns the lines of one distribution.
+// summary returns the lines of one histogram.
 func summary(name string, h gometrics.Histogram) []string {
 	lines := make([]string, 0, len(quantiles)+2)
 	for i, v := range h.Percentiles(quantiles) {
--- a/metrics/registry_test.go
+++ b/metrics/registry_test.go
@@ -18,5 +18,5 @@
 	require.NoError(t, stats.Write(&out))
 	require.Contains(t, out.String(), "jx_wait_ms_count 4\n")
 	require.Contains(t, out.String(), "jx_wait_ms_sum 6\n")
-	require.Zero(t, testing.AllocsPerRun(100, func() { stats.Histogram("wait_ms") }), "no sample is made for a name that is there")
+	require.Zero(t, testing.AllocsPerRun(100, func() { stats.Histogram("wait_ms") }), "no sample is allocated for an existing name")
 }
