--- a/testlog/doc.go
+++ b/testlog/doc.go
@@ -1,2 +1,2 @@
-// Package testlog gives tests a logger for code whose goroutines may outlast them.
+// Package testlog provides a logger for tests of code whose goroutines may outlive the test.
 package testlog
--- a/testlog/log.go
+++ b/testlog/log.go
@@ -8,8 +8,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// New returns a logger that writes to the test's output for as long as the test runs; later lines are dropped, which the output itself
-// answers with a panic.
+// New returns a logger that writes to the output of the test while it runs. Later lines are dropped, since writing to that output
+// after the end of the test panics.
 func New(t *testing.T) *logrus.Logger {
 	w := &writer{out: t.Output()}
 	t.Cleanup(w.end)
@@ -18,7 +18,7 @@
 	return log
 }
 
-// writer passes lines on until it has ended.
+// writer passes lines on to out until end is called.
 type writer struct {
 	mu  sync.Mutex
 	out io.Writer
--- a/testlog/log_test.go
+++ b/testlog/log_test.go
@@ -8,7 +8,7 @@
 	"junctioncross/testlog"
 )
 
-// TestLinesThatComeAfterATestAreDropped writes once the test is over; the output itself would end the whole run.
+// TestLinesThatComeAfterATestAreDropped writes after the end of a test, which would panic on the test's own output.
 func TestLinesThatComeAfterATestAreDropped(t *testing.T) {
 	var log *logrus.Logger
 	t.Run("over", func(t *testing.T) { log = testlog.New(t) })
