--- a/doccomment/doc.go
+++ b/doccomment/doc.go
@@ -1,2 +1,2 @@
-// Package doccomment reads the source files that a package embeds, for reference pages that are made from their doc comments.
+// Package doccomment parses the source files that a package embeds, for reference pages that are generated from their doc comments.
 package doccomment
