--- a/forward/inflight.go
+++ b/forward/inflight.go
@@ -13,59 +13,63 @@
 	"junctioncross/chain"
 )
 
-// inflight is one stream on its way through a path.
+// inflight is the state of one stream under way, over all its attempts.
 type inflight struct {
 	r      *request
 	events events
 
+	// first is the first server of the present path, and conn the connection to it.
 	first *backend.Server
 	conn  *backend.Conn
 	// lastAt is when the last event came, or the request was sent, in nanoseconds since the handler's start.
 	lastAt atomic.Int64
-	// turned counts the servers that have turned the stream away since one last took it.
-	turned int
+	// refusals counts the servers that have refused the stream since one last accepted it.
+	refusals int
 	// expected is how long after the sending the first event is due, in nanoseconds.
 	expected atomic.Int64
-	// firstEvent is how long after the request's arrival its first event came, and longestPause the longest time between two.
+	// firstEvent is how long after the request's arrival its first event came, and longestPause the longest time between two
+	// events.
 	firstEvent   time.Duration
 	longestPause time.Duration
 	// moved is true once the server of the present attempt has sent an event.
 	moved atomic.Bool
-	// ranSince is when that event came; only the goroutine of the request uses it.
+	// ranSince is when the first event of the present attempt came; only the goroutine of the request uses it.
 	ranSince time.Time
 
-	// vain counts the looks for another path before its server ends that found none.
-	vain atomic.Int64
+	// failedMoves counts the searches, since the last successful one, that found no path without a server that leaves.
+	failedMoves atomic.Int64
 
-	// next is the path on which the stream goes on once its present connection is closed; nil while it is not handed over.
+	// next is the path on which the stream is resumed once its present connection is closed; nil unless the stream is being
+	// handed over.
 	next atomic.Pointer[placed]
 
 	mu sync.Mutex
-	// ranBefore lists the servers that ran the stream before the present attempt, which began at a time, was expected to last for life,
-	// and by the cost model alone as long as predicted; 0 for an attempt that goes on with a stream.
-	ranBefore []*backend.Server
-	began     time.Time
-	life      time.Duration
-	predicted time.Duration
-	// least is how much longer the stream is taken to last at least.
-	least time.Duration
-	// hops and servers are the path, which a repair may change; they are nil when no attempt is under way.
+	// earlierServers lists the servers that ran the stream before the present attempt. That attempt started at attemptStart
+	// and is expected to last for life, or for predictedLifetime by the cost model alone; the latter is 0 for an attempt that
+	// resumes a stream.
+	earlierServers    []*backend.Server
+	attemptStart      time.Time
+	life              time.Duration
+	predictedLifetime time.Duration
+	// minLeft is the lower bound of the time that the stream is expected to last still.
+	minLeft time.Duration
+	// hops and servers are the present path, which a repair may change; they are nil while no attempt is under way.
 	hops    []chain.Hop
 	servers []*backend.Server
 	need    chain.Need
-	// laneLoad is the part of the lane's memory that was thought to be taken when the path was chosen.
+	// laneLoad is the share of the lane's memory that was thought to be taken when the path was chosen.
 	laneLoad float64
-	// returned is true when the caller has been refused before, or goes on with a stream that broke off.
+	// returned is true for a returning caller: one that was refused before, or that resumes a stream which broke off.
 	returned bool
 	repairs  int
-	// verified is true once the first part of the present attempt was asked whether it knows the stream.
+	// verified is true once the first server of the present attempt was asked whether it knows the stream.
 	verified bool
 	// repairing is true while a repair is under way.
 	repairing bool
 }
 
-// resumeFrom returns the id of the last event that the caller has, -1 when it has none.
-func resumeFrom(id string) int64 {
+// parseResumeAfter returns the id of the last event that the caller has, or -1 when it has none.
+func parseResumeAfter(id string) int64 {
 	last, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return -1
@@ -73,14 +77,14 @@
 	return last
 }
 
-// assign reserves the path for the stream and gives back what it had before.
+// assign reserves the path for the stream and releases the former one.
 func (f *inflight) assign(group *backend.Group, hops []chain.Hop) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.setLocked(newCourse(group, hops))
+	f.reserveLocked(resolvePath(group, hops))
 }
 
-func (f *inflight) setLocked(c course) {
+func (f *inflight) reserveLocked(c resolvedPath) {
 	f.releaseLocked()
 	f.hops, f.servers = c.hops, c.servers
 	for i, s := range f.servers {
@@ -88,46 +92,47 @@
 	}
 }
 
-// course is a path with the servers that its indices stand for.
-type course struct {
+// resolvedPath is a path together with the servers that its indices stand for.
+type resolvedPath struct {
 	hops    []chain.Hop
 	servers []*backend.Server
 }
 
-func newCourse(group *backend.Group, hops []chain.Hop) course {
-	c := course{hops: hops, servers: make([]*backend.Server, len(hops))}
+func resolvePath(group *backend.Group, hops []chain.Hop) resolvedPath {
+	c := resolvedPath{hops: hops, servers: make([]*backend.Server, len(hops))}
 	for i, hop := range hops {
 		c.servers[i] = group.Servers()[hop.Server]
 	}
 	return c
 }
 
-// course returns the present path; it is empty when no attempt is under way.
-func (f *inflight) course() course {
+// course returns the present path; it is empty while no attempt is under way.
+func (f *inflight) course() resolvedPath {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return course{hops: f.hops, servers: f.servers}
+	return resolvedPath{hops: f.hops, servers: f.servers}
 }
 
-// uses reports whether the stream is under way at a service.
+// uses reports whether the stream is under way on servers of a service.
 func (f *inflight) uses(service string) bool {
 	c := f.course()
 	return len(c.servers) > 0 && c.servers[0].Service() == service
 }
 
-// replace reserves another path if the present one is still what it was, and reports whether it is.
-func (f *inflight) replace(was, by course) bool {
+// replace reserves another path if the present one still has the servers of from, and reports whether it has.
+func (f *inflight) replace(from, to resolvedPath) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.servers) == 0 || !slices.Equal(f.servers, was.servers) {
+	if len(f.servers) == 0 || !slices.Equal(f.servers, from.servers) {
 		return false
 	}
-	f.setLocked(by)
+	f.reserveLocked(to)
 	return true
 }
 
-// mayVerify reports whether the stream waits for its first event and its first part has not been asked about it yet.
-func (f *inflight) mayVerify() bool {
+// beginVerify reports whether the first server is to be asked if it knows the stream: the stream waits for its first event
+// and this attempt has not asked yet. The caller must ask then.
+func (f *inflight) beginVerify() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.moved.Load() || f.verified || len(f.hops) == 0 {
@@ -150,8 +155,8 @@
 	f.hops, f.servers = nil, nil
 }
 
-// parts returns the path as it is sent.
-func (c course) parts() []call.Part {
+// stages returns the path in the form in which it is sent.
+func (c resolvedPath) stages() []call.Part {
 	out := make([]call.Part, len(c.hops))
 	for i, hop := range c.hops {
 		out[i] = call.Part{Addr: c.servers[i].Addr(), Layers: hop.Layers}
@@ -159,8 +164,8 @@
 	return out
 }
 
-// tookWork notes that every part of the path has taken the request.
-func (f *inflight) tookWork() {
+// noteAccepted notes that every server of the path has accepted the request.
+func (f *inflight) noteAccepted() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
@@ -168,16 +173,16 @@
 	}
 }
 
-// touch notes that the stream moved.
+// touch notes that the stream makes progress now.
 func (f *inflight) touch(h *Handler) { f.lastAt.Store(int64(h.clock.Since(h.watch.start))) }
 
-// pause returns for how long the stream has not moved.
+// pause returns how long ago the stream last made progress.
 func (f *inflight) pause(h *Handler) time.Duration {
 	return h.clock.Since(h.watch.start) - time.Duration(f.lastAt.Load())
 }
 
 // describe returns the path for a log line.
-func (c course) describe() string {
+func (c resolvedPath) describe() string {
 	var b strings.Builder
 	for i, hop := range c.hops {
 		if i > 0 {
--- /dev/null
+++ b/forward/resume.go
@@ -0,0 +1,99 @@
+package forward
+
+import (
+	"context"
+	"time"
+
+	"junctioncross/chain"
+	"junctioncross/decision"
+	"junctioncross/models"
+	"junctioncross/retry"
+)
+
+const (
+	// initialResumePause and maxResumePause bound the backoff of a stream that has begun and was refused by servers: after
+	// about that time what they report of their memory has changed.
+	initialResumePause = 25 * time.Millisecond
+	maxResumePause     = 400 * time.Millisecond
+	// requeryPeriod is how often the servers that a stream ran on are queried whether they have terminated.
+	requeryPeriod = 250 * time.Millisecond
+)
+
+// awaitOnward returns the path on which a stream that has begun is resumed. It waits for as long as the caller does, whatever
+// is in the way: an answer that has begun is better late than cut. If it returns false, the reason tells what was in the way.
+func (h *Handler) awaitOnward(ctx context.Context, f *inflight) (chain.Path, models.Reason, bool) {
+	if f.refusals > 0 && !h.clock.Sleep(ctx, retry.Doubled(initialResumePause, maxResumePause, f.refusals-1)) {
+		return chain.Path{}, models.ReasonNoRoom, false
+	}
+	reported := models.Reason("")
+	var queried time.Time
+	for {
+		h.refreshGroup(f)
+		path, reason := h.resumePath(f)
+		if reason == "" {
+			return path, "", true
+		}
+		if reason == models.ReasonAttempts && h.clock.Since(queried) >= requeryPeriod {
+			if !h.mayStillEnd(ctx, f) {
+				return chain.Path{}, reason, false
+			}
+			queried = h.clock.Now()
+		}
+		if reason != reported {
+			reported = reason
+			h.stats.Counter("onward_waits_total{reason=\"" + string(reason) + "\"}").Inc(1)
+			h.record.Failure(f.r.meta.ID, "waits to go on", h.fields(f.r, decision.Fields{
+				"reason": reason, "last_event": f.events.last, "still_ms": f.pause(h).Milliseconds(), "standing": f.r.standing(),
+				"most_runs": f.r.route.MaxAttempts, "instances": h.census.Instances(),
+			}))
+		}
+		if !h.clock.Sleep(ctx, roomPoll) {
+			return chain.Path{}, reported, false
+		}
+	}
+}
+
+// mayStillEnd queries the servers that the stream ran on, and reports whether it may be resumed later: because one has
+// terminated, or will since it is leaving. Otherwise its caller does better to ask another instance at once.
+func (h *Handler) mayStillEnd(ctx context.Context, f *inflight) bool {
+	for _, s := range f.r.ran {
+		if s.Ended() {
+			continue
+		}
+		ask, cancel := context.WithTimeout(ctx, askTime)
+		report, err := h.caller.Report(ask, s.Addr())
+		cancel()
+		h.believe(s, report, err, "run that broke")
+		if err != nil && s.Gone() && s.LeavingFor(h.clock.Now()) > h.terms.Load().DrainTime {
+			// It has no entry and does not answer: it is partitioned or dead.
+			s.End()
+		}
+		if s.Ended() || s.Leaving() {
+			return true
+		}
+	}
+	return f.r.standing() < f.r.route.MaxAttempts
+}
+
+// resumePath returns a path for a stream that has begun, or the reason why there is none; it takes one retry from the
+// service's budget unless one is granted already.
+func (h *Handler) resumePath(f *inflight) (chain.Path, models.Reason) {
+	if f.r.standing() >= f.r.route.MaxAttempts {
+		return chain.Path{}, models.ReasonAttempts
+	}
+	path, ok := h.choosePath(f)
+	if !ok {
+		return chain.Path{}, models.ReasonNoRoom
+	}
+	if !h.maySend(f.r) {
+		return chain.Path{}, models.ReasonNoBudget
+	}
+	return path, ""
+}
+
+// refreshGroup gives a stream the present servers of its service to choose from.
+func (h *Handler) refreshGroup(f *inflight) {
+	if group := h.board.Current().Group(f.r.group.Service().Name); group != nil {
+		f.r.group = group
+	}
+}
--- a/forward/onward_test.go
+++ b/forward/resume_test.go
@@ -14,7 +14,8 @@
 	"junctioncross/retry"
 )
 
-// begun returns a stream that has begun on some servers of a group, whose route lets so many servers run one request.
+// begun returns a stream whose answer started on some servers of a group; its route lets at most attempts servers run one
+// request.
 func begun(g *backend.Group, attempts int, ran ...int) *inflight {
 	route := &catalog.Route{PauseObjective: 200 * time.Millisecond, Timeout: time.Minute, MaxAttempts: attempts}
 	f := &inflight{r: &request{x: &front.Exchange{}, group: g, route: route}}
@@ -24,34 +25,35 @@
 	return f
 }
 
-// TestServersThatHaveEndedDoNotUseUpTheAttempts lets a stream run on two servers, of which one ends.
-func TestServersThatHaveEndedDoNotUseUpTheAttempts(t *testing.T) {
+// TestTerminatedServersDoNotCountAsAttempts has a stream run on two servers, of which one terminates.
+func TestTerminatedServersDoNotCountAsAttempts(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g, 0))
 	h.SetTerms(Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 10}})
 	f := begun(g, 2, 0, 2)
-	_, obstacle := h.onward(f)
+	_, obstacle := h.resumePath(f)
 	require.Equal(t, models.ReasonAttempts, obstacle)
-	require.True(t, h.mayStillEnd(t.Context(), f), "it shows when the servers are asked")
+	require.True(t, h.mayStillEnd(t.Context(), f), "the queries show that a server has terminated")
 	require.Equal(t, 1, f.r.standing())
-	_, obstacle = h.onward(f)
+	_, obstacle = h.resumePath(f)
 	require.Empty(t, obstacle)
-	require.Equal(t, 2, f.r.runs, "the request may have run all the same")
+	require.Equal(t, 2, f.r.runs, "the request may have run on both all the same")
 }
 
-// TestAnAnnouncedLeavingThatIsOverEndsAServer lets the entries of two servers go, of which one had said that it leaves.
-func TestAnAnnouncedLeavingThatIsOverEndsAServer(t *testing.T) {
+// TestAServerThatAnnouncedLeavingHasEndedOnceRemoved removes the entries of two servers, of which one had announced that it
+// leaves.
+func TestAServerThatAnnouncedLeavingHasEndedOnceRemoved(t *testing.T) {
 	servers := twoCopies().Servers()
 	leave(servers[0])
 	for _, s := range servers[:2] {
 		s.Remove()
 	}
 	require.True(t, servers[0].Ended())
-	require.False(t, servers[1].Ended(), "one that leaves without a word serves on")
+	require.False(t, servers[1].Ended(), "one that leaves without notice keeps working")
 }
 
-// TestAStreamGoesOnWhenThereIsRoomAgain takes every lane away for longer than callers are thought to be patient.
-func TestAStreamGoesOnWhenThereIsRoomAgain(t *testing.T) {
+// TestAStreamIsResumedWhenThereIsRoomAgain makes every server unusable for longer than callers are thought to wait.
+func TestAStreamIsResumedWhenThereIsRoomAgain(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	h.SetTerms(Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 10}})
@@ -75,11 +77,11 @@
 			return false
 		}
 	}, 30*time.Second, time.Millisecond)
-	require.False(t, clock.Now().Before(away), "there was no room before")
+	require.False(t, clock.Now().Before(away), "there is no room before")
 }
 
-// TestAStreamWhoseServersAllStandIsBrokenOffAtOnce lets both servers that a stream ran on answer that they are well.
-func TestAStreamWhoseServersAllStandIsBrokenOffAtOnce(t *testing.T) {
+// TestAStreamIsBrokenOffAtOnceIfItsServersAreAllRunning has both servers that a stream ran on answer that they are well.
+func TestAStreamIsBrokenOffAtOnceIfItsServersAreAllRunning(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newEngines(g))
 	_, why, ok := h.awaitOnward(context.Background(), begun(g, 2, 0, 2))
--- a/forward/reading_test.go
+++ b/forward/resumedprompt_test.go
@@ -10,8 +10,9 @@
 	"junctioncross/front"
 )
 
-// TestAStreamThatGoesOnElsewhereIsMissedWhereItIsForgotten lets the server that goes on with a stream take the request and forget it.
-func TestAStreamThatGoesOnElsewhereIsMissedWhereItIsForgotten(t *testing.T) {
+// TestAResumedStreamIsCutIfItsServerForgotTheRequest lets the server that continues a stream accept the request and forget
+// it.
+func TestAResumedStreamIsCutIfItsServerForgotTheRequest(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	e.forgets = map[string]bool{"one": true}
@@ -22,12 +23,12 @@
 	f.touch(h)
 	clock.Advance(time.Second)
 	h.watch.look(t.Context(), f.first, g, []*inflight{f})
-	require.False(t, isOpen(conn), "its connection is closed, so that it goes on elsewhere")
+	require.False(t, isOpen(conn), "its connection is closed, so that it is resumed at another server")
 }
 
-// TestAStreamThatIsBeingReadElsewhereStays lets a part of a path leave while the first part still reads the prompt of a stream that goes
-// on there.
-func TestAStreamThatIsBeingReadElsewhereStays(t *testing.T) {
+// TestAResumedStreamIsNotMovedWhileItsPromptIsRead lets another server of the path leave while the first server still reads
+// the prompt of a resumed stream.
+func TestAResumedStreamIsNotMovedWhileItsPromptIsRead(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	f, _ := connected(t, h, g, "one", 0, 1)
@@ -38,5 +39,5 @@
 	goodbye(g.Servers()[1], clock)
 	clock.Advance(time.Second)
 	require.Nil(t, h.partToLeave(f))
-	require.False(t, h.watch.still(f), "the reading takes as long as predicted")
+	require.False(t, h.watch.still(f), "reading the prompt takes as long as predicted")
 }
--- a/forward/state.go
+++ b/forward/state.go
@@ -10,40 +10,43 @@
 )
 
 const (
-	// peersAtFirst is the assumed number of instances that share a server until answers tell better.
+	// peersAtFirst is the load ratio that is assumed until answers report one: that of three instances that use the servers
+	// alike.
 	peersAtFirst = 3.0
-	// mostPeers bounds the estimate.
-	mostPeers = 32.0
-	// peersWeight is the weight of the newest answer in the estimate.
-	peersWeight = 0.05
-	// slowCost is what a server that fails all its requests counts beside one that fails none.
-	slowCost = 4.0
+	// maxLoadRatio bounds the load ratio.
+	maxLoadRatio = 32.0
+	// loadRatioWeight is the weight of the newest answer in the load ratio.
+	loadRatioWeight = 0.05
+	// failurePenalty is what the penalty factor of a server gains if it fails all its requests.
+	failurePenalty = 4.0
 )
 
-// peers estimates how much more work the servers have than this instance gives them.
+// peers estimates the load ratio: all work of the servers as a multiple of what this instance gives them.
 type peers struct {
 	factor float64
 }
 
-// observe takes one answer: all that runs on a server, against what runs there for this instance.
+// observe updates the estimate by the load in one answer: the requests that a server runs or queues, against those of this
+// instance.
 func (p *peers) observe(load call.Load, own int) {
 	if !load.Known || own < 1 {
 		return
 	}
-	ratio := min(max(float64(load.Running+load.Waiting)/float64(own), 1), mostPeers)
-	p.factor += (ratio - p.factor) * peersWeight
+	ratio := min(max(float64(load.Running+load.Waiting)/float64(own), 1), maxLoadRatio)
+	p.factor += (ratio - p.factor) * loadRatioWeight
 }
 
-// chainState shows the servers of a group to the choice of a path.
+// chainState implements chain.State for the servers of a group.
 type chainState struct {
 	servers []*backend.Server
 	engine  *catalog.Engine
 	now     time.Time
-	factor  float64
-	// instances is the number of those that share the limits of servers.
+	// factor is the estimated ratio of all work on the servers to the work of this instance.
+	factor float64
+	// instances is the number of instances that share the rate limits of the servers.
 	instances int
-	// regardless counts the memory as free whatever is known of it.
-	regardless bool
+	// ignoreMemory makes all memory count as free, whatever the servers reported of it.
+	ignoreMemory bool
 }
 
 // Usable implements chain.State.
@@ -62,7 +65,7 @@
 		return 0
 	}
 	room := chain.Room(s.engine, kind, server.Layers().Count())
-	if s.regardless {
+	if s.ignoreMemory {
 		return room
 	}
 	if filled, known := server.Filled(s.now, wordAge, 1); known {
@@ -73,5 +76,5 @@
 
 // Penalty implements chain.State.
 func (s *chainState) Penalty(i int) float64 {
-	return s.servers[i].Pace(s.now) * (1 + slowCost*s.servers[i].FailRate())
+	return s.servers[i].Pace(s.now) * (1 + failurePenalty*s.servers[i].FailRate())
 }
--- a/plan/place.go
+++ b/plan/place.go
@@ -8,13 +8,14 @@
 	"junctioncross/models"
 )
 
-// maxSegments bounds the search over the number of cuts of a model.
+// maxSegments limits the number of segments per model that searchCuts tries.
 const maxSegments = 16
 
-// Place returns the document with layers on every backend server that has none yet, and what it did in words.
+// Place returns a copy of the document in which backend servers without layers have been assigned some, where a model can use
+// them, and descriptions of what was assigned and what was not.
 //
-// Every model is cut at the same layers within one failure domain, so that any server of a segment can stand in for any
-// other; the cuts and the servers are chosen so that the slowest segment is as fast as can be.
+// Within one failure domain a model is always cut at the same layers, so that any server of a segment can replace any other.
+// Cuts and servers are chosen to make the slowest segment as fast as possible, now and after the loss of one server.
 func Place(d *intent.Document) (*intent.Document, []string) {
 	next := d.Clone()
 	var effects []string
@@ -25,7 +26,8 @@
 	return next, effects
 }
 
-// modelWeights returns what each model is owed: the weights of the groups that use it, split over their models.
+// modelWeights returns the weight of each model: the sum over the groups that use it, where a group's weight is divided
+// equally among its models.
 func modelWeights(d *intent.Document) map[string]float64 {
 	out := map[string]float64{}
 	for _, g := range d.Groups {
@@ -49,13 +51,15 @@
 	return out
 }
 
-// node is a backend server that can take layers.
+// node is a backend server that layers can be assigned to.
 type node struct {
-	backend   *intent.Backend
+	backend *intent.Backend
+	// rate is the server's LayerRate.
 	rate      float64
 	maxLayers int
 }
 
+// freeNodes returns the servers of a domain that hold no layers and are not retiring, the fastest first.
 func freeNodes(d *intent.Document, domain string) []node {
 	var out []node
 	for i := range d.Backends {
@@ -75,52 +79,53 @@
 	return out
 }
 
-// placeDomain gives the free servers of one domain to the models, until a whole round places none.
+// placeDomain assigns the free servers of one domain to models, in rounds, until a round assigns none.
 func placeDomain(d *intent.Document, domain string, weights map[string]float64) []string {
 	var effects []string
 	for {
-		placed, refused := placeRound(d, domain, weights)
+		placed, skipped := placeRound(d, domain, weights)
 		effects = append(effects, placed...)
 		if len(placed) == 0 {
-			return append(effects, refused...)
+			return append(effects, skipped...)
 		}
 	}
 }
 
-// placeRound deals the free servers out; what a model cannot use is dealt again to the others. It returns what was placed
-// and what will not be.
-func placeRound(d *intent.Document, domain string, weights map[string]float64) (placed, refused []string) {
-	left := map[string]float64{}
+// placeRound distributes the free servers among the models. Servers that a model cannot use are distributed again among the
+// others. It returns descriptions of the placements made and of those that are not possible.
+func placeRound(d *intent.Document, domain string, weights map[string]float64) (placed, skipped []string) {
+	remaining := map[string]float64{}
 	for m, w := range weights {
-		left[m] = w
+		remaining[m] = w
 	}
-	for len(left) > 0 {
+	for len(remaining) > 0 {
 		free := freeNodes(d, domain)
 		if len(free) == 0 {
 			return placed, nil
 		}
-		shares := shareNodes(d, domain, free, left)
+		nodesOf := distributeNodes(d, domain, free, remaining)
 		for i := range d.Models {
 			m := &d.Models[i]
-			nodes := shares[m.Name]
+			nodes := nodesOf[m.Name]
 			effects, ok := placeModel(d, domain, m, nodes)
 			if ok {
 				placed = append(placed, effects...)
 				continue
 			}
-			delete(left, m.Name)
-			refused = append(refused, effects...)
+			delete(remaining, m.Name)
+			skipped = append(skipped, effects...)
 		}
 	}
-	return placed, refused
+	return placed, skipped
 }
 
-// shareNodes deals the servers out, the fastest first, each to the model that has least for its weight.
-func shareNodes(d *intent.Document, domain string, free []node, weights map[string]float64) map[string][]node {
-	have := map[string]float64{}
+// distributeNodes assigns each free server, in order, to the model whose servers in the domain have the lowest throughput
+// relative to its weight.
+func distributeNodes(d *intent.Document, domain string, free []node, weights map[string]float64) map[string][]node {
+	rates := map[string]float64{}
 	for i := range d.Backends {
 		if b := &d.Backends[i]; b.Domain == domain && b.Model != "" && !b.Retiring {
-			have[b.Model] += LayerRate(d.Kind(b.Kind))
+			rates[b.Model] += LayerRate(d.Kind(b.Kind))
 		}
 	}
 	out := map[string][]node{}
@@ -132,20 +137,20 @@
 			if w == 0 {
 				continue
 			}
-			load := have[m.Name] / (w * float64(m.Layers))
+			load := rates[m.Name] / (w * float64(m.Layers))
 			if best == "" || load < lowest {
 				best, lowest = m.Name, load
 			}
 		}
 		if best != "" {
-			have[best] += n.rate
+			rates[best] += n.rate
 			out[best] = append(out[best], n)
 		}
 	}
 	return out
 }
 
-// placeModel gives servers to a model and reports whether any was placed.
+// placeModel assigns layers of a model to servers and reports whether any server got some.
 func placeModel(d *intent.Document, domain string, m *intent.Model, nodes []node) ([]string, bool) {
 	if len(nodes) == 0 {
 		return nil, false
@@ -163,7 +168,8 @@
 		m.Name, domain, best.servers(), len(best.cuts), best.throughput())}, true
 }
 
-// existingCuts returns the segments by which the model is already placed in the domain, or nil.
+// existingCuts returns the segments into which the model is already cut in the domain, or nil if these do not cover each of
+// its layers exactly once.
 func existingCuts(d *intent.Document, domain string, m *intent.Model) []models.Layers {
 	seen := map[models.Layers]bool{}
 	for _, b := range d.Backends {
@@ -182,8 +188,8 @@
 	return cuts
 }
 
-// fillCuts adds servers to the segments of a model that is already placed, the slowest segment first, and reports whether
-// any was placed.
+// fillCuts assigns servers to the segments of a model that is already placed, the slowest segment first, and reports whether
+// any server got a segment.
 func fillCuts(d *intent.Document, domain string, m *intent.Model, cuts []models.Layers, nodes []node) ([]string, bool) {
 	l := newLayout(cuts)
 	for i := range d.Backends {
@@ -196,16 +202,16 @@
 		l.add(n)
 	}
 	l.apply(m.Name)
-	var placed, refused []string
+	var placed, skipped []string
 	for _, n := range nodes {
 		if n.backend.Model == "" {
-			refused = append(refused, fmt.Sprintf("will not place backend server %s: too small for model %s", n.backend.Name, m.Name))
+			skipped = append(skipped, fmt.Sprintf("will not place backend server %s: too small for model %s", n.backend.Name, m.Name))
 			continue
 		}
 		placed = append(placed, fmt.Sprintf("backend server %s loads %s layers %s", n.backend.Name, m.Name, n.backend.Layers))
 	}
 	if len(placed) == 0 {
-		return refused, false
+		return skipped, false
 	}
 	return placed, true
 }
--- /dev/null
+++ b/relay/reports_test.go
@@ -0,0 +1,80 @@
+package relay_test
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"junctioncross/backend"
+	"junctioncross/relay"
+)
+
+// fakeReports holds the shared reports of one instance in memory.
+type fakeReports struct {
+	mu       sync.Mutex
+	unsent   []backend.Word
+	received map[string]backend.Word
+}
+
+// OwnWords implements relay.Words.
+func (n *fakeReports) OwnWords(_, _ time.Time) []backend.Word {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	own := n.unsent
+	n.unsent = nil
+	return own
+}
+
+// Words implements relay.Words.
+func (n *fakeReports) Words(_, _ time.Time) []backend.Word {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	var out []backend.Word
+	for _, w := range n.received {
+		out = append(out, w)
+	}
+	return out
+}
+
+// Hear implements relay.Words.
+func (n *fakeReports) Hear(words []backend.Word, _ time.Time) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	worse := false
+	for _, w := range words {
+		worse = worse || w.Silent && !n.received[w.ID].Silent
+		n.received[w.ID] = w
+	}
+	return worse
+}
+
+func (n *fakeReports) add(w backend.Word) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.unsent = append(n.unsent, w)
+}
+
+func (n *fakeReports) knows(id string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	_, ok := n.received[id]
+	return ok
+}
+
+// TestReportsOfOneInstanceReachItsDomain gives one instance of a domain reports on two servers, of which one is silent.
+func TestReportsOfOneInstanceReachItsDomain(t *testing.T) {
+	s := newStore()
+	words := map[string]*fakeReports{}
+	all := runWith(t, 4, func(int) string { return "east" },
+		func(caller string) relay.Store { return view{store: s, caller: caller} },
+		func(caller string) relay.Words {
+			words[caller] = &fakeReports{received: map[string]backend.Word{}}
+			return words[caller]
+		}, func(string) relay.Ends { return noEnds{} })
+	soon(t, func() bool { return all[0].Direct() && all[3].age() < time.Second })
+	words["i-3"].add(backend.Word{ID: "well", Total: 1})
+	words["i-3"].add(backend.Word{ID: "silent", Silent: true})
+	for _, name := range []string{"i-0", "i-1", "i-2"} {
+		soon(t, func() bool { return words[name].knows("well") && words[name].knows("silent") })
+	}
+}
--- a/relay/play_test.go
+++ b/relay/simulation_test.go
@@ -19,23 +19,24 @@
 )
 
 const (
-	// promise is how long after its acceptance a configuration may be missing at an instance that can hear of it, and longPromise the same
-	// for a fleet of hundreds.
+	// promise is how long after its acceptance a configuration may be missing at an instance that can learn
+	// of it. The second deadline is that of a fleet of hundreds.
 	promise     = 3 * time.Second
 	longPromise = 4 * time.Second
-	// endSlack is how much longer an end under a request may take: what the platform allows fleets of 72 and 295 more than for a configuration.
-	endSlack = time.Second
-	// settled is how long an instance must have run to be held to the promise.
+	// endExtraTime is how much longer an end may take than a configuration; the platform allows fleets of 72 and 295 instances
+	// that much more.
+	endExtraTime = time.Second
+	// settled is how long an instance must have run before the apply deadline holds for it.
 	settled = 6 * time.Second
-	// storeAnswer and linkAnswer are how long the store and another instance take on a calm day, slowAnswer the store on a bad one.
-	storeAnswer = 4 * time.Millisecond
-	linkAnswer  = time.Millisecond
-	slowAnswer  = 200 * time.Millisecond
-	// mostCalls is the most that an instance may ask the store in a day: four times a second.
+	// Latencies of the store and of another instance under normal load, and of the store when it is slow.
+	storeAnswer      = 4 * time.Millisecond
+	linkAnswer       = time.Millisecond
+	slowStoreLatency = 200 * time.Millisecond
+	// mostCalls bounds the store calls of one instance in a scenario: four calls a second.
 	mostCalls = 120
 )
 
-// play is a day with its instances and its store.
+// play runs a scenario with its instances and its store.
 type play struct {
 	day
 	begun   time.Time
@@ -50,7 +51,7 @@
 	stops   []func()
 	// version is the newest configuration; revisions equal versions.
 	version int64
-	// floor is the version after which the store's history is whole.
+	// floor is the version after which the store's history is complete.
 	floor   int64
 	changed chan struct{}
 	calls   []int
@@ -71,7 +72,7 @@
 	return p
 }
 
-// noEnds is Ends of an instance under which no server has ended.
+// noEnds is the Ends of an instance that has seen no server terminate.
 type noEnds struct{}
 
 // Untold implements Ends.
@@ -82,12 +83,12 @@
 
 func (p *play) now() time.Duration { return time.Since(p.begun) }
 
-// start runs an instance with what is real of it but its connections.
+// start runs an instance with all of its real parts but the connections.
 func (p *play) start(i int) {
 	m := p.members[i]
 	board, book, clock := follow.NewBoard(), quarantine.NewBook(quarantine.Terms{Keep: time.Hour, Most: 1000}), timer.NewReal()
-	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 24, ApplyTime: p.promise}, storeOf{p, i}, known(p.members), board, noEnds{}, nil, clock, metrics.New(), p.log)
-	s.peers = peersOf{p, i}
+	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 24, ApplyTime: p.promise}, scenarioStore{p, i}, known(p.members), board, noEnds{}, nil, clock, metrics.New(), p.log)
+	s.peers = scenarioPeers{p, i}
 	ctx, stop := context.WithCancel(context.Background())
 	p.mu.Lock()
 	p.sources[i], p.boards[i], p.books[i], p.stops[i] = s, board, book, stop
@@ -102,7 +103,8 @@
 	p.mu.Unlock()
 }
 
-// turn brings the instances, the store's state and those that wait for it to what the day says of this moment.
+// turn starts and stops instances and updates the store to the present time of the scenario, and wakes the calls that wait
+// for the store.
 func (p *play) turn() {
 	now := p.now()
 	for i := range p.members {
@@ -130,13 +132,13 @@
 	p.changed = make(chan struct{})
 }
 
-// run plays the day and returns what broke the promise.
+// run runs the simulation and returns a line for each missed deadline.
 func (p *play) run() []string {
 	p.turn()
 	var broken []string
-	at := p.bounds()
+	at := p.events()
 	for _, accepted := range p.accepted {
-		at = append(at, accepted+p.promise, accepted+p.promise+endSlack)
+		at = append(at, accepted+p.promise, accepted+p.promise+endExtraTime)
 	}
 	sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
 	for _, next := range at {
@@ -146,13 +148,13 @@
 		time.Sleep(next - p.now())
 		p.turn()
 		synctest.Wait()
-		broken = append(broken, p.check()...)
+		broken = append(broken, p.checkDeadlines()...)
 	}
 	p.end()
 	return broken
 }
 
-// end stops all instances; what was asked last ends within its own bounds.
+// end stops all instances and waits for the calls that are still under way.
 func (p *play) end() {
 	for i := range p.members {
 		if p.stops[i] != nil {
@@ -162,67 +164,69 @@
 	time.Sleep(settled)
 }
 
-// forget lets the calls of the store be counted anew.
+// forget resets the counts of store calls.
 func (p *play) forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.calls)
 }
 
-// check returns which instances lack a configuration, or an end that was written with one, whose time is over.
-func (p *play) check() []string {
+// checkDeadlines returns a line for each instance that lacks a configuration, or an end that was written with one, whose
+// deadline is now.
+func (p *play) checkDeadlines() []string {
 	now := p.now()
 	var out []string
 	for n, accepted := range p.accepted {
 		version := int64(n + 2)
 		switch now {
 		case accepted + p.promise:
-			out = append(out, p.missing("configuration", version, accepted, p.promise, func(i int) bool { return p.has(i) >= version })...)
-		case accepted + p.promise + endSlack:
-			request := endWith(version).Request
-			out = append(out, p.missing("end", version, accepted, p.promise+endSlack, func(i int) bool { return p.books[i].Ends(request) > 0 })...)
+			out = append(out, p.lacking("configuration", version, accepted, p.promise, func(i int) bool { return p.configVersion(i) >= version })...)
+		case accepted + p.promise + endExtraTime:
+			request := endOfVersion(version).Request
+			out = append(out, p.lacking("end", version, accepted, p.promise+endExtraTime, func(i int) bool { return p.books[i].Ends(request) > 0 })...)
 		}
 	}
 	return out
 }
 
-// missing returns which instances lack something that was written at a moment and had its time.
-func (p *play) missing(what string, version int64, written, within time.Duration, has func(i int) bool) []string {
+// lacking returns a line for each instance that lacks something whose deadline has passed and that it could have learned of.
+func (p *play) lacking(what string, version int64, written, within time.Duration, has func(i int) bool) []string {
 	var out []string
 	for i := range p.members {
-		if p.owes(i, written, within) && !has(i) {
+		if p.mustHave(i, written, within) && !has(i) {
 			out = append(out, fmt.Sprintf("%s lacks %s %d, %s after it was written at %s", p.members[i].Name, what, version, within, written))
 		}
 	}
 	return out
 }
 
-func (p *play) has(i int) int64 {
+func (p *play) configVersion(i int) int64 {
 	if c := p.boards[i].Current().Catalog(); c != nil {
 		return c.Version()
 	}
 	return 0
 }
 
-// owes reports whether an instance could hear of what was written all the time: from the store, or from the relay of its domain.
-func (p *play) owes(i int, accepted, within time.Duration) bool {
+// mustHave reports whether an instance could learn of a write during the whole time before its deadline: from the store, or
+// from the relay of its domain.
+func (p *play) mustHave(i int, accepted, within time.Duration) bool {
 	until := accepted + within
-	if !p.during(accepted-settled, until, func(now time.Duration) bool { return !p.killed(i, now) }) {
+	if !p.always(accepted-settled, until, func(now time.Duration) bool { return !p.killed(i, now) }) {
 		return false
 	}
-	if p.during(accepted, until, func(now time.Duration) bool { return p.access(i, now) < refused }) {
+	if p.always(accepted, until, func(now time.Duration) bool { return p.access(i, now) < refused }) {
 		return true
 	}
 	for j, m := range p.members {
-		if m.Domain != p.members[i].Domain || !p.sources[i].first(m.Addr) {
+		if m.Domain != p.members[i].Domain || !p.sources[i].pollsFirst(m.Addr) {
 			continue
 		}
-		return p.during(accepted-settled, until, func(now time.Duration) bool {
-			return !p.killed(j, now) && p.access(j, now) < refused && !p.apart(i, j, now)
+		return p.always(accepted-settled, until, func(now time.Duration) bool {
+			return !p.killed(j, now) && p.access(j, now) < refused && !p.partitioned(i, j, now)
 		})
 	}
 	return false
 }
 
-// first reports whether an instance asks the one at addr before all others.
-func (s *Source) first(addr string) bool { return s.ways()[0].addr == addr }
+// pollsFirst reports whether an instance polls the one at addr before all others.
+func (s *Source) pollsFirst(addr string) bool { return s.ways()[0].addr == addr }
--- a/share/queue.go
+++ b/share/queue.go
@@ -1,15 +1,16 @@
 package share
 
-type ordered interface {
+// heapItem is an element of a queue; the queue keeps its index up to date.
+type heapItem interface {
 	cost() float64
 	setIndex(i int)
 }
 
-func (p *party) cost() float64  { return p.used }
-func (p *party) setIndex(i int) { p.index = i }
+func (p *entity) cost() float64  { return p.weightedCost }
+func (p *entity) setIndex(i int) { p.index = i }
 
-// queue is a heap of parties, the one with the least used cost first.
-type queue[T ordered] []T
+// queue is a heap of groups or accounts, the one with the lowest weighted cost first.
+type queue[T heapItem] []T
 
 // Len implements heap.Interface.
 func (q queue[T]) Len() int { return len(q) }
