--- a/bench/pool.go
+++ b/bench/pool.go
@@ -52,7 +52,7 @@
 			d.Backends = append(d.Backends, intent.Backend{Kind: kind, Model: spec.Models[0].Name})
 		}
 	}
-	return plan.Bound(d, spec.Models[0].Name)
+	return plan.ThroughputBound(d, spec.Models[0].Name)
 }
 
 // checker compares answers with those computed apart.
--- a/control/loop.go
+++ b/control/loop.go
@@ -59,10 +59,10 @@
 type Deps struct {
 	Store  *revision.Store
 	Keeper *revision.Keeper
-	Board  *view.Board
+	Board  *view.SnapshotHolder
 	Gates  *admit.Gates
 	Pool   *pool.Pool
-	Caller *engine.Caller
+	Caller *engine.Client
 	Links  *link.Client
 	Clock  *timer.Service
 	Stats  *metrics.Registry
@@ -225,7 +225,7 @@
 	now := l.deps.Clock.Now()
 	l.slowTicks++
 	if l.slowTicks%heartbeatTicks == 0 {
-		l.table.Beat(now)
+		l.table.Heartbeat(now)
 	}
 	l.table.Forget(now, forgetAfter)
 	l.refreshMembers()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -312,7 +312,7 @@
 
 // Operator returns an operator's client of an entry instance.
 func (f *Fleet) Operator(e *Entry) (*operator.Client, error) {
-	ring, err := keys.NewRing(keys.Files{
+	ring, err := keys.NewCertReloader(keys.Files{
 		Authority:   filepath.Join(f.keyDir(), keys.FileAuthority),
 		Certificate: filepath.Join(f.keyDir(), OperatorName+".pem"),
 		Key:         filepath.Join(f.keyDir(), OperatorName+"-key.pem"),
