--- a/decision/format_test.go
+++ b/decision/format_test.go
@@ -14,7 +14,7 @@
 	"junctioncross/models"
 )
 
-// entry returns a line with values of all kinds that lines have.
+// entry returns a log entry with values of all kinds that occur in lines.
 func entry() *logrus.Entry {
 	return &logrus.Entry{
 		Time: time.Unix(100, 42).UTC(), Level: logrus.WarnLevel, Message: `value "x" not readable`,
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestLinesAreThoseOfTheLoggersOwnFormatter(t *testing.T) {
+func TestFormatMatchesTheJSONFormatterOfLogrus(t *testing.T) {
 	got, err := decision.Formatter{}.Format(entry())
 	require.NoError(t, err)
 	want, err := (&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}).Format(entry())
@@ -35,7 +35,7 @@
 	require.Equal(t, byte('\n'), got[len(got)-1])
 }
 
-func TestANumberThatJSONLacksDoesNotCostTheLine(t *testing.T) {
+func TestANumberThatJSONLacksIsWrittenAsText(t *testing.T) {
 	e := entry()
 	e.Data["likelihood"] = math.NaN()
 	got, err := decision.Formatter{}.Format(e)
--- a/metrics/registry_test.go
+++ b/metrics/registry_test.go
@@ -9,7 +9,7 @@
 	"junctioncross/metrics"
 )
 
-func TestADistributionKeepsItsValuesAndIsMadeOnce(t *testing.T) {
+func TestAHistogramKeepsItsValuesAndIsCreatedOnce(t *testing.T) {
 	stats := metrics.New()
 	for v := range int64(4) {
 		stats.Histogram("wait_ms").Update(v)
@@ -18,5 +18,5 @@
 	require.NoError(t, stats.Write(&out))
 	require.Contains(t, out.String(), "jx_wait_ms_count 4\n")
 	require.Contains(t, out.String(), "jx_wait_ms_sum 6\n")
-	require.Zero(t, testing.AllocsPerRun(100, func() { stats.Histogram("wait_ms") }), "no sample is made for a name that is there")
+	require.Zero(t, testing.AllocsPerRun(100, func() { stats.Histogram("wait_ms") }), "no sample is allocated for an existing name")
 }
--- a/schema/lines.go
+++ b/schema/lines.go
@@ -8,40 +8,42 @@
 	"time"
 )
 
-// requestLines, beliefLines and orderLines hold one value of each line's type; lines with the same message are told apart by their fields.
+// requestLines, beliefLines and orderLines hold one value of the type of each line: those about requests, those about what the
+// instance knows of the fleet and of itself (its beliefs), and those about orders to servers. Several lines may have the same
+// message; these differ in their fields.
 var (
 	requestLines = []any{
 		sentStream{},
 		sentPlain{},
-		turnedAway{},
+		refusedByServer{},
 		streamBroken{},
 		plainBroken{},
-		endedUnder{},
-		harmless{},
-		noRepeat{},
+		terminatedUnderRequest{},
+		requestCleared{},
+		noRetry{},
 		handedOver{},
-		firstSilent{},
-		waitsToGoOn{},
+		firstServerSilent{},
+		waitsToResume{},
 		repaired{},
 		notRepaired{},
 		noPathForRepair{},
 		evacuated{},
 		notEvacuated{},
-		tooLate{},
-		waited{},
+		roomTooLate{},
+		waitedForRoom{},
 		pathRegained{},
 		refused{},
 		denied{},
 		givenUp{},
 		brokenOff{},
 		failurePassedOn{},
-		callerLeft{},
+		callerDisconnected{},
 		finished{},
 		stageFailed{},
-		refusedToday{},
-		brokenOffToday{},
+		refusedJxdRun{},
+		brokenOffJxdRun{},
 		cutByCaller{},
-		finishedToday{},
+		finishedJxdRun{},
 		unexpectedInAttempt{},
 	}
 	beliefLines = []any{
@@ -49,49 +51,49 @@
 		serving{},
 		stopping{},
 		stopped{},
-		unexpected{},
-		reloaded{},
-		notReloaded{},
+		unexpectedEvent{},
+		settingsReloaded{},
+		settingsNotReloaded{},
 		readiness{},
 		metricsNotWritten{},
-		suspendedFor{},
+		machineSuspended{},
 		clockNotRead{},
-		lost{},
-		regained{},
-		heardElsewhere{},
-		notHeard{},
+		dependencyLost{},
+		dependencyRegained{},
+		feedSourceChanged{},
+		feedRequestFailed{},
 		inForce{},
-		inForceToday{},
-		olderIgnored{},
-		notReadable{},
+		inForceJxdRun{},
+		olderConfigIgnored{},
+		valueNotReadable{},
 		serverKnown{},
 		serversKnown{},
 		serverChanged{},
 		serverGone{},
-		endHeard{},
-		endsNotTold{},
-		vanished{},
+		endReceived{},
+		endsNotPublished{},
+		entryVanished{},
 		noAnswer{},
-		garbled{},
-		startedAgain{},
+		reportNotReadable{},
+		otherIncarnationAnswers{},
 		lateEntry{},
 		earlierPosition{},
 		lostWrites{},
-		leftoverEntry{},
-		saysFarewell{},
-		wantsNothing{},
-		namesLimit{},
-		namesNoLimit{},
-		entryOfAnother{},
+		restoredEntry{},
+		leaveNotice{},
+		serverBackOff{},
+		serverLimit{},
+		serverLimitRemoved{},
+		newerIncarnation{},
 		entryUnusable{},
 		otherLayers{},
-		full{},
-		slow{},
-		well{},
+		serverFull{},
+		serverSlow{},
+		serverNormal{},
 		lanes{},
-		repeats{},
-		counted{},
-		notCounted{},
+		retries{},
+		instancesCounted{},
+		instancesNotCounted{},
 		recordNotWritten{},
 		recordEnded{},
 		recordReplaced{},
@@ -99,29 +101,29 @@
 		recordNotRenewed{},
 		peerRefused{},
 		operatorRefused{},
-		confirmed{},
+		planConfirmed{},
 	}
 	orderLines = []any{
-		givesOrders{},
-		noLongerGivesOrders{},
-		rightNotTaken{},
-		rightNotRenewed{},
-		rightNotReturned{},
+		leadershipGained{},
+		leadershipLost{},
+		leadershipNotAcquired{},
+		leadershipNotRenewed{},
+		leadershipNotReleased{},
 		orderGiven{},
-		orderGivenToday{},
+		orderGivenJxdRun{},
 		orderFailed{},
-		orderUnsure{},
+		orderUnanswered{},
 		orderRefused{},
 		orderWithoutEffect{},
 		coverage{},
-		tooSmall{},
+		domainTooSmall{},
 	}
 )
 
-// Kind is what values of a field are.
+// Kind is the type of the values of a field.
 type Kind string
 
-// Kinds of values.
+// The kinds of values; a time is a text in the format of RFC 3339.
 const (
 	KindText    Kind = "text"
 	KindInteger Kind = "integer"
@@ -130,23 +132,23 @@
 	KindTime    Kind = "time"
 )
 
-// Field is one field of a line.
+// Field describes one field of a line.
 type Field struct {
 	Name     string
 	Kind     Kind
 	Optional bool
-	// owner and member name the place of its comment.
-	owner  string
-	member string
+	// typeName and goName are the struct type and the struct field that declare it; its description is the comment there.
+	typeName string
+	goName   string
 }
 
-// Line is one line of the log.
+// Line describes one kind of line in the log.
 type Line struct {
 	Message string
 	Level   string
-	// Fields are those beside the fields of every line.
-	Fields []Field
-	name   string
+	// Fields are the fields in addition to those that every line has.
+	Fields   []Field
+	typeName string
 }
 
 // Field returns the field of that name.
@@ -159,8 +161,8 @@
 	return Field{}, false
 }
 
-// all holds the lines by message.
-var all = sync.OnceValue(func() map[string][]Line {
+// linesByMessage returns all lines, by message.
+var linesByMessage = sync.OnceValue(func() map[string][]Line {
 	out := map[string][]Line{}
 	for _, l := range Lines() {
 		out[l.Message] = append(out[l.Message], l)
@@ -168,25 +170,25 @@
 	return out
 })
 
-// Lines returns all lines.
+// Lines returns the descriptions of all lines.
 func Lines() []Line {
 	return linesOf(slices.Concat(requestLines, beliefLines, orderLines))
 }
 
-// Named returns the lines with a message.
-func Named(message string) []Line { return all()[message] }
+// LinesByMessage returns the lines with the given message.
+func LinesByMessage(message string) []Line { return linesByMessage()[message] }
 
 func linesOf(values []any) []Line {
 	out := make([]Line, len(values))
 	for i, v := range values {
 		t := reflect.TypeOf(v)
 		tag := t.Field(0).Tag
-		out[i] = Line{Message: tag.Get("msg"), Level: tag.Get("level"), Fields: fieldsOf(t), name: t.Name()}
+		out[i] = Line{Message: tag.Get("msg"), Level: tag.Get("level"), Fields: fieldsOf(t), typeName: t.Name()}
 	}
 	return out
 }
 
-// fieldsOf returns the fields of a type and of those that are embedded in it.
+// fieldsOf returns the log fields of a struct type and of the structs embedded in it.
 func fieldsOf(t reflect.Type) []Field {
 	var out []Field
 	for i := range t.NumField() {
@@ -196,7 +198,7 @@
 			continue
 		}
 		if name, rest, _ := strings.Cut(f.Tag.Get("log"), ","); name != "" {
-			out = append(out, Field{Name: name, Kind: kindOf(f.Type), Optional: rest == "optional", owner: t.Name(), member: f.Name})
+			out = append(out, Field{Name: name, Kind: kindOf(f.Type), Optional: rest == "optional", typeName: t.Name(), goName: f.Name})
 		}
 	}
 	return out
--- a/schema/reference.go
+++ b/schema/reference.go
@@ -19,8 +19,9 @@
 const head = `# Lines of the log
 
 Written by ` + "`jxd lines > docs/LOG.md`" + ` from the types of package schema; a test compares the two. An instance prints one JSON object a
-line: ` + "`jxd serve`" + ` to standard output, ` + "`jxd run`" + ` to standard error. Fields that may be missing are marked "maybe". Names end in their unit.
-Two lines with the same ` + "`msg`" + ` are told apart by their fields. How to read a story: docs/OPERATIONS.md.
+line: ` + "`jxd serve`" + ` to standard output, ` + "`jxd run`" + ` to standard error. Fields that may be missing are marked "maybe". The names of
+quantities end in their unit. Lines with the same ` + "`msg`" + ` differ in their fields. How to follow a request through the log:
+docs/OPERATIONS.md.
 
 `
 
@@ -32,14 +33,14 @@
 	}
 	var out strings.Builder
 	out.WriteString(head + "## In every line\n\n")
-	writeFields(&out, fieldsOf(reflect.TypeFor[every]()), comments)
+	writeFields(&out, fieldsOf(reflect.TypeFor[commonFields]()), comments)
 	for _, part := range []struct {
 		title string
 		lines []any
 	}{{"Requests", requestLines}, {"Beliefs", beliefLines}, {"Orders", orderLines}} {
 		out.WriteString("\n## " + part.title + "\n")
 		for _, l := range linesOf(part.lines) {
-			fmt.Fprintf(&out, "\n### %s\n\n%s Level %s.\n", l.Message, comments[l.name], l.Level)
+			fmt.Fprintf(&out, "\n### %s\n\n%s Level %s.\n", l.Message, comments[l.typeName], l.Level)
 			if len(l.Fields) > 0 {
 				out.WriteString("\n")
 				writeFields(&out, l.Fields, comments)
@@ -56,11 +57,11 @@
 		if f.Optional {
 			maybe = "maybe"
 		}
-		fmt.Fprintf(out, "| `%s` | %s | %s | %s |\n", f.Name, f.Kind, maybe, comments[f.owner+"."+f.member])
+		fmt.Fprintf(out, "| `%s` | %s | %s | %s |\n", f.Name, f.Kind, maybe, comments[f.typeName+"."+f.goName])
 	}
 }
 
-// typeComments returns the doc comments of all types and of their fields.
+// typeComments returns the doc comments of all types, by name, and of their fields, by Type.Field.
 func typeComments() (map[string]string, error) {
 	out := map[string]string{}
 	files, err := doccomment.Files(sources)
@@ -82,17 +83,19 @@
 	}
 	for _, s := range types.Specs {
 		spec := s.(*ast.TypeSpec)
-		out[spec.Name.Name] = text(types.Doc)
+		out[spec.Name.Name] = joinedText(types.Doc)
 		fields, ok := spec.Type.(*ast.StructType)
 		if !ok {
 			continue
 		}
 		for _, f := range fields.Fields.List {
 			for _, name := range f.Names {
-				out[spec.Name.Name+"."+name.Name] = text(f.Doc)
+				out[spec.Name.Name+"."+name.Name] = joinedText(f.Doc)
 			}
 		}
 	}
 }
 
-func text(comment *ast.CommentGroup) string { return strings.Join(strings.Fields(comment.Text()), " ") }
+func joinedText(comment *ast.CommentGroup) string {
+	return strings.Join(strings.Fields(comment.Text()), " ")
+}
