--- a/app/provide.go
+++ b/app/provide.go
@@ -151,7 +151,7 @@
 
 func newLoop(ctx context.Context, self control.Self, mux *link.Mux, d loopDeps) *control.Loop {
 	loop := control.New(ctx, self, control.Deps{
-		Store: d.Store, Keeper: d.Keeper, Board: d.Board, Gates: d.Gates, Pool: d.Pool, Caller: d.Engines,
+		Store: d.Store, Keeper: d.Keeper, Board: d.Board, Gates: d.Gates, Pool: d.Pool, Engines: d.Engines,
 		Links: d.Links, Clock: d.Clock, Stats: d.Stats, Log: d.Log,
 	})
 	loop.Register(mux)
--- a/control/loop.go
+++ b/control/loop.go
@@ -57,16 +57,16 @@
 
 // Deps are the dependencies of the control loop.
 type Deps struct {
-	Store  *revision.Store
-	Keeper *revision.Keeper
-	Board  *view.SnapshotHolder
-	Gates  *admit.Gates
-	Pool   *pool.Pool
-	Caller *engine.Client
-	Links  *link.Client
-	Clock  *timer.Service
-	Stats  *metrics.Registry
-	Log    *logrus.Logger
+	Store   *revision.Store
+	Keeper  *revision.Keeper
+	Board   *view.SnapshotHolder
+	Gates   *admit.Gates
+	Pool    *pool.Pool
+	Engines *engine.Client
+	Links   *link.Client
+	Clock   *timer.Service
+	Stats   *metrics.Registry
+	Log     *logrus.Logger
 }
 
 // Loop is the control goroutine and its helper goroutines.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -58,7 +58,7 @@
 	bin         string
 	dir         string
 	starter     *starter
-	proxies     *Faults
+	proxies     *Proxies
 	kvAddr      string
 	listAddr    string
 	weightsAddr string
@@ -108,8 +108,8 @@
 // KVAddr returns the address of the key-value service.
 func (f *Fleet) KVAddr() string { return f.kvAddr }
 
-// Faults returns the proxies between the fleet's processes.
-func (f *Fleet) Faults() *Faults { return f.proxies }
+// Proxies returns the proxies between the fleet's processes.
+func (f *Fleet) Proxies() *Proxies { return f.proxies }
 
 // Spec returns the description the fleet was started from.
 func (f *Fleet) Spec() Spec { return f.spec }
--- a/fleet/proxies.go
+++ b/fleet/proxies.go
@@ -6,9 +6,9 @@
 	"junctioncross/fault"
 )
 
-// Faults holds the proxies that inject faults between the processes of a fleet. If the fleet is not proxied, there are none,
+// Proxies holds the proxies that inject faults between the processes of a fleet. If the fleet is not proxied, there are none,
 // and its processes reach each other directly.
-type Faults struct {
+type Proxies struct {
 	proxied bool
 
 	mu      sync.Mutex
@@ -18,30 +18,30 @@
 	peers   map[string]*fault.UDP
 }
 
-func newProxies(proxied bool) *Faults {
-	return &Faults{
+func newProxies(proxied bool) *Proxies {
+	return &Proxies{
 		proxied: proxied, kv: map[string]*fault.TCP{}, list: map[string]*fault.TCP{},
 		engines: map[string]*fault.TCP{}, peers: map[string]*fault.UDP{},
 	}
 }
 
 // KV returns the proxy between a domain and the key-value service.
-func (f *Faults) KV(domain string) *fault.TCP { return f.kv[domain] }
+func (f *Proxies) KV(domain string) *fault.TCP { return f.kv[domain] }
 
 // List returns the proxy between a domain and the instance list.
-func (f *Faults) List(domain string) *fault.TCP { return f.list[domain] }
+func (f *Proxies) List(domain string) *fault.TCP { return f.list[domain] }
 
 // Engine returns the proxy in front of an engine.
-func (f *Faults) Engine(name string) *fault.TCP { return f.engines[name] }
+func (f *Proxies) Engine(name string) *fault.TCP { return f.engines[name] }
 
 // Peer returns the proxy in front of an entry instance's listener for other instances.
-func (f *Faults) Peer(name string) *fault.UDP { return f.peers[name] }
+func (f *Proxies) Peer(name string) *fault.UDP { return f.peers[name] }
 
 // engineAddr returns the address under which entry instances reach an engine.
-func (f *Faults) engineAddr(e *Engine) (string, error) { return f.tcpAddr(f.engines, e.Name, e.Addr) }
+func (f *Proxies) engineAddr(e *Engine) (string, error) { return f.tcpAddr(f.engines, e.Name, e.Addr) }
 
 // platformAddrs returns the addresses under which a domain reaches the key-value service and the instance list.
-func (f *Faults) platformAddrs(domain, kv, list string) (kvAddr, listAddr string, err error) {
+func (f *Proxies) platformAddrs(domain, kv, list string) (kvAddr, listAddr string, err error) {
 	if kvAddr, err = f.tcpAddr(f.kv, domain, kv); err != nil {
 		return "", "", err
 	}
@@ -50,7 +50,7 @@
 }
 
 // tcpAddr returns the address of the proxy of that name, which is started if needed; without proxies it returns upstream.
-func (f *Faults) tcpAddr(all map[string]*fault.TCP, name, upstream string) (string, error) {
+func (f *Proxies) tcpAddr(all map[string]*fault.TCP, name, upstream string) (string, error) {
 	if !f.proxied {
 		return upstream, nil
 	}
@@ -68,7 +68,7 @@
 }
 
 // peerAddr returns the address under which other instances reach an entry instance.
-func (f *Faults) peerAddr(e *Entry) (string, error) {
+func (f *Proxies) peerAddr(e *Entry) (string, error) {
 	if !f.proxied {
 		return e.Peers, nil
 	}
@@ -80,7 +80,7 @@
 	return p.Addr(), nil
 }
 
-func (f *Faults) close() {
+func (f *Proxies) close() {
 	for _, all := range []map[string]*fault.TCP{f.kv, f.list, f.engines} {
 		for _, p := range all {
 			p.Close()
--- a/fleet/spec.go
+++ b/fleet/spec.go
@@ -48,7 +48,7 @@
 type ServiceSpec struct {
 	Name  string
 	Count int
-	Calls []intent.Call
+	Calls []intent.CallRule
 }
 
 // Names in the Spec that Users returns.
@@ -63,9 +63,9 @@
 	ServiceBooking = "bookings"
 )
 
-// Users returns the Spec of a fleet like that of today's two users, who have a model each: three failure domains, eight entry
+// DefaultSpec returns the Spec of a fleet like that of today's two users, who have a model each: three failure domains, eight entry
 // instances, engines of five kinds and plain services.
-func Users() Spec {
+func DefaultSpec() Spec {
 	return Spec{
 		Domains: []string{"fukuoka", "kumamoto", "kagoshima"},
 		Entries: []int{3, 3, 2},
@@ -113,8 +113,8 @@
 
 func services() []ServiceSpec {
 	return []ServiceSpec{
-		{Name: ServiceCards, Count: 2, Calls: []intent.Call{{Method: "GET", Path: "/", Repeatable: true}}},
-		{Name: ServiceBooking, Count: 2, Calls: []intent.Call{
+		{Name: ServiceCards, Count: 2, Calls: []intent.CallRule{{Method: "GET", Path: "/", Repeatable: true}}},
+		{Name: ServiceBooking, Count: 2, Calls: []intent.CallRule{
 			{Method: "GET", Path: "/rates", Repeatable: true},
 			{Method: "POST", Path: "/confirm", Repeatable: false},
 		}},
--- a/intent/document.go
+++ b/intent/document.go
@@ -64,8 +64,8 @@
 	Layers models.Layers `json:"layers" yaml:"-"`
 }
 
-// Call says whether the calls of a plain service whose method and path prefix match may be repeated.
-type Call struct {
+// CallRule says whether the calls of a plain service whose method and path prefix match may be repeated.
+type CallRule struct {
 	Method     string `json:"method" yaml:"method" validate:"oneof=GET POST PUT PATCH DELETE"`
 	Path       string `json:"path" yaml:"path" validate:"required"`
 	Repeatable bool   `json:"repeatable" yaml:"repeatable"`
@@ -73,9 +73,9 @@
 
 // Service is one plain service; a call that no entry of Calls matches is not repeatable.
 type Service struct {
-	Name  string   `json:"name" yaml:"name" validate:"required"`
-	Addrs []string `json:"addrs" yaml:"addrs" validate:"min=1,dive,ipport"`
-	Calls []Call   `json:"calls" yaml:"calls" validate:"dive"`
+	Name  string     `json:"name" yaml:"name" validate:"required"`
+	Addrs []string   `json:"addrs" yaml:"addrs" validate:"min=1,dive,ipport"`
+	Calls []CallRule `json:"calls" yaml:"calls" validate:"dive"`
 }
 
 // Document is the complete configuration that operators set.
