--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -9,7 +9,7 @@
 	"junctioncross/capacity"
 )
 
-func TestThePageFollowsFromTheFigures(t *testing.T) {
+func TestPageMatchesTheFigures(t *testing.T) {
 	f, err := capacity.ReadFigures("../docs/figures")
 	require.NoError(t, err)
 	page, err := capacity.Page(f)
--- a/capacity/hosted.go
+++ b/capacity/hosted.go
@@ -2,36 +2,36 @@
 
 import "math"
 
-// largestSweep is the number of instances of the largest day that was played.
-const largestSweep = 300.0
+// largestRun is the number of instances of the largest day that was played.
+const largestRun = 300.0
 
-// carried returns a figure of the largest day carried on to the size of two years on, by the power with which it grew.
-func (b *book) carried(name string) float64 {
-	return b.get(name+"_300") * math.Pow(daemons/largestSweep, b.get(name+"_power"))
+// extrapolated returns a figure of the largest day extrapolated on to the size of two years on, by the power with which it grew.
+func (b *pageBuilder) extrapolated(name string) float64 {
+	return b.get(name+"_300") * math.Pow(instances/largestRun, b.get(name+"_power"))
 }
 
-// sizes returns a row with the busiest instance of each size, and one that carries it on.
-func (b *book) sizes(quantity, name, unit string) []Row {
+// sizeRows returns a row with the busiest instance of each size, and one that carries it on.
+func (b *pageBuilder) sizeRows(quantity, name, unit string) []Row {
 	const at = "sweep, the busiest of 30, 100 and 300 instances with ten servers each; the day of 300 was given up at 15.4 s"
 	return []Row{
-		row(quantity, Measured, at, "%.4g / %.4g / %.4g %s", b.get(name+"_30"), b.get(name+"_100"), b.get(name+"_300"), unit),
-		row(quantity+" at 410", WorkedOut, "the power between these sizes", "%.4g %s", b.carried(name), unit),
+		newRow(quantity, Measured, at, "%.4g / %.4g / %.4g %s", b.get(name+"_30"), b.get(name+"_100"), b.get(name+"_300"), unit),
+		newRow(quantity+" at 410", WorkedOut, "the power between these sizes", "%.4g %s", b.extrapolated(name), unit),
 	}
 }
 
 // hosted is the instance in front of a platform's own servers; its busiest is the relay of a domain.
-func (b *book) hosted() Role {
-	rows := b.sizes("processor time", "sweep_cpu_pct", "% of a core")
-	rows = append(rows, b.sizes("memory", "sweep_rss_mb", "MB")...)
-	rows = append(rows, b.sizes("bytes", "sweep_kb_s", "kB/s")...)
-	rows = append(rows, b.sizes("connections", "sweep_conns", "open")...)
+func (b *pageBuilder) hosted() Role {
+	rows := b.sizeRows("processor time", "sweep_cpu_pct", "% of a core")
+	rows = append(rows, b.sizeRows("memory", "sweep_rss_mb", "MB")...)
+	rows = append(rows, b.sizeRows("bytes", "sweep_kb_s", "kB/s")...)
+	rows = append(rows, b.sizeRows("connections", "sweep_conns", "open")...)
 	rows = append(rows,
-		row("bytes of the middle instance at 300", Measured, "the same day", "%.0f kB/s", b.get("sweep_kb_s_middle_300")),
-		row("configuration in force at 300, longest", Measured, "the same day", "%.0f ms", b.get("sweep_in_force_ms_300")),
-		row("serving again after the end of all, 30 / 100 / 300", Measured, "the same days", "%.1f / %.1f / %.1f s",
+		newRow("bytes of the middle instance at 300", Measured, "the same day", "%.0f kB/s", b.get("sweep_kb_s_middle_300")),
+		newRow("configuration in force at 300, longest", Measured, "the same day", "%.0f ms", b.get("sweep_in_force_ms_300")),
+		newRow("serving again after the end of all, 30 / 100 / 300", Measured, "the same days", "%.1f / %.1f / %.1f s",
 			b.get("sweep_serving_ms_30")/1000, b.get("sweep_serving_ms_100")/1000, b.get("sweep_serving_ms_300")/1000),
 	)
-	rows = append(rows, b.wholeFleet()...)
+	rows = append(rows, b.fleetRows()...)
 	return Role{
 		name: "Instance of jxd serve (one relay in each domain)", mechanism: "relay, follow, census, forward", rows: rows,
 		twice: "from 985 instances on: the relay's answers in steady state, 2.5 to 5 a second for each instance of its domain, and changes of" +
@@ -42,21 +42,21 @@
 	}
 }
 
-// wholeFleet is what a fleet of hundreds does at a start, and what it did before its records were bounded.
-func (b *book) wholeFleet() []Row {
+// fleetRows is what a fleet of hundreds does at a start, and what it did before its records were bounded.
+func (b *pageBuilder) fleetRows() []Row {
 	const (
 		played = "relay/fleetstart_test.go, simulated time, store's line of 1,000 Mbit/s"
 		base   = "base line of 985 instances and 3,005 servers, which served nearly nobody"
 	)
 	return []Row{
-		row("start of all, 985 / 2,000 instances", Measured, played, "%.2f / %.2f s", b.get("fleet_start_s_985"), b.get("fleet_start_s_2000")),
-		row("the same, store slow for the first 5 s", Measured, played, "%.2f / %.2f s", b.get("fleet_slow_s_985"), b.get("fleet_slow_s_2000")),
-		row("priced calls to the store of a start, 985 / 2,000", Measured, played, "%.0f / %.0f", b.get("fleet_start_calls_985"), b.get("fleet_start_calls_2000")),
-		row("records in the store", WorkedOut, "8 to relays.from for each domain, however many instances", "40 to 120 in 5 domains"),
-		row("records read at a start", WorkedOut, "985 x 50 records x 300 B, of 125 MB/s", "15 MB; 290 MB before, each instance having one"),
-		row("calls to the store in 49 s, before", Measured, base, "%.0f", b.get("fleet_base_calls")),
-		row("requests served, before", Measured, base, "%.1f %%", b.get("fleet_base_served_pct")),
-		row("processor time in the mean, before", Measured, base, "%.2f %% of a core", b.get("fleet_base_cpu_pct")),
-		row("memory and descriptors at most, before", Measured, base, "%.1f MB, %.0f", b.get("fleet_base_rss_mb"), b.get("fleet_base_files")),
+		newRow("start of all, 985 / 2,000 instances", Measured, played, "%.2f / %.2f s", b.get("fleet_start_s_985"), b.get("fleet_start_s_2000")),
+		newRow("the same, store slow for the first 5 s", Measured, played, "%.2f / %.2f s", b.get("fleet_slow_s_985"), b.get("fleet_slow_s_2000")),
+		newRow("priced calls to the store of a start, 985 / 2,000", Measured, played, "%.0f / %.0f", b.get("fleet_start_calls_985"), b.get("fleet_start_calls_2000")),
+		newRow("records in the store", WorkedOut, "8 to relays.from for each domain, however many instances", "40 to 120 in 5 domains"),
+		newRow("records read at a start", WorkedOut, "985 x 50 records x 300 B, of 125 MB/s", "15 MB; 290 MB before, each instance having one"),
+		newRow("calls to the store in 49 s, before", Measured, base, "%.0f", b.get("fleet_base_calls")),
+		newRow("requests served, before", Measured, base, "%.1f %%", b.get("fleet_base_served_pct")),
+		newRow("processor time in the mean, before", Measured, base, "%.2f %% of a core", b.get("fleet_base_cpu_pct")),
+		newRow("memory and descriptors at most, before", Measured, base, "%.1f MB, %.0f", b.get("fleet_base_rss_mb"), b.get("fleet_base_files")),
 	}
 }
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -32,7 +32,7 @@
 
 // Page returns the whole page; the error names a figure that was not measured.
 func Page(f *Figures) (string, error) {
-	b := &book{figures: f}
+	b := &pageBuilder{figures: f}
 	var out strings.Builder
 	out.WriteString(head)
 	out.WriteString("\n## Against the limits\n\n")
@@ -41,28 +41,28 @@
 	for _, r := range b.roles() {
 		writeRole(&out, r)
 	}
-	writeDay(&out, b)
+	writeFaults(&out, b)
 	out.WriteString(tail)
 	return out.String(), b.err
 }
 
 // limit compares a value with what the users allow.
 type limit struct {
-	name  string
-	value float64
-	most  float64
-	unit  string
-	how   string
+	name    string
+	value   float64
+	allowed float64
+	unit    string
+	how     string
 }
 
-func (b *book) limits() []limit {
-	memory := b.get("control_rss_mb_"+measuredSize) + b.get("config_state_mb_20000")
+func (b *pageBuilder) limits() []limit {
+	memory := b.get("control_rss_mb_"+measuredInstances) + b.get("config_state_mb_20000")
 	return []limit{
-		{"control, processor time", b.get("control_cpu_pct_" + measuredSize), limitCPU, "% of a core", "measured at 64 instances"},
+		{"control, processor time", b.get("control_cpu_pct_" + measuredInstances), limitCPU, "% of a core", "measured at 64 instances"},
 		{"control, memory", memory, limitMemoryMB, "MB", "whole idle process at 64 instances + configuration of 20,000 accounts"},
-		{"control, bytes", b.get("control_bytes_s_" + measuredSize), limitBytesS, "B/s", "measured at 64 instances"},
-		{"key-value writes", 2*claimsS + domains/1.5, limitKVWritesS, "a second", "claims and outcomes, leases; 'some hundred' taken as 300"},
-		{"key-value reads", 2*claimsS*(domains-1) + b.get("kv_calls_s_"+measuredSize)*domains, limitKVReadsS, "a second", "claims read by the other domains' writers, watches"},
+		{"control, bytes", b.get("control_bytes_s_" + measuredInstances), limitBytesPerSecond, "B/s", "measured at 64 instances"},
+		{"key-value writes", 2*claimsPerSecond + domains/1.5, limitKVWritesPerSecond, "a second", "claims and outcomes, leases; 'some hundred' taken as 300"},
+		{"key-value reads", 2*claimsPerSecond*(domains-1) + b.get("kv_calls_s_"+measuredInstances)*domains, limitKVReadsPerSecond, "a second", "claims read by the other domains' writers, watches"},
 		{"configuration in force, max", b.get("config_in_force_ms_max"), limitInForceMS, "ms", "measured on 105 instances"},
 		{"first token, middle, saturated", b.get("first_ms_p50"), limitFirstMS, "ms", "measured with 260 callers on places for about 170; the wait for a place is most of it"},
 		{"between tokens, 95 in 100, saturated", b.get("gap_ms_p95"), limitGapMS, "ms", "measured at saturation on engines with steps of 16 to 26 ms"},
@@ -72,11 +72,11 @@
 func writeLimits(out *strings.Builder, limits []limit) {
 	out.WriteString("| limit | value | allowed | margin | how |\n|---|---|---|---|---|\n")
 	for _, l := range limits {
-		margin := fmt.Sprintf("%.0f %%", 100*(1-l.value/l.most))
-		if l.value > l.most {
+		margin := fmt.Sprintf("%.0f %%", 100*(1-l.value/l.allowed))
+		if l.value > l.allowed {
 			margin = "**none: over**"
 		}
-		fmt.Fprintf(out, "| %s | %.4g %s | %.4g | %s | %s |\n", l.name, l.value, l.unit, l.most, margin, l.how)
+		fmt.Fprintf(out, "| %s | %.4g %s | %.4g | %s | %s |\n", l.name, l.value, l.unit, l.allowed, margin, l.how)
 	}
 }
 
@@ -89,11 +89,11 @@
 	fmt.Fprintf(out, "\nFirst to break at twice the size: %s\n\nAt ten times: %s\n", r.twice, r.tenfold)
 }
 
-// writeDay works out what an ordinary day's faults and the rare ones touch.
-func writeDay(out *strings.Builder, b *book) {
+// writeFaults works out what an ordinary day's faults and the rare ones touch.
+func writeFaults(out *strings.Builder, b *pageBuilder) {
 	const serversTotal = replicas * stagesPerReplica
-	perServer := tokensS * gapSeconds * stagesPerReplica / serversTotal
-	perDaemon := tokensPerDaemon * gapSeconds
+	perServer := tokensPerSecond * tokenGapSeconds * stagesPerReplica / serversTotal
+	perInstance := tokensPerInstance * tokenGapSeconds
 	killed, hung := b.get("recovery_ms_p99"), b.get("recovery_hung_ms_p99")
 	out.WriteString("\n## A day's faults\n\n| fault | how often | requests touched | capacity lost | what callers see |\n|---|---|---|---|---|\n")
 	lines := []string{
@@ -101,9 +101,9 @@
 			perServer, serversPerDomain/35/stagesPerReplica, killed, b.get("recovery_answers_hit")),
 		fmt.Sprintf("| a backend server hangs | among the 17 | %.0f answers | the same | a pause, 99 in 100 within %.0f ms of the %.0f answers hit in the bench |", perServer, hung, b.get("recovery_hung_answers_hit")),
 		"| a planned replacement | 83 a day | none cut | the server, until its layers are loaded elsewhere | nothing |",
-		fmt.Sprintf("| an entry instance dies | among the 17 | %.0f answers under way are cut | 1 of 410 | the connection breaks; a repeat elsewhere is answered in %.0f ms (measured, idle) |", perDaemon, b.get("entry_killed_answer_ms")),
+		fmt.Sprintf("| an entry instance dies | among the 17 | %.0f answers under way are cut | 1 of 410 | the connection breaks; a repeat elsewhere is answered in %.0f ms (measured, idle) |", perInstance, b.get("entry_killed_answer_ms")),
 		fmt.Sprintf("| a rack or switch | every month or two | 40 servers assumed: %.0f answers | 40 of 2,400 servers | pauses; recomputation of %.0f prompts at once, which is not measured |", 40*perServer, 40*perServer),
-		fmt.Sprintf("| a failure domain | once or twice a year | %.0f answers of its own instances are cut | one seventh | callers go to other domains, which refuse what is over their places |", tokensS*gapSeconds/domains),
+		fmt.Sprintf("| a failure domain | once or twice a year | %.0f answers of its own instances are cut | one seventh | callers go to other domains, which refuse what is over their places |", tokensPerSecond*tokenGapSeconds/domains),
 		"| regions apart for minutes | several times a year | none | none | each domain serves with its own servers and the configuration it has |",
 	}
 	out.WriteString(strings.Join(lines, "\n") + "\n")
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -29,7 +29,7 @@
 	control := []curve{
 		{"processor time / 1 % of a core", "control_cpu_pct_", limitCPU, color.RGBA{R: 200, A: 255}},
 		{"memory / 32 MB", "control_rss_mb_", limitMemoryMB, color.RGBA{G: 140, A: 255}},
-		{"bytes / 25 KB/s", "control_bytes_s_", limitBytesS, color.RGBA{B: 200, A: 255}},
+		{"bytes / 25 KB/s", "control_bytes_s_", limitBytesPerSecond, color.RGBA{B: 200, A: 255}},
 	}
 	if err := draw(f, filepath.Join(dir, "control.svg"), "instances of a domain", "share of the limit", []int{8, 32, 64, 128}, control); err != nil {
 		return err
