--- a/bench/config.go
+++ b/bench/config.go
@@ -16,13 +16,13 @@
 const (
 	// configChanges is the number of changes without a disturbance; runs with one make a third of them.
 	configChanges = 12
-	// configPause lies between two changes, and configSettle is what the last one has to arrive everywhere.
-	configPause  = 300 * time.Millisecond
-	configSettle = 2500 * time.Millisecond
-	// configCut is how long a domain is cut from everything outside of it.
-	configCut = 20 * time.Second
-	// slowAnswerMS is how long a call takes to the slow key-value service.
-	slowAnswerMS = 400
+	// changeInterval lies between two changes, and configSettle is what the last one has to arrive everywhere.
+	changeInterval  = 300 * time.Millisecond
+	propagationTime = 2500 * time.Millisecond
+	// partitionTime is how long a domain is cut from everything outside of it.
+	partitionTime = 20 * time.Second
+	// slowKVLatencyMS is how long a call takes to the slow key-value service.
+	slowKVLatencyMS = 400
 )
 
 // controlSpec describes a fleet without requests: domains of alike size and engines that share one process a domain.
@@ -54,7 +54,7 @@
 	defer f.Stop()
 	p.Figure("instances", domains*entries, "processes")
 	b := &configBench{fleet: f, printer: p, weight: 1}
-	for _, step := range []func() error{b.undisturbed, b.slow, b.cutFromService, b.cutFromAll, b.conflicts} {
+	for _, step := range []func() error{b.measureUndisturbed, b.measureSlowKV, b.measureKVCut, b.measurePartition, b.countDoubleAccepts} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -70,44 +70,44 @@
 	weight  float64
 }
 
-type accepted struct {
+type acceptedChange struct {
 	revision revision.Number
 	at       time.Time
 }
 
-// change confirms one change and returns its revision with the time before the confirmation was sent.
-func (b *configBench) change() (accepted, error) {
+// confirmChange confirms one confirmChange and returns its revision with the time before the confirmation was sent.
+func (b *configBench) confirmChange() (acceptedChange, error) {
 	b.weight++
 	plan, err := b.fleet.Propose("bench", fleet.ShareChange("counter", b.weight))
 	if err != nil {
-		return accepted{}, err
+		return acceptedChange{}, err
 	}
 	client, err := b.fleet.Operator(b.fleet.Entries()[0])
 	if err != nil {
-		return accepted{}, err
+		return acceptedChange{}, err
 	}
 	at := time.Now()
 	entry, err := client.Confirm(plan.ID)
-	return accepted{revision: entry.Revision, at: at}, err
+	return acceptedChange{revision: entry.Revision, at: at}, err
 }
 
-func (b *configBench) changes(count int) ([]accepted, error) {
-	var out []accepted
+func (b *configBench) confirmChanges(count int) ([]acceptedChange, error) {
+	var out []acceptedChange
 	for range count {
-		a, err := b.change()
+		a, err := b.confirmChange()
 		if err != nil {
 			return nil, err
 		}
 		out = append(out, a)
-		time.Sleep(configPause)
+		time.Sleep(changeInterval)
 	}
-	time.Sleep(configSettle)
+	time.Sleep(propagationTime)
 	return out, nil
 }
 
-// measure prints how long the revisions took on the instances of the named domains, all when none is named.
-func (b *configBench) measure(name string, all []accepted, domains ...string) error {
-	delays, missing, err := delaysOf(b.fleet, all, domains)
+// printDelays prints how long the revisions took on the instances of the named domains, all when none is named.
+func (b *configBench) printDelays(name string, changes []acceptedChange, domains ...string) error {
+	delays, missing, err := delaysOf(b.fleet, changes, domains)
 	if err != nil {
 		return err
 	}
@@ -116,52 +116,52 @@
 	return nil
 }
 
-func (b *configBench) undisturbed() error {
-	all, err := b.changes(configChanges)
+func (b *configBench) measureUndisturbed() error {
+	all, err := b.confirmChanges(configChanges)
 	if err != nil {
 		return err
 	}
-	return b.measure("config_in_force_ms", all)
+	return b.printDelays("config_in_force_ms", all)
 }
 
-func (b *configBench) slow() error {
-	if err := fleet.Post(b.fleet.KVAddr(), "/faults", standin.Faults{SlowMS: slowAnswerMS}); err != nil {
+func (b *configBench) measureSlowKV() error {
+	if err := fleet.Post(b.fleet.KVAddr(), "/faults", standin.Faults{SlowMS: slowKVLatencyMS}); err != nil {
 		return err
 	}
-	all, err := b.changes(configChanges / 3)
+	all, err := b.confirmChanges(configChanges / 3)
 	if err != nil {
 		return err
 	}
 	if err := fleet.Post(b.fleet.KVAddr(), "/faults", standin.Faults{}); err != nil {
 		return err
 	}
-	return b.measure("config_slow_kv_ms", all)
+	return b.printDelays("config_slow_kv_ms", all)
 }
 
-// cutFromService cuts the last domain from the key-value service and list, but not from other instances.
-func (b *configBench) cutFromService() error {
+// measureKVCut cuts the last domain from the key-value service and list, but not from other instances.
+func (b *configBench) measureKVCut() error {
 	domain := b.lastDomain()
 	b.fleet.Faults().KV(domain).Cut()
 	b.fleet.Faults().List(domain).Cut()
 	time.Sleep(time.Second)
-	all, err := b.changes(configChanges / 3)
+	all, err := b.confirmChanges(configChanges / 3)
 	if err != nil {
 		return err
 	}
-	return b.measure("config_kv_cut_ms", all, domain)
+	return b.printDelays("config_kv_cut_ms", all, domain)
 }
 
-// cutFromAll cuts the last domain from everything outside it for a while; the revisions made meanwhile must arrive after.
-func (b *configBench) cutFromAll() error {
+// measurePartition cuts the last domain from everything outside it for a while; the revisions made meanwhile must arrive after.
+func (b *configBench) measurePartition() error {
 	domain := b.lastDomain()
-	b.eachPeerOutside(domain, func(name string) { b.fleet.Faults().Peer(name).Cut() })
+	b.forEachPeerOutside(domain, func(name string) { b.fleet.Faults().Peer(name).Cut() })
 	start := time.Now()
-	a, err := b.change()
+	a, err := b.confirmChange()
 	if err != nil {
 		return err
 	}
-	time.Sleep(configCut - time.Since(start))
-	b.eachPeerOutside(domain, func(name string) { b.fleet.Faults().Peer(name).Heal() })
+	time.Sleep(partitionTime - time.Since(start))
+	b.forEachPeerOutside(domain, func(name string) { b.fleet.Faults().Peer(name).Heal() })
 	if err := b.fleet.Faults().KV(domain).Heal(); err != nil {
 		return err
 	}
@@ -169,16 +169,16 @@
 		return err
 	}
 	healed := time.Now()
-	time.Sleep(configSettle)
-	delays, missing, err := delaysOf(b.fleet, []accepted{{revision: a.revision, at: healed}}, []string{domain})
+	time.Sleep(propagationTime)
+	delays, missing, err := delaysOf(b.fleet, []acceptedChange{{revision: a.revision, at: healed}}, []string{domain})
 	b.printer.Figure("catch_up_ms_max", millis(quantile(delays, 1)), "ms")
 	b.printer.Figure("catch_up_missing", float64(missing), "count")
 	return err
 }
 
-// eachPeerOutside names the instances of every other domain: with their proxies cut, the domain reaches none of them.
+// forEachPeerOutside names the instances of every other domain: with their proxies cut, the domain reaches none of them.
 // Calls from them into the domain are made by nobody but an operator's status.
-func (b *configBench) eachPeerOutside(domain string, do func(name string)) {
+func (b *configBench) forEachPeerOutside(domain string, do func(name string)) {
 	for _, e := range b.fleet.Entries() {
 		if e.Domain != domain {
 			do(e.Name)
@@ -191,12 +191,12 @@
 	return domains[len(domains)-1]
 }
 
-// conflicts confirms rival plans at the same time on different instances and counts rounds that accepted two.
-func (b *configBench) conflicts() error {
+// countDoubleAccepts confirms rival plans at the same time on different instances and counts rounds that accepted two.
+func (b *configBench) countDoubleAccepts() error {
 	const rounds = 5
 	doubles := 0
 	for range rounds {
-		accepted, err := b.conflict()
+		accepted, err := b.confirmConflicting()
 		if err != nil {
 			return err
 		}
@@ -208,7 +208,7 @@
 	return nil
 }
 
-func (b *configBench) conflict() (int, error) {
+func (b *configBench) confirmConflicting() (int, error) {
 	entries := b.fleet.Entries()
 	const rivals = 4
 	plans := make([]revision.Plan, rivals)
--- a/bench/control.go
+++ b/bench/control.go
@@ -29,7 +29,7 @@
 func Control(bin string, p *Printer) error {
 	var points []controlPoint
 	for _, n := range controlSizes {
-		point, err := controlAt(bin, n)
+		point, err := measureControl(bin, n)
 		if err != nil {
 			return err
 		}
@@ -61,7 +61,7 @@
 	p.Figure("kv_calls_s"+at, c.kvCalls, "calls/s")
 }
 
-func controlAt(bin string, instances int) (controlPoint, error) {
+func measureControl(bin string, instances int) (controlPoint, error) {
 	f, err := fleet.Start(controlSpec(1, instances, domainBackends), bin)
 	if err != nil {
 		return controlPoint{}, err
--- a/bench/inforce.go
+++ b/bench/inforce.go
@@ -42,7 +42,7 @@
 }
 
 // delaysOf returns, for each revision and instance, the time until that revision or a later one was in force.
-func delaysOf(f *fleet.Fleet, all []accepted, domains []string) (delays []time.Duration, missing int, err error) {
+func delaysOf(f *fleet.Fleet, changes []acceptedChange, domains []string) (delays []time.Duration, missing int, err error) {
 	for _, e := range f.Entries() {
 		if len(domains) > 0 && e.Domain != domains[0] {
 			continue
@@ -51,7 +51,7 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		for _, a := range all {
+		for _, a := range changes {
 			d, ok := delayOf(lines, a)
 			if !ok {
 				missing++
@@ -63,7 +63,7 @@
 	return delays, missing, nil
 }
 
-func delayOf(lines []logLine, a accepted) (time.Duration, bool) {
+func delayOf(lines []logLine, a acceptedChange) (time.Duration, bool) {
 	for _, l := range lines {
 		if l.Revision >= a.revision {
 			return max(l.Time.Sub(a.at), 0), true
--- a/bench/meter.go
+++ b/bench/meter.go
@@ -8,16 +8,16 @@
 // tokenMeter counts the tokens that arrive within a window.
 type tokenMeter struct {
 	tokens  atomic.Int64
-	seconds [maxSeconds]atomic.Int64
+	seconds [maxMeteredSeconds]atomic.Int64
 }
 
-// maxSeconds is the number of seconds that are counted one by one.
-const maxSeconds = 60
+// maxMeteredSeconds is the number of seconds that are counted one by one.
+const maxMeteredSeconds = 60
 
 func (m *tokenMeter) count(start time.Time, window time.Duration) {
 	if since := time.Since(start); since >= 0 && since < window {
 		m.tokens.Add(1)
-		m.seconds[min(int(since.Seconds()), maxSeconds-1)].Add(1)
+		m.seconds[min(int(since.Seconds()), maxMeteredSeconds-1)].Add(1)
 	}
 }
 
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	overloadBefore = 8 * time.Second
-	overloadTime   = 14 * time.Second
-	overloadAfter  = 10 * time.Second
-	overloadTokens = 20
-	// offeredShare is the share of the bound that counts as the load of one.
-	offeredShare = 0.8
-	overload     = 3
-	// heavyParts is what one account offers where each of the others offers one part.
-	heavyParts = 10
-	// shareSettle is how long the queues take to fill before shares are compared.
-	shareSettle = 2 * time.Second
-	// returned is the share of the earlier goodput at which it counts as back.
-	returned = 0.95
+	timeBefore           = 8 * time.Second
+	timeOverloaded       = 14 * time.Second
+	timeAfter            = 10 * time.Second
+	overloadAnswerTokens = 20
+	// normalLoadRatio is the share of the bound that counts as the load of one.
+	normalLoadRatio = 0.8
+	overloadFactor  = 3
+	// heavyAccountFactor is what one account offers where each of the others offers one part.
+	heavyAccountFactor = 10
+	// queueFillTime is how long the queues take to fill before shares are compared.
+	queueFillTime = 2 * time.Second
+	// returnRatio is the share of the earlier goodput at which it counts as back.
+	returnRatio = 0.95
 )
 
 // Overload measures what becomes of goodput and shares when three times the load is offered, one account ten times as much
@@ -35,17 +35,17 @@
 		return err
 	}
 	defer f.Stop()
-	rate := boundOf(spec) * offeredShare / overloadTokens
+	rate := throughputBound(spec) * normalLoadRatio / overloadAnswerTokens
 	p.Figure("offered_requests_s", rate, "requests/s")
 	b := &overloadBench{fleet: f, printer: p}
-	before := b.run("before", rate, overloadBefore)
-	during := b.run("during", overload*rate, overloadTime)
-	after := b.run("after", rate, overloadAfter)
-	usual := goodput(before, overloadBefore)
-	p.Figure("goodput_tokens_s", usual, "tokens/s")
-	p.Figure("goodput_ratio_3x", goodput(during, overloadTime)/usual, "ratio")
-	p.Figure("goodput_return_s", returnTime(after, usual), "s")
-	p.Figure("share_error_max", shareError(settled(during)), "ratio")
+	before := b.run("before", rate, timeBefore)
+	during := b.run("during", overloadFactor*rate, timeOverloaded)
+	after := b.run("after", rate, timeAfter)
+	normal := goodput(before, timeBefore)
+	p.Figure("goodput_tokens_s", normal, "tokens/s")
+	p.Figure("goodput_ratio_3x", goodput(during, timeOverloaded)/normal, "ratio")
+	p.Figure("goodput_return_s", returnTime(after, normal), "s")
+	p.Figure("share_error_max", shareError(afterQueueFill(during)), "ratio")
 	printShares(p, during)
 	return nil
 }
@@ -60,16 +60,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), window)
 	defer cancel()
 	accounts := b.fleet.Spec().Accounts
-	next := asks(b.fleet, overloadTokens)
+	next := requests(b.fleet, overloadAnswerTokens)
 	result := load.RunOpen(ctx, rate, func(n int) load.Ask {
 		a := next(n)
-		part := n % (heavyParts + len(accounts) - 1)
-		a.Key = accounts[max(part-heavyParts+1, 0)].Key
+		part := n % (heavyAccountFactor + len(accounts) - 1)
+		a.Key = accounts[max(part-heavyAccountFactor+1, 0)].Key
 		return a
-	}, checker(b.fleet.Spec()))
-	t := result.Tally()
-	printTally(b.printer, name+"_", t)
-	b.printer.Figure(name+"_first_ms_p95", millis(quantile(t.First, 0.95)), "ms")
+	}, answerCheck(b.fleet.Spec()))
+	summary := result.Summarize()
+	printSummary(b.printer, name+"_", summary)
+	b.printer.Figure(name+"_first_ms_p95", millis(quantile(summary.FirstTokenTimes, 0.95)), "ms")
 	return result.Outcomes()
 }
 
@@ -77,53 +77,53 @@
 func goodput(outcomes []load.Outcome, window time.Duration) float64 {
 	tokens := 0
 	for _, o := range outcomes {
-		if good(o) {
-			tokens += o.Reply.Pieces
+		if correct(o) {
+			tokens += o.Reply.Tokens
 		}
 	}
 	return float64(tokens) / window.Seconds()
 }
 
-func good(o load.Outcome) bool { return o.Err == nil && o.Reply.Whole() && !o.Wrong }
+func correct(o load.Outcome) bool { return o.Err == nil && o.Reply.Complete() && !o.Wrong }
 
 // returnTime returns when the goodput of a second first reached the usual one again, in seconds after the overload; not a
 // number when it never did.
-func returnTime(outcomes []load.Outcome, usual float64) float64 {
+func returnTime(outcomes []load.Outcome, normal float64) float64 {
 	if len(outcomes) == 0 {
 		return math.NaN()
 	}
-	start := firstAsked(outcomes)
+	start := firstStart(outcomes)
 	perSecond := map[int]int{}
 	for _, o := range outcomes {
-		if good(o) {
-			perSecond[int(o.At.Sub(start).Seconds())] += o.Reply.Pieces
+		if correct(o) {
+			perSecond[int(o.Start.Sub(start).Seconds())] += o.Reply.Tokens
 		}
 	}
-	for s := range int(overloadAfter.Seconds()) {
-		if float64(perSecond[s]) >= returned*usual {
+	for s := range int(timeAfter.Seconds()) {
+		if float64(perSecond[s]) >= returnRatio*normal {
 			return float64(s + 1)
 		}
 	}
 	return math.NaN()
 }
 
-// firstAsked returns when the first of the requests was asked for; there must be one.
-func firstAsked(outcomes []load.Outcome) time.Time {
-	first := outcomes[0].At
+// firstStart returns when the first of the requests was asked for; there must be one.
+func firstStart(outcomes []load.Outcome) time.Time {
+	first := outcomes[0].Start
 	for _, o := range outcomes {
-		if o.At.Before(first) {
-			first = o.At
+		if o.Start.Before(first) {
+			first = o.Start
 		}
 	}
 	return first
 }
 
-// settled returns the outcomes of requests that were asked for after the first seconds, in which the queues fill.
-func settled(outcomes []load.Outcome) []load.Outcome {
-	first := firstAsked(outcomes)
+// afterQueueFill returns the outcomes of requests that were asked for after the first seconds, in which the queues fill.
+func afterQueueFill(outcomes []load.Outcome) []load.Outcome {
+	first := firstStart(outcomes)
 	var out []load.Outcome
 	for _, o := range outcomes {
-		if o.At.Sub(first) >= shareSettle {
+		if o.Start.Sub(first) >= queueFillTime {
 			out = append(out, o)
 		}
 	}
@@ -140,8 +140,8 @@
 		byKey[o.Ask.Key].Add(o)
 	}
 	for key, r := range byKey {
-		t := r.Tally()
-		p.Note("account %s asked %d whole %d refused %d first p50 %.0f ms", key, t.Asked, t.Whole, t.Refused, millis(quantile(t.First, 0.5)))
+		t := r.Summarize()
+		p.Note("account %s asked %d whole %d refused %d first p50 %.0f ms", key, t.Requests, t.Complete, t.Refused, millis(quantile(t.FirstTokenTimes, 0.5)))
 	}
 }
 
@@ -153,8 +153,8 @@
 	for _, o := range outcomes {
 		byKey[o.Ask.Key] += 0
 		if o.Reply != nil {
-			byKey[o.Ask.Key] += float64(o.Reply.Pieces)
-			total += float64(o.Reply.Pieces)
+			byKey[o.Ask.Key] += float64(o.Reply.Tokens)
+			total += float64(o.Reply.Tokens)
 		}
 	}
 	worst := 0.0
--- a/bench/pool.go
+++ b/bench/pool.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// boundOf returns the tokens a second that the hardware of the fleet allows for the model.
-func boundOf(spec fleet.Spec) float64 {
+// throughputBound returns the tokens a second that the hardware of the fleet allows for the model.
+func throughputBound(spec fleet.Spec) float64 {
 	d := &intent.Document{Models: spec.Models, Kinds: spec.Kinds}
 	for range spec.Domains {
 		for _, kind := range spec.Engines {
@@ -55,8 +55,8 @@
 	return plan.Bound(d, spec.Models[0].Name)
 }
 
-// checker compares answers with those computed apart.
-func checker(spec fleet.Spec) load.Check {
+// answerCheck compares answers with those computed apart.
+func answerCheck(spec fleet.Spec) load.Check {
 	m := spec.Models[0]
 	model := standin.NewModel(m.Name, m.Version, m.Layers)
 	return func(a load.Ask, r *load.Reply) bool {
@@ -65,8 +65,8 @@
 	}
 }
 
-// asks returns a function that spreads requests over the instances.
-func asks(f *fleet.Fleet, limit int) func(n int) load.Ask {
+// requests returns a function that spreads requests over the instances.
+func requests(f *fleet.Fleet, limit int) func(n int) load.Ask {
 	return func(n int) load.Ask {
 		e := f.Entries()[n%len(f.Entries())]
 		return load.Ask{
@@ -76,14 +76,14 @@
 	}
 }
 
-// printTally prints what became of the requests.
-func printTally(p *Printer, prefix string, t load.Tally) {
-	p.Figure(prefix+"requests", float64(t.Asked), "count")
-	p.Figure(prefix+"whole", float64(t.Whole), "count")
-	p.Figure(prefix+"refused", float64(t.Refused), "count")
-	p.Figure(prefix+"lost", float64(t.Lost), "count")
-	p.Figure(prefix+"wrong", float64(t.Wrong), "count")
-	for reason, n := range t.Reasons {
+// printSummary prints what became of the requests.
+func printSummary(p *Printer, prefix string, s load.Summary) {
+	p.Figure(prefix+"requests", float64(s.Requests), "count")
+	p.Figure(prefix+"whole", float64(s.Complete), "count")
+	p.Figure(prefix+"refused", float64(s.Refused), "count")
+	p.Figure(prefix+"lost", float64(s.Lost), "count")
+	p.Figure(prefix+"wrong", float64(s.Wrong), "count")
+	for reason, n := range s.Reasons {
 		p.Figure(prefix+"reason_"+string(reason), float64(n), "count")
 	}
 }
--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -16,13 +16,13 @@
 const (
 	recoveryWorkers = 24
 	recoveryFaults  = 6
-	recoveryPeriod  = 1500 * time.Millisecond
-	recoveryRevive  = 500 * time.Millisecond
+	faultInterval   = 1500 * time.Millisecond
+	faultDuration   = 500 * time.Millisecond
 	randomWorkers   = 72
 	randomWindow    = 20 * time.Second
 	randomTokens    = 24
-	// noticeable is how many times the usual gap an answer must pause to count as hit by a fault.
-	noticeable = 2
+	// minPauseFactor is how many times the usual gap an answer must pause to count as hit by a fault.
+	minPauseFactor = 2
 )
 
 // Recovery measures how long answers pause when stages are killed or hang, and what becomes of requests under random
@@ -35,59 +35,59 @@
 		return err
 	}
 	defer f.Stop()
-	recoverFrom(f, p, "recovery", func(e *fleet.Engine) { e.Process.Kill() }, func(e *fleet.Engine) { _ = f.StartEngine(e) })
-	recoverFrom(f, p, "recovery_hung",
+	measureRecovery(f, p, "recovery", func(e *fleet.Engine) { e.Process.Kill() }, func(e *fleet.Engine) { _ = f.StartEngine(e) })
+	measureRecovery(f, p, "recovery_hung",
 		func(e *fleet.Engine) { _ = fleet.SetEngineFault(e, standin.EngineFault{Hung: true}) },
 		func(e *fleet.Engine) { _ = fleet.SetEngineFault(e, standin.EngineFault{}) })
-	if err := randomFaults(f, p); err != nil {
+	if err := measureRandomFaults(f, p); err != nil {
 		return err
 	}
-	return entryKilled(f, p)
+	return measureEntryKill(f, p)
 }
 
-// recoverFrom breaks an engine now and then under steady load and prints how long the answers that it worked on paused.
-func recoverFrom(f *fleet.Fleet, p *Printer, name string, breakIt, mend func(*fleet.Engine)) {
-	ctx, cancel := context.WithTimeout(context.Background(), recoveryPeriod*(recoveryFaults+1))
+// measureRecovery breaks an engine now and then under steady load and prints how long the answers that it worked on paused.
+func measureRecovery(f *fleet.Fleet, p *Printer, name string, inject, heal func(*fleet.Engine)) {
+	ctx, cancel := context.WithTimeout(context.Background(), faultInterval*(recoveryFaults+1))
 	defer cancel()
 	var mu sync.Mutex
-	var broken []time.Time
+	var faultTimes []time.Time
 	go func() {
 		for n := range recoveryFaults {
-			time.Sleep(recoveryPeriod)
+			time.Sleep(faultInterval)
 			victim := f.Engines()[n%len(f.Engines())]
 			mu.Lock()
-			broken = append(broken, time.Now())
+			faultTimes = append(faultTimes, time.Now())
 			mu.Unlock()
-			breakIt(victim)
-			time.AfterFunc(recoveryRevive, func() { mend(victim) })
+			inject(victim)
+			time.AfterFunc(faultDuration, func() { heal(victim) })
 		}
 	}()
-	result := load.RunClosed(ctx, recoveryWorkers, asks(f, 2*answerTokens), checker(f.Spec()))
+	result := load.RunClosed(ctx, recoveryWorkers, requests(f, 2*answerTokens), answerCheck(f.Spec()))
 	mu.Lock()
 	defer mu.Unlock()
-	tally := result.Tally()
-	usual := quantile(tally.Gaps, 0.5)
-	pauses := pausesAt(result.Outcomes(), broken, noticeable*usual)
-	stages := time.Duration(2)
+	summary := result.Summarize()
+	usualGap := quantile(summary.Gaps, 0.5)
+	pauses := pausesAt(result.Outcomes(), faultTimes, minPauseFactor*usualGap)
+	stageCount := time.Duration(2)
 	p.Figure(name+"_ms_p50", millis(quantile(pauses, 0.5)), "ms")
 	p.Figure(name+"_ms_p99", millis(quantile(pauses, 0.99)), "ms")
-	p.Figure(name+"_steps_p99", float64(quantile(pauses, 0.99))/float64(usual/stages), "steps")
+	p.Figure(name+"_steps_p99", float64(quantile(pauses, 0.99))/float64(usualGap/stageCount), "steps")
 	p.Figure(name+"_answers_hit", float64(len(pauses)), "count")
-	printTally(p, name+"_", tally)
+	printSummary(p, name+"_", summary)
 }
 
 // pausesAt returns the gaps longer than least that span one of the moments.
-func pausesAt(outcomes []load.Outcome, moments []time.Time, least time.Duration) []time.Duration {
+func pausesAt(outcomes []load.Outcome, faultTimes []time.Time, minGap time.Duration) []time.Duration {
 	var out []time.Duration
 	for _, o := range outcomes {
 		if o.Reply == nil {
 			continue
 		}
-		at := o.At.Add(o.Reply.First)
+		at := o.Start.Add(o.Reply.FirstTokenTime)
 		for _, gap := range o.Reply.Gaps {
 			end := at.Add(gap)
-			for _, m := range moments {
-				if gap > least && at.Before(m.Add(gap/2)) && end.After(m) {
+			for _, m := range faultTimes {
+				if gap > minGap && at.Before(m.Add(gap/2)) && end.After(m) {
 					out = append(out, end.Sub(m))
 					break
 				}
@@ -98,28 +98,28 @@
 	return out
 }
 
-// randomFaults brings faults about at random, one after the other and together, under load from many callers.
-func randomFaults(f *fleet.Fleet, p *Printer) error {
+// measureRandomFaults brings faults about at random, one after the other and together, under load from many callers.
+func measureRandomFaults(f *fleet.Fleet, p *Printer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), randomWindow)
 	defer cancel()
 	faultsDone := make(chan struct{})
 	go func() {
 		defer close(faultsDone)
-		breakAtRandom(ctx, f)
+		injectRandomFaults(ctx, f)
 	}()
-	result := load.RunClosed(ctx, randomWorkers, asks(f, randomTokens), checker(f.Spec()))
+	result := load.RunClosed(ctx, randomWorkers, requests(f, randomTokens), answerCheck(f.Spec()))
 	<-faultsDone
-	tally := result.Tally()
-	printTally(p, "random_", tally)
-	p.Figure("lost", float64(tally.Lost), "count")
-	p.Figure("crossed_or_doubled", float64(tally.Wrong), "count")
-	lies, err := falseNotRun(f, result)
-	p.Figure("false_not_run", float64(lies), "count")
+	summary := result.Summarize()
+	printSummary(p, "random_", summary)
+	p.Figure("lost", float64(summary.Lost), "count")
+	p.Figure("crossed_or_doubled", float64(summary.Wrong), "count")
+	falseCount, err := falseNotRun(f, result)
+	p.Figure("false_not_run", float64(falseCount), "count")
 	return err
 }
 
-// breakAtRandom repeats: an engine is killed, hangs, slows tenfold, or its link resets or delays, for a short while.
-func breakAtRandom(ctx context.Context, f *fleet.Fleet) {
+// injectRandomFaults repeats: an engine is killed, hangs, slows tenfold, or its link resets or delays, for a short while.
+func injectRandomFaults(ctx context.Context, f *fleet.Fleet) {
 	random := rand.New(rand.NewPCG(1, 2))
 	const pause = 300 * time.Millisecond
 	for ctx.Err() == nil {
@@ -165,27 +165,27 @@
 			return 0, err
 		}
 	}
-	lies := 0
+	count := 0
 	for _, o := range result.Outcomes() {
 		if o.Reply != nil && o.Reply.Fate == models.FateNotRun && started[o.Reply.RequestID] {
-			lies++
+			count++
 		}
 	}
-	return lies, nil
+	return count, nil
 }
 
-// entryKilled kills an instance under load and prints how long its callers wait for an answer from another one.
-func entryKilled(f *fleet.Fleet, p *Printer) error {
+// measureEntryKill kills an instance under load and prints how long its callers wait for an answer from another one.
+func measureEntryKill(f *fleet.Fleet, p *Printer) error {
 	victim, other := f.Entries()[0], f.Entries()[1]
 	victim.Process.Kill()
 	start := time.Now()
-	ask := asks(f, 4)(0)
+	ask := requests(f, 4)(0)
 	ask.Addr = other.Callers
 	r, err := load.NewClient().Stream(context.Background(), ask)
 	if err != nil {
 		return err
 	}
-	p.Figure("entry_killed_first_token_ms", millis(r.First), "ms")
+	p.Figure("entry_killed_first_token_ms", millis(r.FirstTokenTime), "ms")
 	p.Figure("entry_killed_answer_ms", millis(time.Since(start)), "ms")
 	return nil
 }
--- a/bench/state.go
+++ b/bench/state.go
@@ -31,11 +31,11 @@
 	placed, _ := plan.Place(d)
 	p.Figure("plan_s", time.Since(start).Seconds(), "s")
 	for _, accounts := range []int{designAccounts / 4, designAccounts / 2, designAccounts} {
-		if err := stateOf(p, placed, accounts); err != nil {
+		if err := measureState(p, placed, accounts); err != nil {
 			return err
 		}
 	}
-	return graphs(p, placed)
+	return measureGraphs(p, placed)
 }
 
 func designDocument(accounts int) *intent.Document {
@@ -64,8 +64,8 @@
 	return out
 }
 
-// stateOf measures the configuration in force with that many accounts.
-func stateOf(p *Printer, placed *intent.Document, accounts int) error {
+// measureState measures the configuration in force with that many accounts.
+func measureState(p *Printer, placed *intent.Document, accounts int) error {
 	d := placed.Clone()
 	d.Accounts = designAccountList(accounts)
 	segments, err := revision.Split(d)
@@ -110,8 +110,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// graphs measures the building of the graphs of all models over the servers of one domain.
-func graphs(p *Printer, d *intent.Document) error {
+// measureGraphs measures the building of the measureGraphs of all models over the servers of one domain.
+func measureGraphs(p *Printer, d *intent.Document) error {
 	start := time.Now()
 	lanes := 0
 	for _, m := range d.Models {
@@ -126,17 +126,17 @@
 	}
 	p.Figure("graphs_ms", millis(time.Since(start)), "ms")
 	p.Figure("lanes_of_a_domain", float64(lanes), "count")
-	return whole(d)
+	return checkTiling(d)
 }
 
-// whole checks that the placed layers of every model tile it in the first domain.
-func whole(d *intent.Document) error {
+// checkTiling checks that the placed layers of every model tile it in the first domain.
+func checkTiling(d *intent.Document) error {
 	for _, m := range d.Models {
-		cuts := map[models.Layers]bool{}
+		counted := map[models.Layers]bool{}
 		layers := 0
 		for _, b := range d.Backends {
-			if b.Model == m.Name && b.Domain == "d0" && !cuts[b.Layers] {
-				cuts[b.Layers] = true
+			if b.Model == m.Name && b.Domain == "d0" && !counted[b.Layers] {
+				counted[b.Layers] = true
 				layers += b.Layers.Count()
 			}
 		}
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	throughputWarm   = 3 * time.Second
-	throughputWindow = 12 * time.Second
-	churnPeriod      = 5 * time.Second
-	churnWindow      = 16 * time.Second
-	saturation       = 260
-	answerTokens     = 40
+	warmUpTime        = 3 * time.Second
+	throughputWindow  = 12 * time.Second
+	churnPeriod       = 5 * time.Second
+	churnWindow       = 16 * time.Second
+	saturatingCallers = 260
+	answerTokens      = 40
 )
 
 // Throughput measures delivered tokens against the bound of the hardware, undisturbed and while engines are killed, slowed
@@ -28,13 +28,13 @@
 		return err
 	}
 	defer f.Stop()
-	bound := boundOf(spec)
+	bound := throughputBound(spec)
 	p.Figure("bound_tokens_s", bound, "tokens/s")
 	before, err := sampleControl(f)
 	if err != nil {
 		return err
 	}
-	rate, tally := saturate(p, f, throughputWindow, nil)
+	rate, summary := measureSaturated(p, f, throughputWindow, nil)
 	after, err := sampleControl(f)
 	if err != nil {
 		return err
@@ -42,16 +42,16 @@
 	p.Figure("tokens_s", rate, "tokens/s")
 	p.Figure("throughput_ratio", rate/bound, "ratio")
 	cores := (after.cpu - before.cpu).Seconds()
-	p.Figure("tokens_per_core_s", float64(tally.Tokens)/cores, "tokens/core-s")
-	p.Figure("gap_ms_p95", millis(quantile(tally.Gaps, 0.95)), "ms")
-	p.Figure("first_ms_p50", millis(quantile(tally.First, 0.5)), "ms")
-	printTally(p, "saturated_", tally)
+	p.Figure("tokens_per_core_s", float64(summary.Tokens)/cores, "tokens/core-s")
+	p.Figure("gap_ms_p95", millis(quantile(summary.Gaps, 0.95)), "ms")
+	p.Figure("first_ms_p50", millis(quantile(summary.FirstTokenTimes, 0.5)), "ms")
+	printSummary(p, "saturated_", summary)
 	if err := printEngines(f, p); err != nil {
 		return err
 	}
-	rate, tally = saturate(p, f, churnWindow, churn)
+	rate, summary = measureSaturated(p, f, churnWindow, churn)
 	p.Figure("throughput_ratio_churn", rate/bound, "ratio")
-	printTally(p, "churn_", tally)
+	printSummary(p, "churn_", summary)
 	return printRetries(f, p)
 }
 
@@ -81,29 +81,29 @@
 		if err != nil {
 			return err
 		}
-		busy := float64(t.BusyMicros) / float64((throughputWarm + throughputWindow).Microseconds())
+		busy := float64(t.BusyMicros) / float64((warmUpTime + throughputWindow).Microseconds())
 		p.Note("engine %s layers %s busy %.2f batch %.1f", e.Name, r.Layers, busy, float64(t.Sequences)/float64(max(t.Steps, 1)))
 	}
 	return nil
 }
 
-// saturate keeps more requests under way than the engines can batch and returns the tokens a second within the window.
-func saturate(p *Printer, f *fleet.Fleet, window time.Duration, disturb func(ctx context.Context, f *fleet.Fleet)) (float64, load.Tally) {
-	ctx, cancel := context.WithTimeout(context.Background(), throughputWarm+window)
+// measureSaturated keeps more requests under way than the engines can batch and returns the tokens a second within the window.
+func measureSaturated(p *Printer, f *fleet.Fleet, window time.Duration, disturb func(ctx context.Context, f *fleet.Fleet)) (float64, load.Summary) {
+	ctx, cancel := context.WithTimeout(context.Background(), warmUpTime+window)
 	defer cancel()
 	var meter tokenMeter
-	next := asks(f, answerTokens)
-	start := time.Now().Add(throughputWarm)
+	next := requests(f, answerTokens)
+	start := time.Now().Add(warmUpTime)
 	if disturb != nil {
 		go disturb(ctx, f)
 	}
-	result := load.RunClosed(ctx, saturation, func(n int) load.Ask {
+	result := load.RunClosed(ctx, saturatingCallers, func(n int) load.Ask {
 		a := next(n)
 		a.OnToken = func(int) { meter.count(start, window) }
 		return a
-	}, checker(f.Spec()))
+	}, answerCheck(f.Spec()))
 	p.Note("tokens in each second %v", meter.perSecond(window))
-	return meter.rate(window), result.Tally()
+	return meter.rate(window), result.Summarize()
 }
 
 // churn kills, revives and slows an engine in turn.
--- a/demo/answers.go
+++ b/demo/answers.go
@@ -28,7 +28,7 @@
 	if len(stages) < 2 {
 		return "", errors.Errorf("the model stands in %d segment", len(stages))
 	}
-	return fmt.Sprintf("%d tokens through %d segments", r.Pieces, len(stages)), nil
+	return fmt.Sprintf("%d tokens through %d segments", r.Tokens, len(stages)), nil
 }
 
 // stagesOf returns the engines of a domain that hold a model, by the layer at which they begin.
@@ -67,7 +67,7 @@
 	if err := stream.Err(); err != nil {
 		return "", err
 	}
-	if want := expected(modelOf(f, fleet.ModelQuotes), prompt, 24); text.String() != want {
+	if want := expectedAnswer(modelOf(f, fleet.ModelQuotes), prompt, 24); text.String() != want {
 		return "", errors.New("the stock client's answer differs from the computed one")
 	}
 	_, err := client.Chat.Completions.New(ctx, openai.ChatCompletionNewParams{
@@ -80,7 +80,7 @@
 	return "streamed and read error code " + apiError.Code, nil
 }
 
-func modelRefused(ctx context.Context, f *fleet.Fleet) (string, error) {
+func modelRefusedNotRun(ctx context.Context, f *fleet.Fleet) (string, error) {
 	r, err := load.NewClient().Stream(ctx, load.Ask{
 		Addr: f.Entries()[2].Callers, Key: fleet.KeyCounter, Model: fleet.ModelQuotes, Prompt: "not mine", Limit: 4,
 	})
--- a/demo/control.go
+++ b/demo/control.go
@@ -16,9 +16,9 @@
 	"junctioncross/revision"
 )
 
-const inForceLimit = 4 * time.Second
+const inForceTimeout = 4 * time.Second
 
-func confirmEverywhere(_ context.Context, f *fleet.Fleet) (string, error) {
+func confirmInForceEverywhere(_ context.Context, f *fleet.Fleet) (string, error) {
 	entry, err := f.Apply("the counter's season", fleet.ShareChange("counter", 2))
 	if err != nil {
 		return "", err
@@ -32,7 +32,7 @@
 
 // awaitRevision waits until every instance itself reports at least the revision in its metrics.
 func awaitRevision(f *fleet.Fleet, want revision.Number) error {
-	return fleet.Eventually(inForceLimit, func() error {
+	return fleet.Eventually(inForceTimeout, func() error {
 		for _, e := range f.Entries() {
 			have, err := fleet.Metric(e.Health, "jx_revision")
 			if err != nil {
@@ -68,20 +68,20 @@
 	}
 	both.Wait()
 	accepted := 0
-	told := false
+	reported := false
 	for _, err := range outcomes {
 		var refused *operator.Refused
 		switch {
 		case err == nil:
 			accepted++
 		case errors.As(err, &refused):
-			told = len(refused.Failure().Meantime) > 0
+			reported = len(refused.Failure().Meantime) > 0
 		default:
 			return "", err
 		}
 	}
-	if accepted != 1 || !told {
-		return "", errors.Errorf("%d accepted, the other told what changed: %v", accepted, told)
+	if accepted != 1 || !reported {
+		return "", errors.Errorf("%d accepted, the other told what changed: %v", accepted, reported)
 	}
 	return "one accepted, the other told what changed meanwhile", nil
 }
@@ -96,7 +96,7 @@
 		both.Go(func() { statuses[i], fates[i] = pay(ctx, f.Entries()[i*3].Callers, key) })
 	}
 	both.Wait()
-	again, fate := pay(ctx, f.Entries()[6].Callers, key)
+	repeatStatus, repeatFate := pay(ctx, f.Entries()[6].Callers, key)
 	runs, err := timesRun(f, key)
 	if err != nil {
 		return "", err
@@ -111,10 +111,10 @@
 			return "", errors.Errorf("the other was told status %d fate %q", s, fates[i])
 		}
 	}
-	if runs != 1 || oks != 1 || again != http.StatusConflict {
-		return "", errors.Errorf("run %d times, %d accepted, the repeat was told %d %s", runs, oks, again, fate)
+	if runs != 1 || oks != 1 || repeatStatus != http.StatusConflict {
+		return "", errors.Errorf("run %d times, %d accepted, the repeat was told %d %s", runs, oks, repeatStatus, repeatFate)
 	}
-	return fmt.Sprintf("run once; the repeat was told %d %s", again, fate), nil
+	return fmt.Sprintf("run once; the repeat was told %d %s", repeatStatus, repeatFate), nil
 }
 
 func pay(ctx context.Context, addr, key string) (status int, fate string) {
@@ -136,11 +136,11 @@
 func timesRun(f *fleet.Fleet, key string) (int, error) {
 	total := 0
 	for _, s := range f.Services() {
-		tally, err := fleet.Get[map[string]int](s.Addr, "/test/tally")
+		counts, err := fleet.Get[map[string]int](s.Addr, "/test/tally")
 		if err != nil {
 			return 0, err
 		}
-		total += tally[key]
+		total += counts[key]
 	}
 	return total, nil
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -14,7 +14,7 @@
 	"junctioncross/standin"
 )
 
-const checkLimit = 20 * time.Second
+const checkTimeout = 20 * time.Second
 
 // check is one promise; run returns what was seen, or the error that shows that the promise does not hold.
 type check struct {
@@ -26,8 +26,8 @@
 var checks = []check{
 	{"answer_equals_computed", answerEqualsComputed},
 	{"stock_client", stockClient},
-	{"model_refused_not_run", modelRefused},
-	{"confirm_in_force_everywhere", confirmEverywhere},
+	{"model_refused_not_run", modelRefusedNotRun},
+	{"confirm_in_force_everywhere", confirmInForceEverywhere},
 	{"conflicting_confirms", conflictingConfirms},
 	{"stage_killed", stageKilled},
 	{"payment_once", paymentOnce},
@@ -44,22 +44,22 @@
 		return false, err
 	}
 	defer f.Stop()
-	all := true
+	allOK := true
 	for _, c := range checks {
-		ctx, cancel := context.WithTimeout(context.Background(), checkLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 		detail, err := c.run(ctx, f)
 		cancel()
 		result := "ok"
 		if err != nil {
-			result, detail, all = "FAIL", err.Error(), false
+			result, detail, allOK = "FAIL", err.Error(), false
 		}
 		fmt.Fprintf(out, "check %s %s %s\n", c.name, result, detail)
 	}
-	return all, nil
+	return allOK, nil
 }
 
-// expected computes an answer apart from the system.
-func expected(m intent.Model, prompt string, limit int) string {
+// expectedAnswer computes an answer apart from the system.
+func expectedAnswer(m intent.Model, prompt string, limit int) string {
 	text, _, _ := standin.NewModel(m.Name, m.Version, m.Layers).Answer(load.PromptText(prompt), limit)
 	return text
 }
@@ -81,11 +81,11 @@
 	if err != nil {
 		return r, err
 	}
-	if r.Status != 200 || !r.Whole() {
-		return r, errors.Errorf("status %d reason %q after %d tokens", r.Status, r.Reason, r.Pieces)
+	if r.Status != 200 || !r.Complete() {
+		return r, errors.Errorf("status %d reason %q after %d tokens", r.Status, r.Reason, r.Tokens)
 	}
-	if want := expected(modelOf(f, fleet.ModelCounter), prompt, limit); r.Text != want {
-		return r, errors.Errorf("the answer differs from the computed one after %d tokens", r.Pieces)
+	if want := expectedAnswer(modelOf(f, fleet.ModelCounter), prompt, limit); r.Text != want {
+		return r, errors.Errorf("the answer differs from the computed one after %d tokens", r.Tokens)
 	}
 	return r, nil
 }
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// stoppedEntry is the instance that entryTerminated stops, and killedEntry the one that entryKilled kills after it, by their index.
+	// terminatedEntryIndex is the instance that entryTerminated stops, and killedEntry the one that entryKilled kills after it, by their index.
 	// Neither is started again.
-	stoppedEntry = 1
-	killedEntry  = 2
+	terminatedEntryIndex = 1
+	killedEntryIndex     = 2
 )
 
 // stageKilled kills the process of a stage while it works on an answer.
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	return fmt.Sprintf("killed %s, %d tokens whole, longest gap %s", killed, r.Pieces, longest.Round(time.Millisecond)), nil
+	return fmt.Sprintf("killed %s, %d tokens whole, longest gap %s", killed, r.Tokens, longest.Round(time.Millisecond)), nil
 }
 
 // killBusyStage kills an engine that holds a part of an answer under way.
@@ -88,7 +88,7 @@
 	e := f.Engines()[0]
 	stop := make(chan struct{})
 	result := make(chan error, 1)
-	go func() { result <- keepAsking(ctx, f, e.Domain, stop) }()
+	go func() { result <- keepRequesting(ctx, f, e.Domain, stop) }()
 	time.Sleep(500 * time.Millisecond)
 	before, err := fleet.EngineTally(e)
 	if err != nil {
@@ -121,8 +121,8 @@
 	return fmt.Sprintf("%d requests before, %d within 3 s, 0 after", len(before.Requests), early.NewSinceLeaving), nil
 }
 
-// keepAsking sends requests to the instances of a domain until stop is closed, and checks every answer.
-func keepAsking(ctx context.Context, f *fleet.Fleet, domain string, stop <-chan struct{}) error {
+// keepRequesting sends requests to the instances of a domain until stop is closed, and checks every answer.
+func keepRequesting(ctx context.Context, f *fleet.Fleet, domain string, stop <-chan struct{}) error {
 	for n := 0; ; n++ {
 		for _, e := range f.Entries() {
 			if e.Domain != domain {
@@ -142,7 +142,7 @@
 
 // entryTerminated stops an instance with SIGTERM in the middle of an answer.
 func entryTerminated(ctx context.Context, f *fleet.Fleet) (string, error) {
-	e := f.Entries()[stoppedEntry]
+	e := f.Entries()[terminatedEntryIndex]
 	r, err := askCounter(ctx, f, e.Callers, "a long story about loadouts", 120, func(n int) {
 		if n == 10 {
 			_ = e.Process.Signal(syscall.SIGTERM)
@@ -156,15 +156,15 @@
 	case <-ctx.Done():
 		return "", errors.New("the instance did not stop")
 	}
-	return fmt.Sprintf("%d tokens whole, the instance stopped", r.Pieces), nil
+	return fmt.Sprintf("%d tokens whole, the instance stopped", r.Tokens), nil
 }
 
 // entryKilled kills an instance and asks the others.
 func entryKilled(ctx context.Context, f *fleet.Fleet) (string, error) {
-	f.Entries()[killedEntry].Process.Kill()
+	f.Entries()[killedEntryIndex].Process.Kill()
 	asked := 0
 	for i, e := range f.Entries() {
-		if i == stoppedEntry || i == killedEntry {
+		if i == terminatedEntryIndex || i == killedEntryIndex {
 			continue
 		}
 		if _, err := askCounter(ctx, f, e.Callers, "are you there", 12, nil); err != nil {
--- a/load/client.go
+++ b/load/client.go
@@ -43,30 +43,30 @@
 // Reply is what came of a request.
 type Reply struct {
 	Text   string
-	Pieces int
+	Tokens int
 	// Finish is the finish reason, empty when the answer was cut.
 	Finish string
 	Status int
 	Fate   models.Fate
 	Reason models.Reason
 	// RequestID is the id that the instance gave the request.
-	RequestID string
-	First     time.Duration
-	Gaps      []time.Duration
-	Total     time.Duration
+	RequestID      string
+	FirstTokenTime time.Duration
+	Gaps           []time.Duration
+	Total          time.Duration
 }
 
-// Whole reports whether the answer came to its end.
-func (r *Reply) Whole() bool { return r.Finish != "" }
+// Complete reports whether the answer came to its end.
+func (r *Reply) Complete() bool { return r.Finish != "" }
 
-type askBody struct {
-	Model    string       `json:"model"`
-	Messages []askMessage `json:"messages"`
-	Limit    int          `json:"max_tokens"`
-	Stream   bool         `json:"stream"`
+type requestBody struct {
+	Model    string    `json:"model"`
+	Messages []message `json:"messages"`
+	Limit    int       `json:"max_tokens"`
+	Stream   bool      `json:"stream"`
 }
 
-type askMessage struct {
+type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
@@ -93,8 +93,8 @@
 // Stream asks for a streamed answer; the error says that the connection failed before or within the answer, and Reply then
 // holds what had come until then.
 func (c *Client) Stream(ctx context.Context, a Ask) (*Reply, error) {
-	body, err := json.Marshal(askBody{
-		Model: a.Model, Messages: []askMessage{{Role: RoleUser, Content: a.Prompt}}, Limit: a.Limit, Stream: true,
+	body, err := json.Marshal(requestBody{
+		Model: a.Model, Messages: []message{{Role: RoleUser, Content: a.Prompt}}, Limit: a.Limit, Stream: true,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "load: encode")
@@ -161,11 +161,11 @@
 			continue
 		}
 		now := time.Now()
-		r.count(now.Sub(start), now.Sub(last))
+		r.addToken(now.Sub(start), now.Sub(last))
 		last = now
 		text.WriteString(c.Choices[0].Delta.Content)
 		if onToken != nil {
-			onToken(r.Pieces - 1)
+			onToken(r.Tokens - 1)
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -174,11 +174,11 @@
 	return errors.New("load: stream ended without its end mark")
 }
 
-func (r *Reply) count(sinceStart, sinceLast time.Duration) {
-	if r.Pieces == 0 {
-		r.First = sinceStart
+func (r *Reply) addToken(sinceStart, sinceLast time.Duration) {
+	if r.Tokens == 0 {
+		r.FirstTokenTime = sinceStart
 	} else {
 		r.Gaps = append(r.Gaps, sinceLast)
 	}
-	r.Pieces++
+	r.Tokens++
 }
--- a/load/closed.go
+++ b/load/closed.go
@@ -13,7 +13,7 @@
 	Ask   Ask
 	Reply *Reply
 	Err   error
-	At    time.Time
+	Start time.Time
 	Wrong bool
 }
 
@@ -37,49 +37,49 @@
 	return append([]Outcome(nil), r.outcomes...)
 }
 
-// Tally counts the outcomes by what became of them.
-type Tally struct {
-	Asked   int
-	Whole   int
-	Refused int
+// Summary counts the outcomes by what became of them.
+type Summary struct {
+	Requests int
+	Complete int
+	Refused  int
 	// Lost counts answers that were cut, and requests that got no answer.
 	Lost int
 	// Wrong counts whole answers that differ from the computed ones.
-	Wrong  int
-	Tokens int
-	First  []time.Duration
-	Gaps   []time.Duration
+	Wrong           int
+	Tokens          int
+	FirstTokenTimes []time.Duration
+	Gaps            []time.Duration
 	// Reasons counts refusals by reason.
 	Reasons map[models.Reason]int
 }
 
-// Tally adds the outcomes up.
-func (r *Result) Tally() Tally {
-	t := Tally{Reasons: map[models.Reason]int{}}
+// Summarize adds the outcomes up.
+func (r *Result) Summarize() Summary {
+	t := Summary{Reasons: map[models.Reason]int{}}
 	for _, o := range r.Outcomes() {
 		t.add(o)
 	}
 	return t
 }
 
-func (t *Tally) add(o Outcome) {
-	t.Asked++
+func (t *Summary) add(o Outcome) {
+	t.Requests++
 	if o.Reply != nil {
-		t.Tokens += o.Reply.Pieces
+		t.Tokens += o.Reply.Tokens
 		t.Gaps = append(t.Gaps, o.Reply.Gaps...)
-		if o.Reply.Pieces > 0 {
-			t.First = append(t.First, o.Reply.First)
+		if o.Reply.Tokens > 0 {
+			t.FirstTokenTimes = append(t.FirstTokenTimes, o.Reply.FirstTokenTime)
 		}
 		if o.Reply.Reason != "" {
 			t.Reasons[o.Reply.Reason]++
 		}
 	}
 	switch {
-	case o.Err == nil && o.Reply.Whole() && o.Wrong:
+	case o.Err == nil && o.Reply.Complete() && o.Wrong:
 		t.Wrong++
-	case o.Err == nil && o.Reply.Whole():
-		t.Whole++
-	case o.Err == nil && o.Reply.Pieces == 0 && o.Reply.Fate == models.FateNotRun:
+	case o.Err == nil && o.Reply.Complete():
+		t.Complete++
+	case o.Err == nil && o.Reply.Tokens == 0 && o.Reply.Fate == models.FateNotRun:
 		t.Refused++
 	default:
 		t.Lost++
@@ -105,15 +105,15 @@
 			}
 		}
 	}()
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for range workers {
-		all.Go(func() {
+		running.Go(func() {
 			for n := range numbers {
-				result.Add(client.one(next(n), check))
+				result.Add(client.run(next(n), check))
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	return result
 }
 
@@ -122,28 +122,28 @@
 	result := &Result{}
 	client := NewClient()
 	start := time.Now()
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for n := 0; ; n++ {
 		due := start.Add(time.Duration(float64(n) / rate * float64(time.Second)))
 		select {
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
-			all.Wait()
+			running.Wait()
 			return result
 		}
-		all.Go(func() { result.Add(client.one(next(n), check)) })
+		running.Go(func() { result.Add(client.run(next(n), check)) })
 	}
 }
 
-// requestLimit bounds one request of a run.
-const requestLimit = 60 * time.Second
+// requestTimeout bounds one request of a run.
+const requestTimeout = 60 * time.Second
 
-func (c *Client) one(a Ask, check Check) Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), requestLimit)
+func (c *Client) run(a Ask, check Check) Outcome {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	o := Outcome{Ask: a, At: time.Now()}
+	o := Outcome{Ask: a, Start: time.Now()}
 	o.Reply, o.Err = c.Stream(ctx, a)
-	if o.Err == nil && o.Reply.Whole() {
+	if o.Err == nil && o.Reply.Complete() {
 		o.Wrong = !check(a, o.Reply)
 	}
 	return o
