--- a/ports/doc.go
+++ b/ports/doc.go
@@ -1,2 +1,2 @@
-// Package ports finds free loopback addresses for the processes of fleets and tests.
+// Package ports finds free loopback addresses for the processes of test fleets.
 package ports
--- a/ports/ports.go
+++ b/ports/ports.go
@@ -9,18 +9,20 @@
 	"github.com/pkg/errors"
 )
 
-// The ports lie below those that the kernel gives to outgoing connections, so that nothing takes one between the moment
-// it is found free and the moment its process listens.
+// The ports are below the kernel's ephemeral range, so that no outgoing connection takes a port between the check that it is
+// free and the moment when its process listens on it.
 const (
 	firstPort = 12_000
 	portCount = 18_000
-	// portStep keeps processes with neighbouring ids, which often start together, from looking at the same ports.
+	// portStep is the distance between the first ports that processes with consecutive ids try. Such processes often start
+	// together and would otherwise try the same ports.
 	portStep = 131
 )
 
 var nextPort atomic.Int64
 
-// Free returns that many loopback addresses whose TCP and UDP ports are free.
+// Free returns count loopback addresses whose TCP and UDP ports are free. It reserves nothing; it returns an error if it
+// finds too few.
 func Free(count int) ([]string, error) {
 	nextPort.CompareAndSwap(0, int64(os.Getpid()*portStep%portCount)+1)
 	out := make([]string, 0, count)
@@ -36,6 +38,7 @@
 	return nil, errors.New("ports: none is free")
 }
 
+// isFree reports whether the address can be listened on over TCP and UDP.
 func isFree(addr string) bool {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
