--- a/capacity/doc.go
+++ b/capacity/doc.go
@@ -1,2 +1,3 @@
-// Package capacity works out what each role costs at the design size from measured figures, and writes docs/CAPACITY.md.
+// Package capacity computes from measured figures what each role of an instance costs at the design size, and makes
+// docs/CAPACITY.md and its plots from them.
 package capacity
--- a/capacity/figures.go
+++ b/capacity/figures.go
@@ -15,7 +15,8 @@
 	values map[string]float64
 }
 
-// ReadFigures reads the lines "figure NAME VALUE UNIT" of every text file in a directory.
+// ReadFigures reads the lines "figure NAME VALUE UNIT" of every .txt file in a directory and ignores all other lines. It
+// returns an error if a file cannot be read or a value is not a number.
 func ReadFigures(dir string) (*Figures, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.txt"))
 	if err != nil {
@@ -52,7 +53,7 @@
 	return errors.Wrap(lines.Err(), "capacity: figures")
 }
 
-// Get returns a value; the error names a figure that was not measured.
+// Get returns a value by name. If there is no such figure, it returns an error that names it.
 func (f *Figures) Get(name string) (float64, error) {
 	v, ok := f.values[name]
 	if !ok {
--- a/capacity/hosted.go
+++ b/capacity/hosted.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// largestRun is the number of instances of the largest day that was played.
+// largestRun is the number of instances of the largest simulated run of the sweep.
 const largestRun = 300.0
 
-// extrapolated returns a figure of the largest day extrapolated on to the size of two years on, by the power with which it grew.
+// extrapolated returns the figure of the largest run of the sweep extrapolated to the design size by a power law, whose
+// exponent is the figure NAME_power.
 func (b *pageBuilder) extrapolated(name string) float64 {
 	return b.get(name+"_300") * math.Pow(instances/largestRun, b.get(name+"_power"))
 }
 
-// sizeRows returns a row with the busiest instance of each size, and one that carries it on.
+// sizeRows returns a row with the values of the busiest instance at each size of the sweep, and a row that extrapolates them.
 func (b *pageBuilder) sizeRows(quantity, name, unit string) []Row {
 	const at = "sweep, the busiest of 30, 100 and 300 instances with ten servers each; the day of 300 was given up at 15.4 s"
 	return []Row{
@@ -19,7 +20,8 @@
 	}
 }
 
-// hosted is the instance in front of a platform's own servers; its busiest is the relay of a domain.
+// hosted returns the role of an instance that serves in front of a platform's own servers. The busiest of these instances
+// are the relays of their domains.
 func (b *pageBuilder) hosted() Role {
 	rows := b.sizeRows("processor time", "sweep_cpu_pct", "% of a core")
 	rows = append(rows, b.sizeRows("memory", "sweep_rss_mb", "MB")...)
@@ -42,7 +44,8 @@
 	}
 }
 
-// fleetRows is what a fleet of hundreds does at a start, and what it did before its records were bounded.
+// fleetRows returns the rows on the start of a fleet of hundreds of instances, and those on its load before the number of
+// registration records was bounded.
 func (b *pageBuilder) fleetRows() []Row {
 	const (
 		played = "relay/fleetstart_test.go, simulated time, store's line of 1,000 Mbit/s"
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -30,7 +30,7 @@
 Each bench writes its figures to docs/figures and runs for about a minute on loopback.
 `
 
-// Page returns the whole page; the error names a figure that was not measured.
+// Page returns the text of docs/CAPACITY.md. The error names the first figure that is missing.
 func Page(f *Figures) (string, error) {
 	b := &pageBuilder{figures: f}
 	var out strings.Builder
@@ -46,7 +46,7 @@
 	return out.String(), b.err
 }
 
-// limit compares a value with what the users allow.
+// limit is a value with the maximum that the users allow.
 type limit struct {
 	name    string
 	value   float64
@@ -89,7 +89,7 @@
 	fmt.Fprintf(out, "\nFirst to break at twice the size: %s\n\nAt ten times: %s\n", r.twice, r.tenfold)
 }
 
-// writeFaults works out what an ordinary day's faults and the rare ones touch.
+// writeFaults writes the table of the faults of an ordinary day and the rare ones, with the requests that each one affects.
 func writeFaults(out *strings.Builder, b *pageBuilder) {
 	const serversTotal = replicas * stagesPerReplica
 	perServer := tokensPerSecond * tokenGapSeconds * stagesPerReplica / serversTotal
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -16,7 +16,8 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// curve is one measured quantity over a size, as a share of its limit.
+// curve is one measured quantity over the sizes of a plot, drawn as a multiple of limit. Its figures are named prefix plus
+// size.
 type curve struct {
 	name   string
 	prefix string
@@ -24,7 +25,8 @@
 	color  color.Color
 }
 
-// Plots writes the plots of the page into a directory.
+// Plots writes the plots of the page into a directory. The error names a figure that is missing or a file that cannot be
+// written.
 func Plots(f *Figures, dir string) error {
 	control := []curve{
 		{"processor time / 1 % of a core", "control_cpu_pct_", limitCPU, color.RGBA{R: 200, A: 255}},
@@ -41,6 +43,7 @@
 	return draw(f, filepath.Join(dir, "state.svg"), "client accounts", "", []int{5000, 10_000, 20_000}, state)
 }
 
+// draw writes one plot with the curves over the sizes, and the labels x and y of its axes.
 func draw(f *Figures, path, x, y string, sizes []int, curves []curve) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = x, y
--- a/capacity/rows.go
+++ b/capacity/rows.go
@@ -2,39 +2,43 @@
 
 import "fmt"
 
-// Basis says where a value comes from.
+// Basis tells how a value was obtained.
 type Basis string
 
-// Bases of values.
+// Measured values come from a benchmark, WorkedOut ones from the formula in their row, and Assumed ones stand for what the
+// users have not stated.
 const (
 	Measured  Basis = "measured"
 	WorkedOut Basis = "worked out"
 	Assumed   Basis = "assumed"
 )
 
-// Row is one line of a role's table.
+// Row is one row of a role's table.
 type Row struct {
 	quantity string
 	value    string
 	basis    Basis
-	how      string
+	// how names the benchmark or gives the formula.
+	how string
 }
 
-// Role is one task of the daemons with the package that carries it.
+// Role is one task of the instances, with the packages that implement it and its costs.
 type Role struct {
 	name      string
 	mechanism string
 	rows      []Row
-	twice     string
-	tenfold   string
+	// twice and tenfold tell what fails first at twice and at ten times the design size.
+	twice   string
+	tenfold string
 }
 
-// pageBuilder reads figures and remembers the first that is missing.
+// pageBuilder makes the parts of the page from the figures. err is the error for the first missing figure.
 type pageBuilder struct {
 	figures *Figures
 	err     error
 }
 
+// get returns a figure, or zero if it is missing.
 func (b *pageBuilder) get(name string) float64 {
 	v, err := b.figures.Get(name)
 	if err != nil && b.err == nil {
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The design size, two years on, as the users state it.
+// The design size: the users' fleet in two years, as they state it.
 const (
 	instances         = 410.0
 	replicas          = 600.0
@@ -15,28 +15,32 @@
 	secondsPerDay     = 86_400.0
 )
 
-// The limits of the users.
+// The limits that the users set.
 const (
+	// limitCPU is in percent of a core.
 	limitCPU               = 1.0
 	limitMemoryMB          = 32.0
 	limitBytesPerSecond    = 25_000.0
 	limitKVWritesPerSecond = 300.0
 	limitKVReadsPerSecond  = 2000.0
 	limitInForceMS         = 4000.0
-	limitFirstMS           = 640.0
-	limitGapMS             = 67.0
+	// limitFirstMS limits the time to the first token, limitGapMS the time between tokens.
+	limitFirstMS = 640.0
+	limitGapMS   = 67.0
 )
 
-// What the users do not state, assumed until they do.
+// Values that the users have not stated yet and that are assumed here, and properties of the measured fleets.
 const (
 	stagesPerReplica = 4.0
-	keyedShare       = 0.02
-	promptTokens     = 300.0
-	activationBytes  = 16_384.0
-	tokenGapSeconds  = 0.056
+	// keyedShare is the share of requests that carry an idempotency key.
+	keyedShare      = 0.02
+	promptTokens    = 300.0
+	activationBytes = 16_384.0
+	// tokenGapSeconds is the time between two tokens of an answer.
+	tokenGapSeconds = 0.056
 	// measuredStages is the number of stages of the pipelines that throughput is measured with.
 	measuredStages = 2.0
-	// measuredInstances is the size of a domain, of those measured, that is nearest to the design's.
+	// measuredInstances is the measured number of instances of a domain that is nearest to that of the design size.
 	measuredInstances = "64"
 )
 
@@ -45,5 +49,6 @@
 	serversPerDomain   = replicas * stagesPerReplica / domains
 	tokensPerInstance  = tokensPerSecond / instances
 	answerTokens       = tokensPerSecond / requestsPerSecond
-	claimsPerSecond    = requestsPerSecond * keyedShare
+	// claimsPerSecond is the rate of requests with an idempotency key, each of which is claimed once.
+	claimsPerSecond = requestsPerSecond * keyedShare
 )
