--- a/load/client.go
+++ b/load/client.go
@@ -16,7 +16,7 @@
 	"junctioncross/models"
 )
 
-// Client asks entry instances for answers, each time over a connection of its own pool.
+// Client sends requests to entry instances over its own pool of connections.
 type Client struct {
 	http *http.Client
 }
@@ -29,36 +29,45 @@
 	}}}
 }
 
-// Ask is one request for an answer.
+// Ask is one request for an answer of a model.
 type Ask struct {
-	Addr   string
+	Addr string
+	// Key is the bearer key of the account.
 	Key    string
 	Model  string
 	Prompt string
-	Limit  int
-	// OnToken is called at each piece of the answer, with the number of pieces before it.
+	// Limit is the maximum length of the answer in tokens.
+	Limit int
+	// OnToken, if not nil, is called for each token of the answer with the number of tokens before it.
 	OnToken func(n int)
 }
 
-// Reply is what came of a request.
+// Reply is the answer to a request, as far as it arrived.
 type Reply struct {
-	Text   string
+	Text string
+	// Tokens is the number of events with text, each of which carries one token.
 	Tokens int
-	// Finish is the finish reason, empty when the answer was cut.
+	// Finish is the finish reason. It is empty if the answer was cut off or refused.
 	Finish string
+	// Status is the HTTP status, zero if there was no response.
 	Status int
+	// Fate and Reason come from the error body or error event, if there was one.
 	Fate   models.Fate
 	Reason models.Reason
 	// RequestID is the id that the instance gave the request.
-	RequestID      string
+	RequestID string
+	// FirstTokenTime is the time from the request to the first token.
 	FirstTokenTime time.Duration
-	Gaps           []time.Duration
-	Total          time.Duration
+	// Gaps are the times between consecutive tokens.
+	Gaps []time.Duration
+	// Total is the time from the request to the end of a streamed answer.
+	Total time.Duration
 }
 
-// Complete reports whether the answer came to its end.
+// Complete reports whether the answer arrived with its finish reason.
 func (r *Reply) Complete() bool { return r.Finish != "" }
 
+// requestBody is the body of a chat completion request.
 type requestBody struct {
 	Model    string    `json:"model"`
 	Messages []message `json:"messages"`
@@ -77,6 +86,7 @@
 // PromptText returns the text that a model sees for a prompt sent by Stream.
 func PromptText(prompt string) string { return RoleUser + ": " + prompt + "\n" }
 
+// chunk is one event of a streamed answer, or the body of an error response.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -90,25 +100,26 @@
 	} `json:"error"`
 }
 
-// Stream asks for a streamed answer; the error says that the connection failed before or within the answer, and Reply then
-// holds what had come until then.
+// Stream sends a request for a streamed answer. It returns an error if the connection failed before or during the answer, or
+// if the response could not be read. The Reply then holds what had arrived until then; it is nil if the request could not be
+// built.
 func (c *Client) Stream(ctx context.Context, a Ask) (*Reply, error) {
 	body, err := json.Marshal(requestBody{
 		Model: a.Model, Messages: []message{{Role: RoleUser, Content: a.Prompt}}, Limit: a.Limit, Stream: true,
 	})
 	if err != nil {
-		return nil, errors.Wrap(err, "load: encode")
+		return nil, errors.Wrap(err, "load: encode request")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Addr+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "load: request")
+		return nil, errors.Wrap(err, "load: create request")
 	}
 	req.Header.Set("Authorization", "Bearer "+a.Key)
 	req.Header.Set("Content-Type", "application/json")
 	start := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return &Reply{}, errors.Wrap(err, "load: no answer")
+		return &Reply{}, errors.Wrap(err, "load: send request")
 	}
 	defer resp.Body.Close()
 	r := &Reply{Status: resp.StatusCode, RequestID: resp.Header.Get(models.HeaderRequestID)}
@@ -121,6 +132,7 @@
 	return r, err
 }
 
+// readError reads fate and reason from the body of an error response.
 func (r *Reply) readError(body io.Reader) error {
 	var c chunk
 	if err := json.NewDecoder(io.LimitReader(body, 1<<20)).Decode(&c); err != nil || c.Error == nil {
@@ -130,6 +142,7 @@
 	return nil
 }
 
+// readEvents reads the events of a streamed answer up to its end or its error event.
 func (r *Reply) readEvents(body io.Reader, start time.Time, onToken func(int)) error {
 	var text strings.Builder
 	defer func() { r.Text = text.String() }()
@@ -145,7 +158,7 @@
 		}
 		var c chunk
 		if err := json.Unmarshal([]byte(data), &c); err != nil {
-			return errors.Wrap(err, "load: event")
+			return errors.Wrap(err, "load: decode event")
 		}
 		if c.Error != nil {
 			r.Fate, r.Reason = c.Error.Fate, c.Error.Code
@@ -169,11 +182,12 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return errors.Wrap(err, "load: stream cut")
+		return errors.Wrap(err, "load: read stream")
 	}
-	return errors.New("load: stream ended without its end mark")
+	return errors.New("load: stream ended without [DONE]")
 }
 
+// addToken records the arrival of a token, given the times since the request and since the token before it.
 func (r *Reply) addToken(sinceStart, sinceLast time.Duration) {
 	if r.Tokens == 0 {
 		r.FirstTokenTime = sinceStart
--- a/load/closed.go
+++ b/load/closed.go
@@ -8,52 +8,56 @@
 	"junctioncross/models"
 )
 
-// Outcome is one finished request of a run.
+// Outcome is one finished request of a run. Reply and Err are the results of Client.Stream.
 type Outcome struct {
 	Ask   Ask
 	Reply *Reply
 	Err   error
+	// Start is when the request was sent.
 	Start time.Time
+	// Wrong reports that the answer is complete but differs from the expected one.
 	Wrong bool
 }
 
-// Result adds up the outcomes of a run.
+// Result collects the outcomes of a run. It is safe for concurrent use.
 type Result struct {
 	mu       sync.Mutex
 	outcomes []Outcome
 }
 
-// Add takes one outcome in.
+// Add adds one outcome.
 func (r *Result) Add(o Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outcomes = append(r.outcomes, o)
 }
 
-// Outcomes returns every outcome.
+// Outcomes returns a copy of all outcomes so far, in the order in which the requests finished.
 func (r *Result) Outcomes() []Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Outcome(nil), r.outcomes...)
 }
 
-// Summary counts the outcomes by what became of them.
+// Summary counts the outcomes of a run by kind and holds their times. Each request is either Complete, Refused, Lost or Wrong.
 type Summary struct {
 	Requests int
+	// Complete counts complete answers that are as expected.
 	Complete int
-	Refused  int
-	// Lost counts answers that were cut, and requests that got no answer.
+	// Refused counts requests that were refused as not run.
+	Refused int
+	// Lost counts all others: answers that were cut off, and requests that got no answer.
 	Lost int
-	// Wrong counts whole answers that differ from the computed ones.
+	// Wrong counts complete answers that differ from the expected ones.
 	Wrong           int
 	Tokens          int
 	FirstTokenTimes []time.Duration
 	Gaps            []time.Duration
-	// Reasons counts refusals by reason.
+	// Reasons counts the reasons in error bodies and error events.
 	Reasons map[models.Reason]int
 }
 
-// Summarize adds the outcomes up.
+// Summarize returns the summary of the outcomes so far.
 func (r *Result) Summarize() Summary {
 	t := Summary{Reasons: map[models.Reason]int{}}
 	for _, o := range r.Outcomes() {
@@ -86,11 +90,11 @@
 	}
 }
 
-// Check compares an answer with the expected one.
+// Check reports whether a complete answer is as expected.
 type Check func(a Ask, r *Reply) bool
 
-// RunClosed keeps that many requests under way until ctx ends; next returns the n-th request. Requests under way at the
-// end are finished.
+// RunClosed runs a closed loop of that many workers until ctx ends: each worker sends a request, waits for its end and sends
+// the next one. next returns the n-th request. RunClosed waits for the requests that are in flight when ctx ends.
 func RunClosed(ctx context.Context, workers int, next func(n int) Ask, check Check) *Result {
 	result := &Result{}
 	client := NewClient()
@@ -117,7 +121,8 @@
 	return result
 }
 
-// RunOpen starts rate requests a second until ctx ends, whatever becomes of the earlier ones, and waits for the last.
+// RunOpen runs an open loop until ctx ends: it starts rate requests a second without waiting for earlier ones. next returns
+// the n-th request. RunOpen waits for the requests that are in flight when ctx ends.
 func RunOpen(ctx context.Context, rate float64, next func(n int) Ask, check Check) *Result {
 	result := &Result{}
 	client := NewClient()
@@ -135,9 +140,10 @@
 	}
 }
 
-// requestTimeout bounds one request of a run.
+// requestTimeout is the timeout of one request of a run.
 const requestTimeout = 60 * time.Second
 
+// run sends one request and checks its answer if it is complete.
 func (c *Client) run(a Ask, check Check) Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,2 +1,3 @@
-// Package load is the callers' side of experiments: a streaming client that checks answers, and open-loop load.
+// Package load generates requests for tests and benchmarks: a streaming client, and closed-loop and open-loop load whose
+// answers are checked.
 package load
