--- a/demo/answers.go
+++ b/demo/answers.go
@@ -15,6 +15,7 @@
 	"junctioncross/models"
 )
 
+// answerEqualsComputed checks that the answer of a model that is split over several engines equals the computed one.
 func answerEqualsComputed(ctx context.Context, f *fleet.Fleet) (string, error) {
 	const prompt = "which bundle holds the winter loadout"
 	r, err := askCounter(ctx, f, f.Entries()[0].Callers, prompt, 40, nil)
@@ -26,12 +27,12 @@
 		return "", err
 	}
 	if len(stages) < 2 {
-		return "", errors.Errorf("the model stands in %d segment", len(stages))
+		return "", errors.Errorf("the model is split into %d segment", len(stages))
 	}
 	return fmt.Sprintf("%d tokens through %d segments", r.Tokens, len(stages)), nil
 }
 
-// stagesOf returns the engines of a domain that hold a model, by the layer at which they begin.
+// stagesOf returns the engines of a domain that hold layers of a model, by their first layer.
 func stagesOf(f *fleet.Fleet, domain, model string) (map[int][]*fleet.Engine, error) {
 	out := map[int][]*fleet.Engine{}
 	for _, e := range f.Engines() {
@@ -49,6 +50,7 @@
 	return out, nil
 }
 
+// stockClient checks that an unmodified OpenAI client reads a streamed answer and the code of an error.
 func stockClient(ctx context.Context, f *fleet.Fleet) (string, error) {
 	client := openai.NewClient(
 		option.WithBaseURL("http://"+f.Entries()[1].Callers+"/v1"), option.WithAPIKey(fleet.KeyQuotes), option.WithMaxRetries(0),
@@ -75,11 +77,12 @@
 	})
 	var apiError *openai.Error
 	if !errors.As(err, &apiError) || apiError.StatusCode != http.StatusNotFound || apiError.Code != string(models.ReasonUnknownModel) {
-		return "", errors.Errorf("error read as %v", err)
+		return "", errors.Errorf("unexpected error: %v", err)
 	}
 	return "streamed and read error code " + apiError.Code, nil
 }
 
+// modelRefusedNotRun checks that a request for a model that the account may not use is refused as not run.
 func modelRefusedNotRun(ctx context.Context, f *fleet.Fleet) (string, error) {
 	r, err := load.NewClient().Stream(ctx, load.Ask{
 		Addr: f.Entries()[2].Callers, Key: fleet.KeyCounter, Model: fleet.ModelQuotes, Prompt: "not mine", Limit: 4,
--- a/demo/control.go
+++ b/demo/control.go
@@ -16,8 +16,10 @@
 	"junctioncross/revision"
 )
 
+// inForceTimeout is the time in which a confirmed revision must be in force on every instance.
 const inForceTimeout = 4 * time.Second
 
+// confirmInForceEverywhere checks that a confirmed change comes into force on every instance.
 func confirmInForceEverywhere(_ context.Context, f *fleet.Fleet) (string, error) {
 	entry, err := f.Apply("the counter's season", fleet.ShareChange("counter", 2))
 	if err != nil {
@@ -30,7 +32,7 @@
 	return fmt.Sprintf("revision %d on %d instances within %s of the confirmation", entry.Revision, len(f.Entries()), time.Since(start).Round(time.Millisecond)), nil
 }
 
-// awaitRevision waits until every instance itself reports at least the revision in its metrics.
+// awaitRevision waits until every instance reports in its own metrics that it has at least the wanted revision.
 func awaitRevision(f *fleet.Fleet, want revision.Number) error {
 	return fleet.Eventually(inForceTimeout, func() error {
 		for _, e := range f.Entries() {
@@ -46,6 +48,8 @@
 	})
 }
 
+// conflictingConfirms confirms two conflicting plans at the same time on different instances. It checks that one is
+// accepted, and that the refusal of the other lists the changes made meanwhile.
 func conflictingConfirms(_ context.Context, f *fleet.Fleet) (string, error) {
 	plans := make([]revision.Plan, 2)
 	for i := range plans {
@@ -81,12 +85,13 @@
 		}
 	}
 	if accepted != 1 || !reported {
-		return "", errors.Errorf("%d accepted, the other told what changed: %v", accepted, reported)
+		return "", errors.Errorf("%d accepted, changes listed in the refusal: %v", accepted, reported)
 	}
 	return "one accepted, the other told what changed meanwhile", nil
 }
 
-// paymentOnce sends one payment under one key to two instances at once and then once more.
+// paymentOnce sends one payment with one idempotency key to two instances at the same time, then to a third one. It checks
+// that the payment runs exactly once.
 func paymentOnce(ctx context.Context, f *fleet.Fleet) (string, error) {
 	const key = "demo-payment-1"
 	statuses := make([]int, 2)
@@ -108,15 +113,17 @@
 			continue
 		}
 		if s != http.StatusConflict || fates[i] == string(models.FateNotRun) {
-			return "", errors.Errorf("the other was told status %d fate %q", s, fates[i])
+			return "", errors.Errorf("the refused payment got status %d fate %q", s, fates[i])
 		}
 	}
 	if runs != 1 || oks != 1 || repeatStatus != http.StatusConflict {
-		return "", errors.Errorf("run %d times, %d accepted, the repeat was told %d %s", runs, oks, repeatStatus, repeatFate)
+		return "", errors.Errorf("run %d times, %d accepted, the repeat got %d %s", runs, oks, repeatStatus, repeatFate)
 	}
 	return fmt.Sprintf("run once; the repeat was told %d %s", repeatStatus, repeatFate), nil
 }
 
+// pay sends the payment to an instance and returns the HTTP status and the fate, or status 0 and the error text if there is
+// no response.
 func pay(ctx context.Context, addr, key string) (status int, fate string) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/services/bookings/confirm", bytes.NewReader([]byte(`{"pay":7}`)))
 	if err != nil {
@@ -132,7 +139,7 @@
 	return resp.StatusCode, resp.Header.Get(models.HeaderFate)
 }
 
-// timesRun returns how often the processes of the plain services ran the request under a key.
+// timesRun returns how many times all processes of the plain services together ran the request with that idempotency key.
 func timesRun(f *fleet.Fleet, key string) (int, error) {
 	total := 0
 	for _, s := range f.Services() {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -14,15 +14,17 @@
 	"junctioncross/standin"
 )
 
+// checkTimeout is the timeout of one check.
 const checkTimeout = 20 * time.Second
 
-// check is one promise; run returns what was seen, or the error that shows that the promise does not hold.
+// check tests one guaranteed property. run returns a description of what it observed, or an error if the property does not
+// hold.
 type check struct {
 	name string
 	run  func(ctx context.Context, f *fleet.Fleet) (string, error)
 }
 
-// checks are in an order in which each leaves the fleet fit for the next.
+// checks are run in this order, in which each one leaves the fleet in a state that the next one can use.
 var checks = []check{
 	{"answer_equals_computed", answerEqualsComputed},
 	{"stock_client", stockClient},
@@ -37,7 +39,8 @@
 	{"entry_sigkill", entryKilled},
 }
 
-// Run starts the users' fleet, prints one line for each check and reports whether all were ok.
+// Run starts a fleet of the users' shape, prints one line for each check and reports whether all passed. It returns an error
+// if the fleet does not start.
 func Run(bin string, out io.Writer) (bool, error) {
 	f, err := fleet.Start(fleet.Users(), bin)
 	if err != nil {
@@ -58,12 +61,13 @@
 	return allOK, nil
 }
 
-// expectedAnswer computes an answer apart from the system.
+// expectedAnswer computes the answer of a model without the fleet.
 func expectedAnswer(m intent.Model, prompt string, limit int) string {
 	text, _, _ := standin.NewModel(m.Name, m.Version, m.Layers).Answer(load.PromptText(prompt), limit)
 	return text
 }
 
+// modelOf returns the model of that name from the fleet's specification, or the zero Model if there is none.
 func modelOf(f *fleet.Fleet, name string) intent.Model {
 	for _, m := range f.Spec().Models {
 		if m.Name == name {
@@ -73,7 +77,8 @@
 	return intent.Model{}
 }
 
-// askCounter asks an instance for an answer of the counter's model and compares it with the expected one.
+// askCounter sends a request for the model of the account counter to an instance. It returns an error unless the answer is
+// complete and as expected.
 func askCounter(ctx context.Context, f *fleet.Fleet, addr, prompt string, limit int, onToken func(int)) (*load.Reply, error) {
 	r, err := load.NewClient().Stream(ctx, load.Ask{
 		Addr: addr, Key: fleet.KeyCounter, Model: fleet.ModelCounter, Prompt: prompt, Limit: limit, OnToken: onToken,
--- a/demo/doc.go
+++ b/demo/doc.go
@@ -1,2 +1,2 @@
-// Package demo checks on a running fleet, one by one, what the system promises.
+// Package demo starts a fleet and checks on it, one by one, the properties that the system guarantees.
 package demo
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// terminatedEntryIndex is the instance that entryTerminated stops, and killedEntry the one that entryKilled kills after it, by their index.
-	// Neither is started again.
+	// terminatedEntryIndex is the index of the instance that entryTerminated stops, and killedEntryIndex that of the
+	// instance that entryKilled kills after it. Neither is started again.
 	terminatedEntryIndex = 1
 	killedEntryIndex     = 2
 )
 
-// stageKilled kills the process of a stage while it works on an answer.
+// stageKilled kills an engine that runs a stage of an answer and checks that the answer is completed nevertheless. It then
+// restarts the engine.
 func stageKilled(ctx context.Context, f *fleet.Fleet) (string, error) {
 	entry := f.Entries()[0]
 	killed := ""
@@ -37,7 +38,7 @@
 	}
 	recovered, metricErr := fleet.Metric(entry.Health, "jx_recoveries_total")
 	if metricErr != nil || recovered == 0 {
-		return "", errors.Errorf("%s was killed, but the answer did not recover from anything: %v", killed, metricErr)
+		return "", errors.Errorf("%s was killed, but the instance counted no recovery: %v", killed, metricErr)
 	}
 	longest := time.Duration(0)
 	for _, g := range r.Gaps {
@@ -53,7 +54,7 @@
 	return fmt.Sprintf("killed %s, %d tokens whole, longest gap %s", killed, r.Tokens, longest.Round(time.Millisecond)), nil
 }
 
-// killBusyStage kills an engine that holds a part of an answer under way.
+// killBusyStage kills an engine of the domain that holds cached state of a running request, and returns its name.
 func killBusyStage(f *fleet.Fleet, domain string) (string, error) {
 	for _, e := range f.Engines() {
 		if e.Domain != domain {
@@ -65,10 +66,10 @@
 			return e.Name, nil
 		}
 	}
-	return "", errors.New("no engine of the domain holds a part of the answer")
+	return "", errors.New("no engine of the domain holds state of the answer")
 }
 
-// kvDown makes the key-value service fail and asks every instance for an answer.
+// kvDown makes all calls to the key-value service fail and checks that every instance still answers.
 func kvDown(ctx context.Context, f *fleet.Fleet) (string, error) {
 	if err := fleet.Post(f.KVAddr(), "/faults", standin.Faults{Down: true}); err != nil {
 		return "", err
@@ -83,7 +84,7 @@
 	return fmt.Sprintf("%d instances answered", len(f.Entries())), nil
 }
 
-// leavingBackend makes an engine leave while load flows and counts what it starts from 3 s on.
+// leavingBackend makes an engine leave under load and checks that it starts no attempt from 3 s to 5 s afterwards.
 func leavingBackend(ctx context.Context, f *fleet.Fleet) (string, error) {
 	e := f.Engines()[0]
 	stop := make(chan struct{})
@@ -121,7 +122,8 @@
 	return fmt.Sprintf("%d requests before, %d within 3 s, 0 after", len(before.Requests), early.NewSinceLeaving), nil
 }
 
-// keepRequesting sends requests to the instances of a domain until stop is closed, and checks every answer.
+// keepRequesting sends requests to the instances of a domain in turn until stop is closed. It returns an error as soon as an
+// answer is wrong or missing.
 func keepRequesting(ctx context.Context, f *fleet.Fleet, domain string, stop <-chan struct{}) error {
 	for n := 0; ; n++ {
 		for _, e := range f.Entries() {
@@ -140,7 +142,8 @@
 	}
 }
 
-// entryTerminated stops an instance with SIGTERM in the middle of an answer.
+// entryTerminated sends SIGTERM to an instance in the middle of an answer and checks that it completes the answer and then
+// exits.
 func entryTerminated(ctx context.Context, f *fleet.Fleet) (string, error) {
 	e := f.Entries()[terminatedEntryIndex]
 	r, err := askCounter(ctx, f, e.Callers, "a long story about loadouts", 120, func(n int) {
@@ -159,7 +162,7 @@
 	return fmt.Sprintf("%d tokens whole, the instance stopped", r.Tokens), nil
 }
 
-// entryKilled kills an instance and asks the others.
+// entryKilled kills an instance and checks that all others except the terminated one still answer.
 func entryKilled(ctx context.Context, f *fleet.Fleet) (string, error) {
 	f.Entries()[killedEntryIndex].Process.Kill()
 	asked := 0
