--- a/bench/config.go
+++ b/bench/config.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	// configChanges is the number of changes without a disturbance; runs with one make a third of them.
+	// configChanges is the number of changes in the undisturbed run. Runs with a fault make a third of them.
 	configChanges = 12
-	// changeInterval lies between two changes, and configSettle is what the last one has to arrive everywhere.
+	// changeInterval is the time between two changes. propagationTime is how long the last change has to come into force on
+	// every instance.
 	changeInterval  = 300 * time.Millisecond
 	propagationTime = 2500 * time.Millisecond
-	// partitionTime is how long a domain is cut from everything outside of it.
+	// partitionTime is how long a domain is partitioned from everything outside it.
 	partitionTime = 20 * time.Second
-	// slowKVLatencyMS is how long a call takes to the slow key-value service.
+	// slowKVLatencyMS is the latency of each call to the slow key-value service, in milliseconds.
 	slowKVLatencyMS = 400
 )
 
-// controlSpec describes a fleet without requests: domains of alike size and engines that share one process a domain.
+// controlSpec describes a fleet that gets no requests. All domains have the same size, and the engines of a domain share one
+// process.
 func controlSpec(domains, entries, engines int) fleet.Spec {
 	spec := fleet.Users()
 	spec.Domains, spec.Entries, spec.Engines, spec.Services = nil, nil, nil, nil
@@ -41,8 +43,9 @@
 	return spec
 }
 
-// Config measures how long an accepted configuration takes to be in force on every instance, undisturbed, with a slow
-// key-value service, and with one domain cut from it.
+// Config measures how long an accepted configuration takes to come into force on every instance: undisturbed, with a slow
+// key-value service, and with one domain partitioned from that service or from everything outside the domain. It also counts
+// the rounds in which conflicting plans were not accepted exactly once, and the instances' reverts to an earlier revision.
 func Config(bin string, p *Printer) error {
 	const domains, entries = 7, 15
 	spec := controlSpec(domains, entries, 0)
@@ -64,18 +67,21 @@
 	return err
 }
 
+// configBench holds the state of one Config run.
 type configBench struct {
 	fleet   *fleet.Fleet
 	printer *Printer
-	weight  float64
+	// weight is the group weight set by the last plan. It grows with each plan, so that each one is a change.
+	weight float64
 }
 
+// acceptedChange is a confirmed revision and the time from which its delays are measured.
 type acceptedChange struct {
 	revision revision.Number
 	at       time.Time
 }
 
-// confirmChange confirms one confirmChange and returns its revision with the time before the confirmation was sent.
+// confirmChange confirms one change and returns its revision with the time before the confirmation was sent.
 func (b *configBench) confirmChange() (acceptedChange, error) {
 	b.weight++
 	plan, err := b.fleet.Propose("bench", fleet.ShareChange("counter", b.weight))
@@ -91,6 +97,7 @@
 	return acceptedChange{revision: entry.Revision, at: at}, err
 }
 
+// confirmChanges confirms count changes one after the other and waits until the last one has had time to come into force.
 func (b *configBench) confirmChanges(count int) ([]acceptedChange, error) {
 	var out []acceptedChange
 	for range count {
@@ -105,7 +112,8 @@
 	return out, nil
 }
 
-// printDelays prints how long the revisions took on the instances of the named domains, all when none is named.
+// printDelays prints how long the changes took to come into force on the instances of the first named domain, or of all
+// domains if none is named.
 func (b *configBench) printDelays(name string, changes []acceptedChange, domains ...string) error {
 	delays, missing, err := delaysOf(b.fleet, changes, domains)
 	if err != nil {
@@ -138,7 +146,7 @@
 	return b.printDelays("config_slow_kv_ms", all)
 }
 
-// measureKVCut cuts the last domain from the key-value service and list, but not from other instances.
+// measureKVCut partitions the last domain from the key-value service and the instance list, but not from other instances.
 func (b *configBench) measureKVCut() error {
 	domain := b.lastDomain()
 	b.fleet.Faults().KV(domain).Cut()
@@ -151,7 +159,9 @@
 	return b.printDelays("config_kv_cut_ms", all, domain)
 }
 
-// measurePartition cuts the last domain from everything outside it for a while; the revisions made meanwhile must arrive after.
+// measurePartition keeps the last domain partitioned from everything outside it for partitionTime and measures how long,
+// after the partition has healed, the domain takes to apply the revision that was confirmed meanwhile. It relies on
+// measureKVCut, which has cut the domain from the key-value service and the list.
 func (b *configBench) measurePartition() error {
 	domain := b.lastDomain()
 	b.forEachPeerOutside(domain, func(name string) { b.fleet.Faults().Peer(name).Cut() })
@@ -176,8 +186,9 @@
 	return err
 }
 
-// forEachPeerOutside names the instances of every other domain: with their proxies cut, the domain reaches none of them.
-// Calls from them into the domain are made by nobody but an operator's status.
+// forEachPeerOutside calls do with the name of each instance of the other domains. Once the proxies of all these instances
+// are cut, the domain reaches none of them. In the other direction, only an operator's status command makes calls into the
+// domain.
 func (b *configBench) forEachPeerOutside(domain string, do func(name string)) {
 	for _, e := range b.fleet.Entries() {
 		if e.Domain != domain {
@@ -191,7 +202,8 @@
 	return domains[len(domains)-1]
 }
 
-// countDoubleAccepts confirms rival plans at the same time on different instances and counts rounds that accepted two.
+// countDoubleAccepts confirms conflicting plans at the same time on different instances and counts the rounds that did not
+// accept exactly one of them.
 func (b *configBench) countDoubleAccepts() error {
 	const rounds = 5
 	doubles := 0
@@ -208,6 +220,7 @@
 	return nil
 }
 
+// confirmConflicting runs one round and returns the number of accepted plans.
 func (b *configBench) confirmConflicting() (int, error) {
 	entries := b.fleet.Entries()
 	const rivals = 4
--- a/bench/control.go
+++ b/bench/control.go
@@ -15,17 +15,18 @@
 const (
 	controlSettle = 3 * time.Second
 	controlWindow = 4 * time.Second
-	// domainBackends is the number of backend servers of one domain at the design size: 600 replicas of four stages over
-	// seven domains.
+	// domainBackends is the number of backend servers of one domain at the design size: 600 replicas of four stages in seven
+	// domains.
 	domainBackends = 343
-	clockTick      = 10 * time.Millisecond
+	// clockTick is the unit of the processor times in /proc/PID/stat.
+	clockTick = 10 * time.Millisecond
 )
 
-// controlSizes are the numbers of instances of one domain; at the design size there are 59.
+// controlSizes are the numbers of instances of the domain that are measured. At the design size a domain has 59.
 var controlSizes = []int{8, 32, 64, 128}
 
-// Control measures what control costs each instance of one failure domain without requests, with as many backend servers
-// as a domain has at the design size.
+// Control measures what the control plane costs each instance of one failure domain: processor time, memory, bytes and calls
+// to the key-value service. The domain gets no requests and has as many backend servers as one has at the design size.
 func Control(bin string, p *Printer) error {
 	var points []controlPoint
 	for _, n := range controlSizes {
@@ -45,6 +46,8 @@
 	return nil
 }
 
+// controlPoint is the measurement at one number of instances. cpu is in percent of a core, rss in megabytes and bytes in
+// bytes a second, each per instance; kvCalls is in calls a second of all instances.
 type controlPoint struct {
 	instances int
 	cpu       float64
@@ -88,6 +91,8 @@
 	}, nil
 }
 
+// controlSample is the sum over all instances at one time. rss is in megabytes; the other values count from the start of the
+// processes.
 type controlSample struct {
 	at      time.Time
 	cpu     time.Duration
@@ -96,7 +101,7 @@
 	kvCalls int64
 }
 
-// sampleControl adds up what the instances have used so far; rss is in megabytes.
+// sampleControl adds up what the instances have used so far.
 func sampleControl(f *fleet.Fleet) (controlSample, error) {
 	s := controlSample{at: time.Now()}
 	for _, e := range f.Entries() {
@@ -120,12 +125,13 @@
 	return s, err
 }
 
+// cpuOf returns the user and system processor time that a process has used.
 func cpuOf(pid int) (time.Duration, error) {
 	body, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return 0, errors.Wrap(err, "bench: processor time")
 	}
-	// The fields behind the program's name, which ends with the last bracket, begin with the third.
+	// The program's name, in parentheses, is the second field. What follows it begins with the third.
 	_, rest, _ := strings.Cut(string(body), ") ")
 	fields := strings.Fields(rest)
 	const userField, systemField = 11, 12
@@ -153,8 +159,8 @@
 	return 0, errors.New("bench: no memory figure")
 }
 
-// loopbackBytes returns the bytes sent and received over loopback, headers included: what two instances exchange counts
-// for both, and so does what an instance exchanges with a stand-in.
+// loopbackBytes returns the bytes sent and received over loopback, headers included. Each transfer counts twice, once at the
+// sender and once at the receiver, also between an instance and the fake key-value service, list or engines.
 func loopbackBytes() (int64, error) {
 	total := int64(0)
 	for _, name := range []string{"rx_bytes", "tx_bytes"} {
--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,2 +1,2 @@
-// Package bench measures fleets on loopback and prints the figures.
+// Package bench runs benchmarks of whole fleets on loopback and prints the measured figures.
 package bench
--- a/bench/figure.go
+++ b/bench/figure.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Printer writes figures as lines that start with the word figure.
+// Printer writes figures as lines "figure NAME VALUE UNIT", which package capacity reads.
 type Printer struct {
 	out io.Writer
 }
@@ -20,21 +20,21 @@
 	fmt.Fprintf(p.out, "figure %s %.4g %s\n", name, value, unit)
 }
 
-// Durations prints the middle, the 99th percentile and the largest, in milliseconds.
+// Durations prints the median, the 99th percentile and the maximum, in milliseconds.
 func (p *Printer) Durations(name string, all []time.Duration) {
 	p.Figure(name+"_p50", millis(quantile(all, 0.5)), "ms")
 	p.Figure(name+"_p99", millis(quantile(all, 0.99)), "ms")
 	p.Figure(name+"_max", millis(quantile(all, 1)), "ms")
 }
 
-// Note prints a line that is no figure.
+// Note prints a line for the reader, which package capacity ignores.
 func (p *Printer) Note(format string, args ...any) {
 	fmt.Fprintf(p.out, "note "+format+"\n", args...)
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// quantile returns the value below which the share q of the durations lies; zero for none.
+// quantile returns the q-quantile of the durations, with q from 0 to 1, or zero if there are none.
 func quantile(all []time.Duration, q float64) time.Duration {
 	if len(all) == 0 {
 		return 0
--- a/bench/inforce.go
+++ b/bench/inforce.go
@@ -13,17 +13,17 @@
 	"junctioncross/revision"
 )
 
-// inForceMessage is what an instance writes when a revision comes into force.
+// inForceMessage is the message that an instance logs when a revision comes into force.
 const inForceMessage = "configuration in force"
 
-// logLine is a line of an instance's log that tells of a revision.
+// logLine holds the fields of an instance's log line that are read here.
 type logLine struct {
 	Message  string          `json:"msg"`
 	Revision revision.Number `json:"revision"`
 	Time     time.Time       `json:"time"`
 }
 
-// inForceTimes reads from an instance's log when each revision came into force.
+// inForceTimes returns the lines of an instance's log that say when each revision came into force.
 func inForceTimes(f *fleet.Fleet, e *fleet.Entry) ([]logLine, error) {
 	file, err := os.Open(filepath.Join(f.Dir(), e.Name+".log"))
 	if err != nil {
@@ -41,7 +41,8 @@
 	return out, lines.Err()
 }
 
-// delaysOf returns, for each revision and instance, the time until that revision or a later one was in force.
+// delaysOf returns, for each change and instance, the time until its revision or a later one was in force. missing counts
+// the pairs without one. If domains are given, only instances of the first of them count.
 func delaysOf(f *fleet.Fleet, changes []acceptedChange, domains []string) (delays []time.Duration, missing int, err error) {
 	for _, e := range f.Entries() {
 		if len(domains) > 0 && e.Domain != domains[0] {
@@ -63,6 +64,7 @@
 	return delays, missing, nil
 }
 
+// delayOf returns the delay of one change on the instance whose log lines are given. ok is false if it did not come into force.
 func delayOf(lines []logLine, a acceptedChange) (time.Duration, bool) {
 	for _, l := range lines {
 		if l.Revision >= a.revision {
@@ -72,6 +74,7 @@
 	return 0, false
 }
 
+// countReverts counts how often an instance put a revision into force that was not newer than the one before it.
 func countReverts(f *fleet.Fleet) (int, error) {
 	reverts := 0
 	for _, e := range f.Entries() {
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -14,19 +14,19 @@
 	timeOverloaded       = 14 * time.Second
 	timeAfter            = 10 * time.Second
 	overloadAnswerTokens = 20
-	// normalLoadRatio is the share of the bound that counts as the load of one.
+	// normalLoadRatio is the normal load as a share of the throughput bound. The overload is overloadFactor times that load.
 	normalLoadRatio = 0.8
 	overloadFactor  = 3
-	// heavyAccountFactor is what one account offers where each of the others offers one part.
+	// heavyAccountFactor is the number of requests of the first account for each request of another account.
 	heavyAccountFactor = 10
-	// queueFillTime is how long the queues take to fill before shares are compared.
+	// queueFillTime is how long the queues take to fill. Shares are compared among the requests that start after it.
 	queueFillTime = 2 * time.Second
-	// returnRatio is the share of the earlier goodput at which it counts as back.
+	// returnRatio is the share of the goodput before the overload at which goodput counts as back to normal.
 	returnRatio = 0.95
 )
 
-// Overload measures what becomes of goodput and shares when three times the load is offered, one account ten times as much
-// as the others, and how soon goodput is back.
+// Overload measures goodput and the accounts' shares under three times the normal load, of which one account offers ten
+// times as much as each of the others, and how soon goodput is back to normal afterwards.
 func Overload(bin string, p *Printer) error {
 	spec := poolSpec(3)
 	spec.QueueWait = 500 * time.Millisecond
@@ -50,12 +50,14 @@
 	return nil
 }
 
+// overloadBench holds the state of one Overload run.
 type overloadBench struct {
 	fleet   *fleet.Fleet
 	printer *Printer
 }
 
-// run offers a load of which the first account's part is heavyParts times that of each other.
+// run offers rate requests a second for the window. The first account sends heavyAccountFactor times as many as each other
+// account.
 func (b *overloadBench) run(name string, rate float64, window time.Duration) []load.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), window)
 	defer cancel()
@@ -73,7 +75,7 @@
 	return result.Outcomes()
 }
 
-// goodput returns the tokens a second of whole answers, by when they were asked for.
+// goodput returns the tokens a second of complete and correct answers to the requests that started within the window.
 func goodput(outcomes []load.Outcome, window time.Duration) float64 {
 	tokens := 0
 	for _, o := range outcomes {
@@ -84,10 +86,11 @@
 	return float64(tokens) / window.Seconds()
 }
 
+// correct reports whether the answer is complete and as expected.
 func correct(o load.Outcome) bool { return o.Err == nil && o.Reply.Complete() && !o.Wrong }
 
-// returnTime returns when the goodput of a second first reached the usual one again, in seconds after the overload; not a
-// number when it never did.
+// returnTime returns, in seconds after the overload, the end of the first second whose goodput reached returnRatio of the
+// normal goodput. It returns NaN if none did.
 func returnTime(outcomes []load.Outcome, normal float64) float64 {
 	if len(outcomes) == 0 {
 		return math.NaN()
@@ -107,7 +110,7 @@
 	return math.NaN()
 }
 
-// firstStart returns when the first of the requests was asked for; there must be one.
+// firstStart returns when the first of the requests started. There must be at least one.
 func firstStart(outcomes []load.Outcome) time.Time {
 	first := outcomes[0].Start
 	for _, o := range outcomes {
@@ -118,7 +121,7 @@
 	return first
 }
 
-// afterQueueFill returns the outcomes of requests that were asked for after the first seconds, in which the queues fill.
+// afterQueueFill returns the outcomes of the requests that started after queueFillTime.
 func afterQueueFill(outcomes []load.Outcome) []load.Outcome {
 	first := firstStart(outcomes)
 	var out []load.Outcome
@@ -130,7 +133,7 @@
 	return out
 }
 
-// printShares prints what became of each account's requests.
+// printShares prints the outcomes of each account's requests.
 func printShares(p *Printer, outcomes []load.Outcome) {
 	byKey := map[string]*load.Result{}
 	for _, o := range outcomes {
@@ -145,8 +148,8 @@
 	}
 }
 
-// shareError returns the largest difference between an account's share of the delivered tokens and the equal share that is
-// owed to each, since every account asks for more than that.
+// shareError returns the largest difference between an account's share of the delivered tokens and an equal share. Every
+// account is entitled to an equal share, since each one requests more than that.
 func shareError(outcomes []load.Outcome) float64 {
 	byKey := map[string]float64{}
 	total := 0.0
--- a/bench/pool.go
+++ b/bench/pool.go
@@ -11,11 +11,11 @@
 	"junctioncross/standin"
 )
 
-// benchLayers is the number of layers of the model that throughput and recovery are measured with.
+// benchLayers is the number of layers of the model that the throughput, overload and recovery benchmarks use.
 const benchLayers = 24
 
-// poolSpec describes one domain with ten engines of five kinds on links from 20 microseconds to 2 milliseconds, slow
-// enough that eight cores carry the stand-ins, the instances and the callers.
+// poolSpec describes one domain with ten engines of five kinds, on links with latencies from 20 microseconds to 2
+// milliseconds. The engines are slow enough that eight cores suffice for the fake engines, the instances and the callers.
 func poolSpec(entries int) fleet.Spec {
 	spec := fleet.Users()
 	spec.Domains, spec.Entries = []string{"d"}, []int{entries}
@@ -33,7 +33,7 @@
 	return spec
 }
 
-// slowKinds returns the five kinds with steps of 10 to 20 milliseconds for a third of the layers.
+// slowKinds returns five kinds of engines whose batch steps take 10 to 20 milliseconds for a third of the layers.
 func slowKinds() []intent.Kind {
 	return []intent.Kind{
 		{Name: "a", LayerMicros: 900, SequenceMicros: 25, MaxBatch: 16, MaxLayers: 12},
@@ -44,7 +44,7 @@
 	}
 }
 
-// throughputBound returns the tokens a second that the hardware of the fleet allows for the model.
+// throughputBound returns the tokens a second of the first model that the engines of the fleet allow.
 func throughputBound(spec fleet.Spec) float64 {
 	d := &intent.Document{Models: spec.Models, Kinds: spec.Kinds}
 	for range spec.Domains {
@@ -55,7 +55,7 @@
 	return plan.Bound(d, spec.Models[0].Name)
 }
 
-// answerCheck compares answers with those computed apart.
+// answerCheck returns a check that compares answers with the expected ones, which it computes without the fleet.
 func answerCheck(spec fleet.Spec) load.Check {
 	m := spec.Models[0]
 	model := standin.NewModel(m.Name, m.Version, m.Layers)
@@ -65,7 +65,8 @@
 	}
 }
 
-// requests returns a function that spreads requests over the instances.
+// requests returns a function that makes the n-th request, for an answer of at most limit tokens. It assigns requests to the
+// instances in turn.
 func requests(f *fleet.Fleet, limit int) func(n int) load.Ask {
 	return func(n int) load.Ask {
 		e := f.Entries()[n%len(f.Entries())]
@@ -76,7 +77,7 @@
 	}
 }
 
-// printSummary prints what became of the requests.
+// printSummary prints the counts of the outcomes, with names that begin with prefix.
 func printSummary(p *Printer, prefix string, s load.Summary) {
 	p.Figure(prefix+"requests", float64(s.Requests), "count")
 	p.Figure(prefix+"whole", float64(s.Complete), "count")
--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -21,12 +21,13 @@
 	randomWorkers   = 72
 	randomWindow    = 20 * time.Second
 	randomTokens    = 24
-	// minPauseFactor is how many times the usual gap an answer must pause to count as hit by a fault.
+	// minPauseFactor is the multiple of the median gap between tokens that a pause must exceed for the answer to count as
+	// hit by a fault.
 	minPauseFactor = 2
 )
 
-// Recovery measures how long answers pause when stages are killed or hang, and what becomes of requests under random
-// faults behind fault proxies.
+// Recovery measures how long answers pause when the engine of a stage is killed or hangs, what becomes of requests under
+// random faults of engines and their links, and how fast another instance answers after one was killed.
 func Recovery(bin string, p *Printer) error {
 	spec := poolSpec(3)
 	spec.Proxied = true
@@ -45,7 +46,8 @@
 	return measureEntryKill(f, p)
 }
 
-// measureRecovery breaks an engine now and then under steady load and prints how long the answers that it worked on paused.
+// measureRecovery injects a fault into one engine after the other under steady load, heals each after faultDuration, and
+// prints how long the answers that the engine worked on paused.
 func measureRecovery(f *fleet.Fleet, p *Printer, name string, inject, heal func(*fleet.Engine)) {
 	ctx, cancel := context.WithTimeout(context.Background(), faultInterval*(recoveryFaults+1))
 	defer cancel()
@@ -76,7 +78,8 @@
 	printSummary(p, name+"_", summary)
 }
 
-// pausesAt returns the gaps longer than least that span one of the moments.
+// pausesAt returns the time from a fault to the next token for each gap between tokens that is longer than minGap and spans
+// a fault.
 func pausesAt(outcomes []load.Outcome, faultTimes []time.Time, minGap time.Duration) []time.Duration {
 	var out []time.Duration
 	for _, o := range outcomes {
@@ -98,7 +101,8 @@
 	return out
 }
 
-// measureRandomFaults brings faults about at random, one after the other and together, under load from many callers.
+// measureRandomFaults injects random faults, one after the other, under load from many callers and prints the outcomes of
+// the requests.
 func measureRandomFaults(f *fleet.Fleet, p *Printer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), randomWindow)
 	defer cancel()
@@ -118,7 +122,8 @@
 	return err
 }
 
-// injectRandomFaults repeats: an engine is killed, hangs, slows tenfold, or its link resets or delays, for a short while.
+// injectRandomFaults injects faults until ctx ends, each into a random engine for a short time: the engine is killed, hangs
+// or runs ten times slower, or its link resets connections or adds latency.
 func injectRandomFaults(ctx context.Context, f *fleet.Fleet) {
 	random := rand.New(rand.NewPCG(1, 2))
 	const pause = 300 * time.Millisecond
@@ -150,7 +155,7 @@
 	}
 }
 
-// falseNotRun counts the requests that were refused as not run although an engine has started them.
+// falseNotRun counts the requests that were refused as not run although an engine had started them.
 func falseNotRun(f *fleet.Fleet, result *load.Result) (int, error) {
 	started := map[string]bool{}
 	for _, e := range f.Engines() {
@@ -174,7 +179,8 @@
 	return count, nil
 }
 
-// measureEntryKill kills an instance under load and prints how long its callers wait for an answer from another one.
+// measureEntryKill kills an instance of the fleet, which is idle by then, and prints how long a caller waits for an answer
+// from another instance.
 func measureEntryKill(f *fleet.Fleet, p *Printer) error {
 	victim, other := f.Entries()[0], f.Entries()[1]
 	victim.Process.Kill()
--- a/bench/state.go
+++ b/bench/state.go
@@ -15,7 +15,7 @@
 	"junctioncross/view"
 )
 
-// The design size.
+// The design size: the fleet that the limits are checked for.
 const (
 	designAccounts = 20_000
 	designModels   = 35
@@ -24,7 +24,8 @@
 	megabyte       = 1 << 20
 )
 
-// State measures, in this process, the memory and time of the state that an instance holds at the design size.
+// State measures in this process the memory that the configuration takes in an instance at the design size, the time to
+// apply it, to place the models and to build the graphs of one domain.
 func State(p *Printer) error {
 	d := designDocument(designAccounts)
 	start := time.Now()
@@ -38,6 +39,7 @@
 	return measureGraphs(p, placed)
 }
 
+// designDocument returns a configuration of the design size, with that many accounts, on which no layers are placed yet.
 func designDocument(accounts int) *intent.Document {
 	d := &intent.Document{Kinds: fleet.Kinds()}
 	for i := range designModels {
@@ -64,7 +66,8 @@
 	return out
 }
 
-// measureState measures the configuration in force with that many accounts.
+// measureState measures memory and time of the configuration in force with that many accounts, and the sizes of its stored
+// records.
 func measureState(p *Printer, placed *intent.Document, accounts int) error {
 	d := placed.Clone()
 	d.Accounts = designAccountList(accounts)
@@ -102,6 +105,7 @@
 	return err
 }
 
+// heapBytes returns the size of the heap in use after two garbage collections.
 func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -110,7 +114,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// measureGraphs measures the building of the measureGraphs of all models over the servers of one domain.
+// measureGraphs measures how long it takes to build the graphs of all models over the servers of one domain.
 func measureGraphs(p *Printer, d *intent.Document) error {
 	start := time.Now()
 	lanes := 0
@@ -129,7 +133,8 @@
 	return checkTiling(d)
 }
 
-// checkTiling checks that the placed layers of every model tile it in the first domain.
+// checkTiling returns an error if the distinct layer ranges placed for a model in the first domain do not add up to all its
+// layers.
 func checkTiling(d *intent.Document) error {
 	for _, m := range d.Models {
 		counted := map[models.Layers]bool{}
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -19,8 +19,8 @@
 	answerTokens      = 40
 )
 
-// Throughput measures delivered tokens against the bound of the hardware, undisturbed and while engines are killed, slowed
-// and started again.
+// Throughput measures the delivered tokens a second as a ratio of the throughput bound of the engines: undisturbed, and
+// while engines are killed and restarted or run slowly.
 func Throughput(bin string, p *Printer) error {
 	spec := poolSpec(3)
 	f, err := fleet.Start(spec, bin)
@@ -55,7 +55,7 @@
 	return printRetries(f, p)
 }
 
-// printRetries prints what the instances retried and why.
+// printRetries prints the number of the instances' retries by reason.
 func printRetries(f *fleet.Fleet, p *Printer) error {
 	for _, reason := range []models.Reason{models.RetryUnreachable, models.RetryTimeout, models.RetryRefused, models.RetryOutOfOrder, models.RetrySlow} {
 		total := int64(0)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// printEngines prints how busy each engine was, over its busiest possible time, and how full its batches were.
+// printEngines prints, for each engine, the share of the run in which it was busy and the mean number of sequences in a batch.
 func printEngines(f *fleet.Fleet, p *Printer) error {
 	for _, e := range f.Engines() {
 		t, err := fleet.EngineTally(e)
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// measureSaturated keeps more requests under way than the engines can batch and returns the tokens a second within the window.
+// measureSaturated keeps more requests in flight than the engines can batch and returns the tokens a second within the
+// window, which begins after warmUpTime. disturb, if not nil, runs meanwhile.
 func measureSaturated(p *Printer, f *fleet.Fleet, window time.Duration, disturb func(ctx context.Context, f *fleet.Fleet)) (float64, load.Summary) {
 	ctx, cancel := context.WithTimeout(context.Background(), warmUpTime+window)
 	defer cancel()
@@ -106,7 +107,8 @@
 	return meter.rate(window), result.Summarize()
 }
 
-// churn kills, revives and slows an engine in turn.
+// churn disturbs one engine after the other until ctx ends. Alternately it kills one and restarts it after half of
+// churnPeriod, or makes one run ten times slower for as long.
 func churn(ctx context.Context, f *fleet.Fleet) {
 	engines := f.Engines()
 	for n := 0; ; n++ {
