--- a/load/client.go
+++ b/load/client.go
@@ -69,10 +69,10 @@
 
 // requestBody is the body of a chat completion request.
 type requestBody struct {
-	Model    string    `json:"model"`
-	Messages []message `json:"messages"`
-	Limit    int       `json:"max_tokens"`
-	Stream   bool      `json:"stream"`
+	Model     string    `json:"model"`
+	Messages  []message `json:"messages"`
+	MaxTokens int       `json:"max_tokens"`
+	Stream    bool      `json:"stream"`
 }
 
 type message struct {
@@ -105,7 +105,7 @@
 // built.
 func (c *Client) Stream(ctx context.Context, a Ask) (*Reply, error) {
 	body, err := json.Marshal(requestBody{
-		Model: a.Model, Messages: []message{{Role: RoleUser, Content: a.Prompt}}, Limit: a.Limit, Stream: true,
+		Model: a.Model, Messages: []message{{Role: RoleUser, Content: a.Prompt}}, MaxTokens: a.Limit, Stream: true,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "load: encode request")
