--- a/bench/config.go
+++ b/bench/config.go
@@ -223,8 +223,8 @@
 // confirmConflicting runs one round and returns the number of accepted plans.
 func (b *configBench) confirmConflicting() (int, error) {
 	entries := b.fleet.Entries()
-	const rivals = 4
-	plans := make([]revision.Plan, rivals)
+	const planCount = 4
+	plans := make([]revision.Plan, planCount)
 	for i := range plans {
 		b.weight++
 		var err error
@@ -232,11 +232,11 @@
 			return 0, err
 		}
 	}
-	results := make([]error, rivals)
+	results := make([]error, planCount)
 	var all sync.WaitGroup
 	for i := range plans {
 		all.Go(func() {
-			client, err := b.fleet.Operator(entries[i*len(entries)/rivals])
+			client, err := b.fleet.Operator(entries[i*len(entries)/planCount])
 			if err == nil {
 				_, err = client.Confirm(plans[i].ID)
 			}
