--- a/demo/demo.go
+++ b/demo/demo.go
@@ -39,7 +39,7 @@
 	{"entry_sigkill", entryKilled},
 }
 
-// Run starts a fleet of the users' shape, prints one line for each check and reports whether all passed. It returns an error
+// Run starts the default fleet, prints one line for each check and reports whether all passed. It returns an error
 // if the fleet does not start.
 func Run(bin string, out io.Writer) (bool, error) {
 	f, err := fleet.Start(fleet.Users(), bin)
