--- a/capacity/size.go
+++ b/capacity/size.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The design size: the users' fleet in two years, as they state it.
+// The design size: the fleet that the users expect to have in two years.
 const (
 	instances         = 410.0
 	replicas          = 600.0
