--- a/forward/demand.go
+++ b/forward/demand.go
@@ -7,33 +7,35 @@
 )
 
 const (
-	// recentSlots and slotTime are the parts of the time over which first tries are counted, ten seconds in all: longer than most answers last.
+	// First tries, which are the requests of callers that were not refused before, are counted over recentSlots intervals of
+	// slotTime. That is ten seconds in all: longer than most answers last.
 	recentSlots = 10
 	slotTime    = time.Second
-	// refusedPart is the part of the first tries that are refused from which overload shows, and underRoom the part of the room that first tries
-	// alone would take up to which the room should be enough for them.
-	refusedPart = 0.1
-	underRoom   = 0.9
+	// overloadRefusedShare is the part of the first tries that must be refused for a service to count as overloaded.
+	// sufficientRoomShare is the part of the room that first tries alone may take up if the room is to count as sufficient for
+	// them.
+	overloadRefusedShare = 0.1
+	sufficientRoomShare  = 0.9
 )
 
-// demand is who asks for the room of a service.
+// demand describes who needs the room of a service.
 type demand struct {
-	// underWay, waiting and told are the streams that have room, those that wait for it, and the callers who were told to come back later;
-	// of the first two, returned ones had been refused before.
+	// underWay is the number of streams that have room, waiting those that wait for it, and toldToRetry the callers who were
+	// told to come back later. The returned ones are those of returning callers.
 	underWay, returnedUnderWay int
 	waiting, returnedWaiting   int
-	told                       int
-	// tries are the first tries of the last while, refused those of them that were refused, and alone the streams that first tries would
-	// keep under way if each was served at once.
-	tries, refused int
-	alone          float64
+	toldToRetry                int
+	// firstTries are the recent first tries, refusedFirstTries those of them that were refused, and firstTriesAlone the number
+	// of streams that would be under way if there were only first tries and each was served at once.
+	firstTries, refusedFirstTries int
+	firstTriesAlone               float64
 }
 
-// demand returns who asks for room now.
+// demand returns who needs room now.
 func (q *queue) demand(now time.Time) demand {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	d := demand{underWay: len(q.underWay), waiting: len(q.waiting), told: q.dueLocked(now, now.Add(time.Hour))}
+	d := demand{underWay: len(q.underWay), waiting: len(q.waiting), toldToRetry: q.dueRetriesLocked(now, now.Add(time.Hour))}
 	for f := range q.underWay {
 		if f.returned {
 			d.returnedUnderWay++
@@ -44,27 +46,29 @@
 			d.returnedWaiting++
 		}
 	}
-	d.tries, d.refused = q.tries.Sum(now), q.refused.Sum(now)
-	perSecond := float64(d.tries) / (recentSlots * slotTime.Seconds())
-	d.alone = perSecond * q.lives.mean().Seconds()
+	d.firstTries, d.refusedFirstTries = q.firstTries.Sum(now), q.refusedFirstTries.Sum(now)
+	perSecond := float64(d.firstTries) / (recentSlots * slotTime.Seconds())
+	d.firstTriesAlone = perSecond * q.lifetimes.mean().Seconds()
 	return d
 }
 
-// outlasts reports whether first tries are refused although they alone would leave room: what keeps them out is what came back, and the cause
-// of the overload may be gone.
-func (d demand) outlasts(room float64) bool {
-	return d.tries > 0 && float64(d.refused) >= refusedPart*float64(d.tries) && d.alone <= underRoom*room
+// outlastsCause reports whether first tries are refused although there would be room for them alone. The load is then kept up
+// by retries, and the original cause of the overload may be gone (metastable overload).
+func (d demand) outlastsCause(room float64) bool {
+	return d.firstTries > 0 && float64(d.refusedFirstTries) >= overloadRefusedShare*float64(d.firstTries) &&
+		d.firstTriesAlone <= sufficientRoomShare*room
 }
 
-// countTry counts a stream that its caller asks for the first time, and countRefused one of them that is refused.
+// countTry counts a stream if it is the first try of its caller.
 func (h *Handler) countTry(f *inflight) {
 	if q := h.queueOf(f.r.group.Service().Name); !f.returned {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		q.tries.Add(h.clock.Now())
+		q.firstTries.Add(h.clock.Now())
 	}
 }
 
+// countRefused counts a stream if it is the first try of its caller and is refused.
 func (h *Handler) countRefused(f *inflight, last outcome) {
 	if _, ok := last.(notRun); !ok || f.returned || f.r.x.Begun() {
 		return
@@ -72,10 +76,10 @@
 	q := h.queueOf(f.r.group.Service().Name)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.refused.Add(h.clock.Now())
+	q.refusedFirstTries.Add(h.clock.Now())
 }
 
-// measureDemand tells who asks for the room of a service, against the instance's part of that room.
+// measureDemand exports who needs the room of a service, and how much of that room is this instance's share.
 func (h *Handler) measureDemand(name string, group *backend.Group, now time.Time) {
 	d := h.queueOf(name).demand(now)
 	own, others, _ := h.sequences(h.lanesOf(group, now))
@@ -84,13 +88,13 @@
 	h.gauge("returned_under_way", "service", name, int64(d.returnedUnderWay))
 	h.gauge("streams_waiting", "service", name, int64(d.waiting))
 	h.gauge("returned_waiting", "service", name, int64(d.returnedWaiting))
-	h.gauge("told_to_come_back", "service", name, int64(d.told))
-	h.gauge("first_tries_recent", "service", name, int64(d.tries))
-	h.gauge("first_tries_refused_recent", "service", name, int64(d.refused))
-	h.gauge("first_tries_alone", "service", name, int64(d.alone))
+	h.gauge("told_to_come_back", "service", name, int64(d.toldToRetry))
+	h.gauge("first_tries_recent", "service", name, int64(d.firstTries))
+	h.gauge("first_tries_refused_recent", "service", name, int64(d.refusedFirstTries))
+	h.gauge("first_tries_alone", "service", name, int64(d.firstTriesAlone))
 	h.gauge("room_part", "service", name, int64(room))
 	outlasts := int64(0)
-	if d.outlasts(room) {
+	if d.outlastsCause(room) {
 		outlasts = 1
 	}
 	h.gauge("overload_outlasts", "service", name, outlasts)
--- /dev/null
+++ b/forward/lifetime.go
@@ -0,0 +1,93 @@
+package forward
+
+import (
+	"math"
+	"time"
+
+	"junctioncross/backend"
+	"junctioncross/chain"
+)
+
+const (
+	// ratioUnit is the duration that stands for the ratio 1 in a sample of ratios, since samples hold durations.
+	ratioUnit = time.Second
+	// percent scales ratios to the whole numbers that histograms take.
+	percent = 100.0
+	// safeQuantile is the quantile of the lifetimes that is counted on where a stream that lasts longer would be cut.
+	safeQuantile = 0.95
+	// usualQuantile is the quantile that is counted on where a stream that lasts longer is cut when its server ends, while
+	// one that ends earlier was moved in vain.
+	usualQuantile = 0.8
+	// overdueFraction is the fraction of its expected lifetime that a stream which has exceeded that lifetime is assumed to
+	// need still.
+	overdueFraction = 0.25
+)
+
+// recordLifetime records the ratio of an answer's lifetime to the predicted one.
+func (q *queue) recordLifetime(seen, predicted time.Duration) {
+	if predicted <= 0 {
+		return
+	}
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.ratios.add(time.Duration(float64(seen) / float64(predicted) * float64(ratioUnit)))
+}
+
+// lifetimeQuantile returns the time within which the given quantile of the answers with such a prediction end, by the ratios
+// of earlier answers: predictions count steps and the caller's estimate of its answer, but not how many steps servers run at
+// once.
+func (q *queue) lifetimeQuantile(predicted time.Duration, quantile float64) time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return time.Duration(float64(predicted) * float64(q.ratios.quantile(quantile)) / float64(ratioUnit))
+}
+
+// predictedLifetime returns how long an answer takes on a path by the cost model.
+func predictedLifetime(need chain.Need, path chain.Path) time.Duration {
+	return path.Read + time.Duration(need.Tokens-need.Prompt)*path.Step
+}
+
+// begin records that an attempt starts and how long its answer is expected to take; an attempt that resumes a stream takes
+// what is left of it.
+func (f *inflight) begin(h *Handler, path chain.Path, attempt int) {
+	left := f.left(h)
+	predicted := predictedLifetime(f.need, path)
+	usual := h.queueOf(f.first.Service()).lifetimeQuantile(predicted, usualQuantile)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.earlierServers = append([]*backend.Server(nil), f.r.ran...)
+	f.attemptStart, f.predictedLifetime, f.life = h.clock.Now(), predicted, usual
+	f.minLeft = time.Duration(overdueFraction * float64(usual))
+	f.verified = false
+	f.moved.Store(false)
+	if attempt > 1 && f.r.x.Begun() {
+		f.life, f.predictedLifetime = left, 0
+	}
+}
+
+// left returns how much longer the stream is expected to last.
+func (f *inflight) left(h *Handler) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return max(f.life-h.clock.Since(f.attemptStart), f.minLeft)
+}
+
+// observeLifetime compares how long a whole answer took with the prediction; streams that were resumed have none and are left
+// out.
+func (h *Handler) observeLifetime(f *inflight) {
+	f.mu.Lock()
+	seen, predicted := h.clock.Since(f.attemptStart), f.predictedLifetime
+	f.mu.Unlock()
+	if predicted <= 0 {
+		return
+	}
+	h.queueOf(f.first.Service()).recordLifetime(seen, predicted)
+	h.observeRatio("life", seen, predicted)
+}
+
+// observeRatio exports how long something took, in percent of what was predicted for it.
+func (h *Handler) observeRatio(what string, seen, predicted time.Duration) {
+	if predicted > 0 {
+		h.stats.Histogram(what + "_of_predicted_percent").Update(int64(math.Round(percent * float64(seen) / float64(predicted))))
+	}
+}
--- a/forward/queue.go
+++ b/forward/queue.go
@@ -13,51 +13,53 @@
 const (
 	// roomPoll is how often a waiting request looks for room.
 	roomPoll = 15 * time.Millisecond
-	// lifeAtFirst, firstEventAtFirst and pathlessAtFirst are the mean life of a stream, the mean time to its first event and the mean
-	// time without a path that are assumed before any was seen: an answer of usual length, a prompt that is read at once, and more
-	// than a caller waits, since it is not known that a path comes back in time.
-	lifeAtFirst       = 3 * time.Second
-	firstEventAtFirst = 100 * time.Millisecond
-	pathlessAtFirst   = 3 * time.Second
-	// usualPart is the part of first events that come within the usual time.
-	usualPart = 0.75
-	// gainAtFirst is the weight of the assumption that each own stream that ends makes one room, in streams; gainMost is the
-	// number of ends after which older ones count half.
-	gainAtFirst = 8.0
-	gainMost    = 64.0
+	// initialLifetime, initialFirstEvent and initialOutage are the mean lifetime of a stream, the mean time to its first event
+	// and the mean length of a path outage that are assumed before any have been seen: an answer of usual length, a prompt that
+	// is processed at once, and longer than a caller waits, since nothing shows yet that a path comes back in time.
+	initialLifetime   = 3 * time.Second
+	initialFirstEvent = 100 * time.Millisecond
+	initialOutage     = 3 * time.Second
+	// firstEventQuantile is the part of the first events that arrive within the usual time.
+	firstEventQuantile = 0.75
+	// initialEnds is the weight of the initial assumption that each own stream that ends makes one place free, in streams;
+	// after maxEnds ends, older ones count half.
+	initialEnds = 8.0
+	maxEnds     = 64.0
 )
 
-// queue holds the requests of one service that wait for room: the more urgent first, among these those whose callers have come back,
-// then the others, each in the order in which they came. It knows
-// from what room is predicted.
+// queue holds the requests of one service that wait for room. The order is by urgency, then returning callers before others,
+// then by arrival. It also keeps the statistics from which room is predicted.
 type queue struct {
 	mu      sync.Mutex
 	waiting []*inflight
-	// underWay holds the streams that have room, and when they arrived.
+	// underWay holds the streams that have room, with the arrival time of their requests.
 	underWay map[*inflight]time.Time
-	// lives, firsts and spells are how long streams take, how long their first events take and how long there was no path.
-	lives, firsts, spells sample
-	// ratios are how long answers took against what was predicted, in ratioUnit.
+	// lifetimes, firstEvents and outages are samples of how long streams last, how long their first events take, and how long
+	// the service has no path.
+	lifetimes, firstEvents, outages sample
+	// ratios are the durations of answers as a multiple of the predicted ones, in ratioUnit.
 	ratios sample
-	// without is since when there has been no path, as far as asked; zero while there is one.
-	without time.Time
-	// ends and gains count own streams that ended while a request waited, and those that found room after a wait.
-	ends, gains float64
-	// promised holds when refused callers were told to come back, in no order.
-	promised []time.Time
-	// tries and refused count the latest first tries, and those of them that were refused.
-	tries, refused *retry.Tally
+	// outageSince is when a call first found no path; zero while there is one.
+	outageSince time.Time
+	// endedWhileWaiting counts own streams that ended while a request was waiting, and admitted the requests that found room
+	// after a wait.
+	endedWhileWaiting, admitted float64
+	// retryTimes holds the moments at which refused callers were told to come back, in no particular order.
+	retryTimes []time.Time
+	// firstTries and refusedFirstTries count the recent first tries, and those of them that were refused.
+	firstTries, refusedFirstTries *retry.Tally
 }
 
 func newQueue() *queue {
 	return &queue{
-		lives: newSample(lifeAtFirst), firsts: newSample(firstEventAtFirst), spells: newSample(pathlessAtFirst), ratios: newSample(ratioUnit),
-		ends: gainAtFirst, gains: gainAtFirst, underWay: map[*inflight]time.Time{},
-		tries: retry.NewTally(recentSlots, slotTime), refused: retry.NewTally(recentSlots, slotTime),
+		lifetimes: newSample(initialLifetime), firstEvents: newSample(initialFirstEvent),
+		outages: newSample(initialOutage), ratios: newSample(ratioUnit),
+		endedWhileWaiting: initialEnds, admitted: initialEnds, underWay: map[*inflight]time.Time{},
+		firstTries: retry.NewTally(recentSlots, slotTime), refusedFirstTries: retry.NewTally(recentSlots, slotTime),
 	}
 }
 
-// join adds a request and returns how many are before it.
+// join adds a request and returns the number of requests ahead of it.
 func (q *queue) join(f *inflight) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -69,14 +71,14 @@
 	return at
 }
 
-// mostOvertaken is how often more urgent requests may go before one that has waited longer, so that under lasting overload the less
-// urgent ones still get a quarter of the turns.
-const mostOvertaken = 3
+// maxOvertaken is how often more urgent requests may overtake one that has waited longer. Under lasting overload it leaves the
+// less urgent requests a quarter of the turns.
+const maxOvertaken = 3
 
-// before reports whether a request goes before one that has waited longer.
+// before reports whether a request goes ahead of one that has waited longer.
 func (f *inflight) before(other *inflight) bool {
 	if c := f.r.urgency.compare(other.r.urgency); c != 0 {
-		return c < 0 && other.r.overtaken < mostOvertaken
+		return c < 0 && other.r.overtaken < maxOvertaken
 	}
 	return f.returned && !other.returned
 }
@@ -95,71 +97,72 @@
 	}
 }
 
-// first reports whether it is a request's turn.
-func (q *queue) first(f *inflight) bool {
+// isFirst reports whether a request is at the head of the queue.
+func (q *queue) isFirst(f *inflight) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.waiting) > 0 && q.waiting[0] == f
 }
 
-// enter notes that a stream which arrived at a moment has room.
-func (q *queue) enter(f *inflight, arrived time.Time) {
+// addUnderWay notes that a stream whose request arrived at the given time now has room.
+func (q *queue) addUnderWay(f *inflight, arrived time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.underWay[f] = arrived
 }
 
-// exit notes that a stream has given its room back.
-func (q *queue) exit(f *inflight) {
+// removeUnderWay notes that a stream no longer needs its room.
+func (q *queue) removeUnderWay(f *inflight) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.underWay, f)
 }
 
-// ended takes the life of a stream into account.
+// ended adds the lifetime of a stream that has ended to the statistics.
 func (q *queue) ended(life time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.lives.add(life)
+	q.lifetimes.add(life)
 	if len(q.waiting) > 0 {
-		q.ends++
+		q.endedWhileWaiting++
 	}
-	if q.ends > gainMost {
-		q.ends, q.gains = q.ends/2, q.gains/2
+	if q.endedWhileWaiting > maxEnds {
+		q.endedWhileWaiting, q.admitted = q.endedWhileWaiting/2, q.admitted/2
 	}
 }
 
-// pathless notes whether there is a path now, and returns for how long there has been none, or was none until now.
-func (q *queue) pathless(path bool, now time.Time) (spell time.Duration, none bool) {
+// observePath notes whether there is a path now. It returns how long the current outage has lasted, or the one that ends with
+// this call, and whether there is still no path.
+func (q *queue) observePath(path bool, now time.Time) (outage time.Duration, ongoing bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.without.IsZero() {
-		spell = now.Sub(q.without)
+	if !q.outageSince.IsZero() {
+		outage = now.Sub(q.outageSince)
 	}
 	switch {
-	case path && spell > 0:
-		q.spells.add(spell)
-		q.without = time.Time{}
-	case !path && q.without.IsZero():
-		q.without = now
+	case path && outage > 0:
+		q.outages.add(outage)
+		q.outageSince = time.Time{}
+	case !path && q.outageSince.IsZero():
+		q.outageSince = now
 	}
-	return spell, !path
+	return outage, !path
 }
 
-// forecastLocked returns what is predicted from the streams under way that move, by their ages: one that stands still gives no
-// room back, as when the instance is cut off.
-func (q *queue) forecastLocked(now time.Time, still func(*inflight) bool) forecast {
-	c := forecast{lives: &q.lives, ages: make([]time.Duration, 0, len(q.underWay)), gain: q.gains / q.ends}
+// forecastLocked returns a forecast from the ages of the streams under way, without those that are stalled: these make no room,
+// as when the instance is partitioned from the servers.
+func (q *queue) forecastLocked(now time.Time, stalled func(*inflight) bool) forecast {
+	c := forecast{lifetimes: &q.lifetimes, ages: make([]time.Duration, 0, len(q.underWay)), placesPerEnd: q.admitted / q.endedWhileWaiting}
 	for f, arrived := range q.underWay {
-		if !still(f) {
+		if !stalled(f) {
 			c.ages = append(c.ages, now.Sub(arrived))
 		}
 	}
 	return c
 }
 
-// placesLocked returns how many rooms must come before a request has its own: for those before it, for those who were told to come
-// back until a moment and go first, and for itself.
+// placesLocked returns how many places must become free before a request gets room: those for the requests ahead of it, for
+// callers who were told to come back by the time until and go first, and its own.
 func (q *queue) placesLocked(f *inflight, now, until time.Time) float64 {
 	places := f.places()
 	for _, other := range q.waiting {
@@ -169,16 +172,17 @@
 		places += other.places()
 	}
 	if !f.returned {
-		places += float64(q.dueLocked(now, until))
+		places += float64(q.dueRetriesLocked(now, until))
 	}
 	return places
 }
 
-// dueLocked returns how many refused callers come back until a moment, and forgets those who should have come already.
-func (q *queue) dueLocked(now, until time.Time) int {
-	q.promised = slices.DeleteFunc(q.promised, func(at time.Time) bool { return at.Before(now) })
+// dueRetriesLocked returns how many refused callers were told to come back by the time until. It forgets those whose time has
+// passed.
+func (q *queue) dueRetriesLocked(now, until time.Time) int {
+	q.retryTimes = slices.DeleteFunc(q.retryTimes, func(at time.Time) bool { return at.Before(now) })
 	due := 0
-	for _, at := range q.promised {
+	for _, at := range q.retryTimes {
 		if !at.After(until) {
 			due++
 		}
@@ -186,33 +190,33 @@
 	return due
 }
 
-// gained notes that a request found room after a wait.
-func (q *queue) gained() {
+// countAdmitted counts a request that found room after a wait.
+func (q *queue) countAdmitted() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gains++
+	q.admitted++
 }
 
-// began takes the time to a first event into account.
-func (q *queue) began(after time.Duration) {
+// observeFirstEvent adds the time to a first event to the statistics.
+func (q *queue) observeFirstEvent(after time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.firsts.add(after)
+	q.firstEvents.add(after)
 }
 
-// usualFirst returns the time in which most first events come.
-func (q *queue) usualFirst() time.Duration {
+// usualFirstEvent returns the time within which most first events arrive.
+func (q *queue) usualFirstEvent() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.firsts.quantile(usualPart)
+	return q.firstEvents.quantile(firstEventQuantile)
 }
 
-// awaitPath returns the path for the next attempt. A first attempt waits its turn for room, as long as that is likely to leave time
-// for the answer to begin within its objective, and not at all otherwise.
+// awaitPath returns the path for the next attempt. A first attempt waits its turn for room while that is likely to leave time
+// for the answer to begin within its objective; otherwise it does not wait at all.
 func (h *Handler) awaitPath(ctx context.Context, f *inflight) (chain.Path, bool) {
 	r, q := f.r, h.queueOf(f.r.group.Service().Name)
-	h.pathless(r, q, h.clock.Now())
-	// While nobody waits there is nobody to go before: those that arrive together all take the room that there is.
+	h.lanesAndOutage(r, q, h.clock.Now())
+	// While the queue is empty there is nobody to overtake, so requests that arrive together all take the room there is.
 	if q.empty() {
 		if path, ok := h.choosePath(f); ok {
 			return path, true
@@ -220,10 +224,10 @@
 	}
 	q.join(f)
 	defer q.leave(f)
-	return h.awaitTurn(ctx, f, q, r.x.Arrived().Add(h.mayWait(f, q)))
+	return h.awaitTurn(ctx, f, q, r.x.Arrived().Add(h.maxWait(f, q)))
 }
 
-// awaitRoom looks for a path until a moment, whenever it is the request's turn.
+// awaitRoom looks for a path until the given time, whenever it is the request's turn.
 func (h *Handler) awaitRoom(ctx context.Context, f *inflight, turn func() bool, until time.Time) (chain.Path, bool) {
 	for {
 		if turn() {
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -12,12 +12,12 @@
 	"junctioncross/models"
 )
 
-// streamBuffer holds some events.
+// streamBuffer is the size in bytes of the buffer for one read from a server; it holds some events.
 const streamBuffer = 4 << 10
 
-// stream answers a request of a chained engine.
+// stream handles a request to a chained engine, whose servers each run some of the layers.
 func (h *Handler) stream(ctx context.Context, r *request) {
-	f := &inflight{r: r, events: events{last: resumeFrom(r.meta.ResumeAfter)}}
+	f := &inflight{r: r, events: events{last: parseResumeAfter(r.meta.ResumeAfter)}}
 	f.need, f.returned = h.needOf(r), h.hasReturned(r)
 	h.countTry(f)
 	var last outcome
@@ -32,14 +32,14 @@
 			break
 		}
 		last = h.attempt(ctx, f, path, attempt)
-		if !h.goesOn(f, last, attempt) {
+		if !h.mayContinue(f, last, attempt) {
 			break
 		}
 	}
 	h.concludeStream(ctx, f, last)
 }
 
-// nextPath returns the path for the next attempt, or else how the stream ends instead.
+// nextPath returns the path for the next attempt, or the outcome with which the stream ends if there is none.
 func (h *Handler) nextPath(ctx context.Context, f *inflight, last outcome) (chain.Path, outcome) {
 	if next := f.takeNext(); next != nil {
 		f.r.group, f.laneLoad, f.r.granted = next.group, next.load, true
@@ -64,9 +64,9 @@
 	return path, nil
 }
 
-// goesOn reports whether an attempt that ended so is followed by another. A stream that has begun goes on for as long as its caller
-// waits, unless it must not run again; what it has to wait for is found out by awaitOnward.
-func (h *Handler) goesOn(f *inflight, last outcome, attempt int) bool {
+// mayContinue reports whether another attempt follows one with this outcome. A stream that has begun is resumed for as long
+// as its caller waits, unless it must not run again; the search for its next path finds out what it has to wait for.
+func (h *Handler) mayContinue(f *inflight, last outcome, attempt int) bool {
 	if _, ok := last.(handedOver); ok {
 		return true
 	}
@@ -75,7 +75,7 @@
 	}
 	switch o := last.(type) {
 	case notRun:
-		f.turned++
+		f.refusals++
 		h.stats.Retried(o.reason)
 		return true
 	case failed:
@@ -96,7 +96,7 @@
 	defer f.release()
 	f.first = r.group.Servers()[path.Hops[0].Server]
 	f.expected.Store(int64(path.Read + path.Step))
-	f.events.restart()
+	f.events.dropPartial()
 	f.begin(h, path, attempt)
 	f.first.Start(1)
 	defer f.first.Start(-1)
@@ -106,7 +106,7 @@
 		"predicted_read_us": path.Read.Microseconds(), "tokens": f.need.Tokens, "lane_load": f.laneLoad, "returned": f.returned,
 		"resume_after": f.events.resumeAfter(),
 	}))
-	s, err := h.send(ctx, r, f.first, &call.Send{Path: f.course().parts(), ResumeAfter: f.events.resumeAfter()},
+	s, err := h.send(ctx, r, f.first, &call.Send{Path: f.course().stages(), ResumeAfter: f.events.resumeAfter()},
 		attempt > 1 || !r.route.MayRepeat())
 	if s == nil {
 		return h.unreached(ctx, r, f.first, err)
@@ -130,10 +130,10 @@
 		h.finish(s, false)
 		return h.brokenStream(ctx, f, errMalformed)
 	}
-	f.turned = 0
-	f.tookWork()
+	f.refusals = 0
+	f.noteAccepted()
 	err = h.passEvents(f, s)
-	// A connection that is kept may carry another request at once, which no hand-over of this stream may close.
+	// A connection that is kept may carry another request at once, and a hand-over of this stream must not close it then.
 	h.watch.remove(f)
 	h.finish(s, err == nil)
 	if err != nil {
@@ -143,7 +143,7 @@
 	f.first.Observe(true)
 	f.first.Succeeded()
 	h.absolve(r)
-	h.observeLife(f)
+	h.observeLifetime(f)
 	h.queueOf(f.first.Service()).ended(h.clock.Since(r.x.Arrived()))
 	return delivered{}
 }
@@ -155,13 +155,13 @@
 	h.peers.observe(s.info.Load, f.first.Running())
 }
 
-// refusedStream judges an answer that is not a stream.
+// refusedStream returns the outcome of an answer that is not a stream, and notes the failure or refusal at the server.
 func (h *Handler) refusedStream(f *inflight, s *sent) outcome {
 	body, err := readWhole(s)
 	h.watch.remove(f)
 	h.finish(s, err == nil)
 	if s.info.NotRun {
-		h.blame(f, s)
+		h.noteRefusal(f, s)
 		return notRun{reason: models.RetryRefused}
 	}
 	f.first.Observe(false)
@@ -173,8 +173,9 @@
 	return failed{reason: models.ReasonServiceFailed, answer: h.failureAnswer(s, body)}
 }
 
-// blame keeps new work away from the server that was the reason for a refusal.
-func (h *Handler) blame(f *inflight, s *sent) {
+// noteRefusal keeps new work away from the server that caused a refusal: the one that the answer names, or else the first
+// one.
+func (h *Handler) noteRefusal(f *inflight, s *sent) {
 	server := f.first
 	if s.info.Fault != "" {
 		if at := f.r.group.ByAddr(s.info.Fault); at != nil {
@@ -188,7 +189,7 @@
 	}
 }
 
-// brokenStream judges an attempt whose connection or stream broke.
+// brokenStream returns the outcome of an attempt whose connection or stream broke.
 func (h *Handler) brokenStream(ctx context.Context, f *inflight, err error) outcome {
 	if ctx.Err() != nil || f.r.x.Failed() {
 		f.r.ranOn(f.first)
@@ -202,7 +203,7 @@
 	h.noteBreak(f.first)
 	h.suspectEnd(f.r, f.first, f.ran(h))
 	if !f.r.x.Begun() && f.r.standing() >= f.r.route.MaxAttempts {
-		// Whether there is another attempt depends on who of those has ended.
+		// Another attempt is allowed only if one of the servers that ran the request has terminated.
 		h.mayStillEnd(ctx, f)
 	}
 	h.record.Failure(f.r.meta.ID, "attempt broken", h.fields(f.r, decision.Fields{
@@ -213,8 +214,8 @@
 	return failed{reason: models.RetryBroken}
 }
 
-// noteBreak judges a server by a stream that broke; the end of one that leaves says nothing against it. Whether it has ended shows
-// when it is asked.
+// noteBreak counts a broken stream as a failure of its server, except for a server that is leaving, whose streams are
+// expected to break. It also queries the server, which shows whether it has terminated.
 func (h *Handler) noteBreak(server *backend.Server) {
 	if server.Leaving() {
 		server.Settled()
@@ -225,7 +226,8 @@
 	h.question(server, "broken stream")
 }
 
-// concludeStream tells the caller how the stream ended; one that has begun and cannot go on is broken off.
+// concludeStream logs the outcome of the stream and answers the caller who has no answer yet. A stream that has begun and
+// cannot be resumed is broken off.
 func (h *Handler) concludeStream(ctx context.Context, f *inflight, last outcome) {
 	r := f.r
 	h.countRefused(f, last)
@@ -254,7 +256,7 @@
 	}))
 }
 
-// reasonOf returns why an attempt did not deliver, or an empty reason.
+// reasonOf returns the reason why an attempt did not deliver the answer, or an empty reason.
 func reasonOf(last outcome) models.Reason {
 	switch o := last.(type) {
 	case notRun:
--- /dev/null
+++ b/quarantine/publisher.go
@@ -0,0 +1,117 @@
+package quarantine
+
+import (
+	"context"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"junctioncross/metrics"
+	"junctioncross/retry"
+	"junctioncross/timer"
+)
+
+const (
+	// batchDelay is how long ends are gathered before they are written: when a server terminates, all requests that it
+	// ran break within less.
+	batchDelay = 60 * time.Millisecond
+	// batchSize is the number of ends that one call writes.
+	batchSize = 24
+	// minBackoff and maxBackoff bound the pause after a failed call. Meanwhile, an instance whose writes the store
+	// rejects passes its ends to other instances as well.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 1500 * time.Millisecond
+	// callTimeout bounds one call.
+	callTimeout = 700 * time.Millisecond
+)
+
+// Register writes to the store, where all instances read which servers terminated under which requests.
+type Register interface {
+	// Tell writes ends, which last for as long as ends count, and removes the records of cleared ones.
+	Tell(ctx context.Context, ends, cleared []End) error
+}
+
+// Teller publishes the ends that a Book learns of: it writes them to the store, where all instances read them.
+type Teller struct {
+	book     *Book
+	register Register
+	clock    *timer.Service
+	stats    *metrics.Registry
+	log      *logrus.Logger
+	wake     chan struct{}
+}
+
+// NewTeller returns a Teller and starts it; it stops when ctx ends.
+func NewTeller(
+	ctx context.Context, book *Book, register Register, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
+) *Teller {
+	t := &Teller{book: book, register: register, clock: clock, stats: stats, log: log, wake: make(chan struct{}, 1)}
+	go func() {
+		for {
+			select {
+			case <-t.wake:
+				clock.Sleep(ctx, batchDelay)
+				t.publishAll(ctx)
+			case <-book.republish:
+				t.publishAll(ctx)
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+	return t
+}
+
+// Wake starts publishing soon, since there is something to publish; it does not block.
+func (t *Teller) Wake() {
+	select {
+	case t.wake <- struct{}{}:
+	default:
+	}
+}
+
+// Untold returns ends that could not be published yet, so that other instances can publish them.
+func (t *Teller) Untold() []End {
+	if t.book.Size() == 0 {
+		return nil
+	}
+	ends, _ := t.book.Untold(batchSize)
+	return ends
+}
+
+// Adopt adds ends that another instance could not publish, in order to publish them.
+func (t *Teller) Adopt(ends []End) {
+	for _, e := range ends {
+		if t.book.Confirm(e, t.clock.Now()) {
+			t.Wake()
+		}
+	}
+}
+
+// publishAll writes until nothing is left to publish.
+func (t *Teller) publishAll(ctx context.Context) {
+	for failures := 0; ctx.Err() == nil; {
+		ends, cleared := t.book.Untold(batchSize)
+		if len(ends)+len(cleared) == 0 {
+			return
+		}
+		if err := t.publishBatch(ctx, ends, cleared); err != nil {
+			if failures == 0 {
+				t.log.WithField("ends", len(ends)).WithError(err).Warn("ends of servers not told")
+			}
+			t.stats.Counter("quarantine_tells_failed_total").Inc(1)
+			t.clock.Sleep(ctx, retry.Doubled(minBackoff, maxBackoff, failures))
+			failures++
+			continue
+		}
+		failures = 0
+		t.book.Told(ends, cleared)
+	}
+}
+
+func (t *Teller) publishBatch(ctx context.Context, ends, cleared []End) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	t.stats.Counter("quarantine_tells_total").Inc(1)
+	return t.register.Tell(ctx, ends, cleared)
+}
--- a/relay/pack_test.go
+++ b/relay/compress_test.go
@@ -9,8 +9,8 @@
 	"junctioncross/follow"
 )
 
-// TestEntriesArePackedSmall packs entries as servers write them and reads them back.
-func TestEntriesArePackedSmall(t *testing.T) {
+// TestServerEntriesCompressWell compresses entries like those that servers write and reads them back.
+func TestServerEntriesCompressWell(t *testing.T) {
 	const most = 0.35
 	var records []Record
 	size := 0
@@ -21,7 +21,7 @@
 		records = append(records, Record{Key: fmt.Sprintf("servers/i-%010x", i*2654435761), Value: []byte(entry), Revision: follow.Position(i)})
 		size += len(entry)
 	}
-	var p packs
+	var p compressedCache
 	packed, err := p.get(span{at: 1, whole: true}, records)
 	require.NoError(t, err)
 	require.LessOrEqual(t, float64(len(packed)), most*float64(size))
@@ -30,14 +30,14 @@
 	require.Equal(t, records, back)
 	again, err := p.get(span{at: 1, whole: true}, records)
 	require.NoError(t, err)
-	require.Equal(t, &packed[0], &again[0], "compressed once for all that ask")
+	require.Equal(t, &packed[0], &again[0], "compressed only once for all polling instances")
 	few, err := p.get(span{at: 1}, records[:2])
 	require.NoError(t, err)
 	require.Nil(t, few)
 }
 
-// TestDamagedRecordsAreAnError reads what no relay has packed.
-func TestDamagedRecordsAreAnError(t *testing.T) {
+// TestDecompressRejectsDamagedRecords decompresses bytes that no relay has written.
+func TestDecompressRejectsDamagedRecords(t *testing.T) {
 	_, err := unpack([]byte("damaged"))
 	require.Error(t, err)
 }
--- a/relay/calm_test.go
+++ b/relay/nofault_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestNewsDoNotMakeRelaysRefuse accepts a configuration at each part of a relay's wait for news on a day without faults: nobody but the
-// relays asks the store once all have started.
-func TestNewsDoNotMakeRelaysRefuse(t *testing.T) {
+// TestUpdatesDoNotMakeRelaysRefuse accepts a configuration at each part of a relay's wait for updates, without any fault.
+// Once all instances have started, only the relays may ask the store.
+func TestUpdatesDoNotMakeRelaysRefuse(t *testing.T) {
 	members := instances(3, 24)
 	d := day{length: 30 * time.Second, promise: promise}
 	for at := settled; at < d.length; at += 1370 * time.Millisecond {
@@ -23,7 +23,7 @@
 		p.forget()
 		require.Empty(t, p.run())
 		for i, s := range members {
-			if ways := waysOf(s.Name, s.Domain, members); !ways[0].direct() {
+			if upstreams := waysOf(s.Name, s.Domain, members); !upstreams[0].direct() {
 				require.Zero(t, p.calls[i], s.Name)
 			}
 		}
--- /dev/null
+++ b/relay/registry.go
@@ -0,0 +1,207 @@
+package relay
+
+import (
+	"context"
+	"hash/fnv"
+	"slices"
+	"sort"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"junctioncross/census"
+	"junctioncross/keys"
+	"junctioncross/link"
+	"junctioncross/timer"
+)
+
+const (
+	// maxSnapshotAge is the greatest age of a snapshot that is passed on to other instances. One read in each domain is enough
+	// for all instances that start together.
+	maxSnapshotAge = 3 * time.Second
+	// recordsTimeout bounds a call to another instance for the records, which includes a read from a slow store.
+	recordsTimeout = 700 * time.Millisecond
+	// lostRecordTTL is how long records that the store has lost still count. Their instances find out at their next renewal and
+	// write them again.
+	lostRecordTTL = 30 * time.Second
+)
+
+// errNoRecords means that the records could not be read on behalf of another instance.
+var errNoRecords = errors.New("relay: instances not counted")
+
+// rollAsked requests the registration records from another instance.
+type rollAsked struct {
+	// Known is the digest of the records that the requesting instance knows.
+	Known uint64 `cbor:"1,keyasint"`
+}
+
+// rollTold is the answer to a request for the records.
+type rollTold struct {
+	// Same is true if the requesting instance knows all records already; Records is empty then.
+	Same    bool            `cbor:"1,keyasint,omitempty"`
+	Records []census.Record `cbor:"2,keyasint,omitempty"`
+	// Counts holds the number of instances of each domain.
+	Counts map[string]int `cbor:"3,keyasint,omitempty"`
+}
+
+// Rolls is a census.Register that reads the registration records through the relay of the domain, so that they are read from
+// the store once for each domain and not by each instance.
+type Rolls struct {
+	census.Register
+	self  Self
+	fleet Fleet
+	peers peers
+	clock *timer.Service
+
+	// readLock is a semaphore that is held during a read; snapshot and readAt are the result and the time of the last read.
+	readLock chan struct{}
+	snapshot census.Roll
+	readAt   time.Time
+	// lostRecords holds the records from before the store lost writes; they count up to lostUntil.
+	lostRecords []census.Record
+	lostUntil   time.Time
+}
+
+// NewRolls wraps the registry of the store: it lists the records through relays and passes all other calls on.
+func NewRolls(self Self, records census.Register, fleet Fleet, links *link.Client, clock *timer.Service) *Rolls {
+	return &Rolls{
+		Register: records, self: self, fleet: fleet, peers: linked{client: links}, clock: clock, readLock: make(chan struct{}, 1),
+	}
+}
+
+// AddTo registers the call for the records with those that the instance serves.
+func (r *Rolls) AddTo(mux *link.Mux) {
+	link.Handle(mux, link.KindRoll, func(ctx context.Context, _ keys.Identity, q rollAsked) (rollTold, error) {
+		return r.serve(ctx, q)
+	})
+}
+
+// List implements census.Register.
+func (r *Rolls) List(ctx context.Context) (census.Roll, error) {
+	members := r.fleet.Members()
+	if !r.self.relays(len(members), r.fleet.Instances()) || len(r.fleet.Key()) == 0 {
+		return r.readRecords(ctx, 0)
+	}
+	for i, w := range waysOf(r.self.Name, r.self.Domain, members) {
+		if w.direct() && i == 0 {
+			r.fetchCounts(ctx, members)
+		}
+		if w.direct() {
+			break
+		}
+		if records, err := r.fetchRecords(ctx, w.addr, r.fleet.Records()); err == nil {
+			return census.Roll{Records: records, Key: r.fleet.Key()}, nil
+		}
+	}
+	return r.readRecords(ctx, 0)
+}
+
+// fetchRecords requests the records from the instance at addr; known is returned if they are unchanged.
+func (r *Rolls) fetchRecords(ctx context.Context, addr string, known []census.Record) ([]census.Record, error) {
+	ctx, cancel := r.clock.WithTimeout(ctx, recordsTimeout)
+	defer cancel()
+	reply, err := r.peers.roll(ctx, addr, rollAsked{Known: digest(known)})
+	if err != nil {
+		return nil, err
+	}
+	r.fleet.NoteCounts(reply.Counts)
+	if reply.Same {
+		return known, nil
+	}
+	return reply.Records, nil
+}
+
+// fetchCounts asks the relay of each other domain for the number of instances that it counts there.
+func (r *Rolls) fetchCounts(ctx context.Context, members []census.Instance) {
+	ctx, cancel := r.clock.WithTimeout(ctx, recordsTimeout)
+	defer cancel()
+	var all sync.WaitGroup
+	for domain, list := range ranked(members) {
+		if domain == r.self.Domain {
+			continue
+		}
+		all.Go(func() {
+			reply, err := r.peers.roll(ctx, list[0].Addr, rollAsked{Known: digest(r.fleet.Records())})
+			if err == nil {
+				r.fleet.NoteCounts(map[string]int{domain: reply.Counts[domain]})
+			}
+		})
+	}
+	all.Wait()
+}
+
+func (r *Rolls) serve(ctx context.Context, q rollAsked) (rollTold, error) {
+	ctx, cancel := context.WithTimeout(ctx, recordsTimeout)
+	defer cancel()
+	snapshot, err := r.readRecords(ctx, maxSnapshotAge)
+	switch {
+	case err != nil || len(snapshot.Records) == 0:
+		return rollTold{}, errNoRecords
+	case digest(snapshot.Records) == q.Known:
+		return rollTold{Same: true, Counts: r.fleet.Counts()}, nil
+	default:
+		return rollTold{Records: snapshot.Records, Counts: r.fleet.Counts()}, nil
+	}
+}
+
+// readRecords returns a snapshot of at most the given age; concurrent calls share one read.
+func (r *Rolls) readRecords(ctx context.Context, age time.Duration) (census.Roll, error) {
+	select {
+	case r.readLock <- struct{}{}:
+	case <-ctx.Done():
+		return census.Roll{}, errors.Wrap(errNoRecords, ctx.Err().Error())
+	}
+	defer func() { <-r.readLock }()
+	if !r.readAt.IsZero() && len(r.snapshot.Records) > 0 && len(r.snapshot.Key) > 0 && r.clock.Since(r.readAt) < age {
+		return r.snapshot, nil
+	}
+	startedAt := r.clock.Now()
+	snapshot, err := r.Register.List(ctx)
+	if err == nil {
+		snapshot = r.withLostRecords(snapshot)
+		r.snapshot, r.readAt = snapshot, startedAt
+	}
+	return snapshot, err
+}
+
+// withLostRecords adds the records that the store has lost until lostUntil: shared limits must not be divided by only the
+// instances whose records are left. Their slots are marked as free, since no other record is known there. The caller holds
+// readLock.
+func (r *Rolls) withLostRecords(snapshot census.Roll) census.Roll {
+	now := r.clock.Now()
+	if !r.readAt.IsZero() && snapshot.Era > r.snapshot.Era {
+		r.lostRecords, r.lostUntil = r.snapshot.Records, now.Add(lostRecordTTL)
+	}
+	if !now.Before(r.lostUntil) {
+		r.lostRecords = nil
+		return snapshot
+	}
+	listed := make(map[string]bool, len(snapshot.Records))
+	for _, one := range snapshot.Records {
+		listed[one.Name] = true
+	}
+	snapshot.Records = slices.Clone(snapshot.Records)
+	for _, one := range r.lostRecords {
+		if !listed[one.Name] {
+			one.Revision = 0
+			snapshot.Records = append(snapshot.Records, one)
+		}
+	}
+	return snapshot
+}
+
+// digest returns a hash of the names, addresses and revisions of records that does not depend on their order.
+func digest(records []census.Record) uint64 {
+	lines := make([]string, len(records))
+	for i, r := range records {
+		lines[i] = r.Name + " " + r.Addr + " " + strconv.FormatInt(r.Revision, 10)
+	}
+	sort.Strings(lines)
+	h := fnv.New64a()
+	for _, l := range lines {
+		_, _ = h.Write([]byte(l + "\n"))
+	}
+	return h.Sum64()
+}
