--- a/bench/config.go
+++ b/bench/config.go
@@ -29,7 +29,7 @@
 // controlSpec describes a fleet that gets no requests. All domains have the same size, and the engines of a domain share one
 // process.
 func controlSpec(domains, entries, engines int) fleet.Spec {
-	spec := fleet.Users()
+	spec := fleet.DefaultSpec()
 	spec.Domains, spec.Entries, spec.Engines, spec.Services = nil, nil, nil, nil
 	for d := range domains {
 		spec.Domains = append(spec.Domains, fmt.Sprint("d", d))
@@ -149,8 +149,8 @@
 // measureKVCut partitions the last domain from the key-value service and the instance list, but not from other instances.
 func (b *configBench) measureKVCut() error {
 	domain := b.lastDomain()
-	b.fleet.Faults().KV(domain).Cut()
-	b.fleet.Faults().List(domain).Cut()
+	b.fleet.Proxies().KV(domain).Cut()
+	b.fleet.Proxies().List(domain).Cut()
 	time.Sleep(time.Second)
 	all, err := b.confirmChanges(configChanges / 3)
 	if err != nil {
@@ -164,18 +164,18 @@
 // measureKVCut, which has cut the domain from the key-value service and the list.
 func (b *configBench) measurePartition() error {
 	domain := b.lastDomain()
-	b.forEachPeerOutside(domain, func(name string) { b.fleet.Faults().Peer(name).Cut() })
+	b.forEachPeerOutside(domain, func(name string) { b.fleet.Proxies().Peer(name).Cut() })
 	start := time.Now()
 	a, err := b.confirmChange()
 	if err != nil {
 		return err
 	}
 	time.Sleep(partitionTime - time.Since(start))
-	b.forEachPeerOutside(domain, func(name string) { b.fleet.Faults().Peer(name).Heal() })
-	if err := b.fleet.Faults().KV(domain).Heal(); err != nil {
+	b.forEachPeerOutside(domain, func(name string) { b.fleet.Proxies().Peer(name).Heal() })
+	if err := b.fleet.Proxies().KV(domain).Heal(); err != nil {
 		return err
 	}
-	if err := b.fleet.Faults().List(domain).Heal(); err != nil {
+	if err := b.fleet.Proxies().List(domain).Heal(); err != nil {
 		return err
 	}
 	healed := time.Now()
--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -129,7 +129,7 @@
 	const pause = 300 * time.Millisecond
 	for ctx.Err() == nil {
 		e := f.Engines()[random.IntN(len(f.Engines()))]
-		proxy := f.Faults().Engine(e.Name)
+		proxy := f.Proxies().Engine(e.Name)
 		switch random.IntN(5) {
 		case 0:
 			e.Process.Kill()
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -42,7 +42,7 @@
 // Run starts the default fleet, prints one line for each check and reports whether all passed. It returns an error
 // if the fleet does not start.
 func Run(bin string, out io.Writer) (bool, error) {
-	f, err := fleet.Start(fleet.Users(), bin)
+	f, err := fleet.Start(fleet.DefaultSpec(), bin)
 	if err != nil {
 		return false, err
 	}
