--- a/bench/overload.go
+++ b/bench/overload.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	overloadBefore = 8 * time.Second
-	overloadTime   = 14 * time.Second
-	overloadAfter  = 10 * time.Second
-	overloadTokens = 20
-	// offeredShare is the share of the bound that counts as the load of one.
-	offeredShare = 0.8
-	overload     = 3
-	// heavyParts is what one account offers where each of the others offers one part.
-	heavyParts = 10
-	// shareSettle is how long the queues take to fill before shares are compared.
-	shareSettle = 2 * time.Second
-	// returned is the share of the earlier goodput at which it counts as back.
-	returned = 0.95
+	timeBefore           = 8 * time.Second
+	timeOverloaded       = 14 * time.Second
+	timeAfter            = 10 * time.Second
+	overloadAnswerTokens = 20
+	// normalLoadRatio is the normal load as a share of the throughput bound. The overload is overloadFactor times that load.
+	normalLoadRatio = 0.8
+	overloadFactor  = 3
+	// heavyAccountFactor is the number of requests of the first account for each request of another account.
+	heavyAccountFactor = 10
+	// queueFillTime is how long the queues take to fill. Shares are compared among the requests that start after it.
+	queueFillTime = 2 * time.Second
+	// returnRatio is the share of the goodput before the overload at which goodput counts as back to normal.
+	returnRatio = 0.95
 )
 
-// Overload measures what becomes of goodput and shares when three times the load is offered, one account ten times as much
-// as the others, and how soon goodput is back.
+// Overload measures goodput and the accounts' shares under three times the normal load, of which one account offers ten
+// times as much as each of the others, and how soon goodput is back to normal afterwards.
 func Overload(bin string, p *Printer) error {
 	spec := poolSpec(3)
 	spec.QueueWait = 500 * time.Millisecond
@@ -35,102 +35,105 @@
 		return err
 	}
 	defer f.Stop()
-	rate := boundOf(spec) * offeredShare / overloadTokens
+	rate := throughputBound(spec) * normalLoadRatio / overloadAnswerTokens
 	p.Figure("offered_requests_s", rate, "requests/s")
 	b := &overloadBench{fleet: f, printer: p}
-	before := b.run("before", rate, overloadBefore)
-	during := b.run("during", overload*rate, overloadTime)
-	after := b.run("after", rate, overloadAfter)
-	usual := goodput(before, overloadBefore)
-	p.Figure("goodput_tokens_s", usual, "tokens/s")
-	p.Figure("goodput_ratio_3x", goodput(during, overloadTime)/usual, "ratio")
-	p.Figure("goodput_return_s", returnTime(after, usual), "s")
-	p.Figure("share_error_max", shareError(settled(during)), "ratio")
+	before := b.run("before", rate, timeBefore)
+	during := b.run("during", overloadFactor*rate, timeOverloaded)
+	after := b.run("after", rate, timeAfter)
+	normal := goodput(before, timeBefore)
+	p.Figure("goodput_tokens_s", normal, "tokens/s")
+	p.Figure("goodput_ratio_3x", goodput(during, timeOverloaded)/normal, "ratio")
+	p.Figure("goodput_return_s", returnTime(after, normal), "s")
+	p.Figure("share_error_max", shareError(afterQueueFill(during)), "ratio")
 	printShares(p, during)
 	return nil
 }
 
+// overloadBench holds the state of one Overload run.
 type overloadBench struct {
 	fleet   *fleet.Fleet
 	printer *Printer
 }
 
-// run offers a load of which the first account's part is heavyParts times that of each other.
+// run offers rate requests a second for the window. The first account sends heavyAccountFactor times as many as each other
+// account.
 func (b *overloadBench) run(name string, rate float64, window time.Duration) []load.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), window)
 	defer cancel()
 	accounts := b.fleet.Spec().Accounts
-	next := asks(b.fleet, overloadTokens)
+	next := requests(b.fleet, overloadAnswerTokens)
 	result := load.RunOpen(ctx, rate, func(n int) load.Ask {
 		a := next(n)
-		part := n % (heavyParts + len(accounts) - 1)
-		a.Key = accounts[max(part-heavyParts+1, 0)].Key
+		part := n % (heavyAccountFactor + len(accounts) - 1)
+		a.Key = accounts[max(part-heavyAccountFactor+1, 0)].Key
 		return a
-	}, checker(b.fleet.Spec()))
-	t := result.Tally()
-	printTally(b.printer, name+"_", t)
-	b.printer.Figure(name+"_first_ms_p95", millis(quantile(t.First, 0.95)), "ms")
+	}, answerCheck(b.fleet.Spec()))
+	summary := result.Summarize()
+	printSummary(b.printer, name+"_", summary)
+	b.printer.Figure(name+"_first_ms_p95", millis(quantile(summary.FirstTokenTimes, 0.95)), "ms")
 	return result.Outcomes()
 }
 
-// goodput returns the tokens a second of whole answers, by when they were asked for.
+// goodput returns the tokens a second of complete and correct answers to the requests that started within the window.
 func goodput(outcomes []load.Outcome, window time.Duration) float64 {
 	tokens := 0
 	for _, o := range outcomes {
-		if good(o) {
-			tokens += o.Reply.Pieces
+		if correct(o) {
+			tokens += o.Reply.Tokens
 		}
 	}
 	return float64(tokens) / window.Seconds()
 }
 
-func good(o load.Outcome) bool { return o.Err == nil && o.Reply.Whole() && !o.Wrong }
+// correct reports whether the answer is complete and as expected.
+func correct(o load.Outcome) bool { return o.Err == nil && o.Reply.Complete() && !o.Wrong }
 
-// returnTime returns when the goodput of a second first reached the usual one again, in seconds after the overload; not a
-// number when it never did.
-func returnTime(outcomes []load.Outcome, usual float64) float64 {
+// returnTime returns, in seconds after the overload, the end of the first second whose goodput reached returnRatio of the
+// normal goodput. It returns NaN if none did.
+func returnTime(outcomes []load.Outcome, normal float64) float64 {
 	if len(outcomes) == 0 {
 		return math.NaN()
 	}
-	start := firstAsked(outcomes)
+	start := firstStart(outcomes)
 	perSecond := map[int]int{}
 	for _, o := range outcomes {
-		if good(o) {
-			perSecond[int(o.At.Sub(start).Seconds())] += o.Reply.Pieces
+		if correct(o) {
+			perSecond[int(o.Start.Sub(start).Seconds())] += o.Reply.Tokens
 		}
 	}
-	for s := range int(overloadAfter.Seconds()) {
-		if float64(perSecond[s]) >= returned*usual {
+	for s := range int(timeAfter.Seconds()) {
+		if float64(perSecond[s]) >= returnRatio*normal {
 			return float64(s + 1)
 		}
 	}
 	return math.NaN()
 }
 
-// firstAsked returns when the first of the requests was asked for; there must be one.
-func firstAsked(outcomes []load.Outcome) time.Time {
-	first := outcomes[0].At
+// firstStart returns when the first of the requests started. There must be at least one.
+func firstStart(outcomes []load.Outcome) time.Time {
+	first := outcomes[0].Start
 	for _, o := range outcomes {
-		if o.At.Before(first) {
-			first = o.At
+		if o.Start.Before(first) {
+			first = o.Start
 		}
 	}
 	return first
 }
 
-// settled returns the outcomes of requests that were asked for after the first seconds, in which the queues fill.
-func settled(outcomes []load.Outcome) []load.Outcome {
-	first := firstAsked(outcomes)
+// afterQueueFill returns the outcomes of the requests that started after queueFillTime.
+func afterQueueFill(outcomes []load.Outcome) []load.Outcome {
+	first := firstStart(outcomes)
 	var out []load.Outcome
 	for _, o := range outcomes {
-		if o.At.Sub(first) >= shareSettle {
+		if o.Start.Sub(first) >= queueFillTime {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-// printShares prints what became of each account's requests.
+// printShares prints the outcomes of each account's requests.
 func printShares(p *Printer, outcomes []load.Outcome) {
 	byKey := map[string]*load.Result{}
 	for _, o := range outcomes {
@@ -140,21 +143,21 @@
 		byKey[o.Ask.Key].Add(o)
 	}
 	for key, r := range byKey {
-		t := r.Tally()
-		p.Note("account %s asked %d whole %d refused %d first p50 %.0f ms", key, t.Asked, t.Whole, t.Refused, millis(quantile(t.First, 0.5)))
+		t := r.Summarize()
+		p.Note("account %s asked %d whole %d refused %d first p50 %.0f ms", key, t.Requests, t.Complete, t.Refused, millis(quantile(t.FirstTokenTimes, 0.5)))
 	}
 }
 
-// shareError returns the largest difference between an account's share of the delivered tokens and the equal share that is
-// owed to each, since every account asks for more than that.
+// shareError returns the largest difference between an account's share of the delivered tokens and an equal share. Every
+// account is entitled to an equal share, since each one requests more than that.
 func shareError(outcomes []load.Outcome) float64 {
 	byKey := map[string]float64{}
 	total := 0.0
 	for _, o := range outcomes {
 		byKey[o.Ask.Key] += 0
 		if o.Reply != nil {
-			byKey[o.Ask.Key] += float64(o.Reply.Pieces)
-			total += float64(o.Reply.Pieces)
+			byKey[o.Ask.Key] += float64(o.Reply.Tokens)
+			total += float64(o.Reply.Tokens)
 		}
 	}
 	worst := 0.0
--- a/bench/state.go
+++ b/bench/state.go
@@ -15,7 +15,7 @@
 	"junctioncross/view"
 )
 
-// The design size.
+// The design size: the fleet that the limits are checked for.
 const (
 	designAccounts = 20_000
 	designModels   = 35
@@ -24,20 +24,22 @@
 	megabyte       = 1 << 20
 )
 
-// State measures, in this process, the memory and time of the state that an instance holds at the design size.
+// State measures in this process the memory that the configuration takes in an instance at the design size, the time to
+// apply it, to place the models and to build the graphs of one domain.
 func State(p *Printer) error {
 	d := designDocument(designAccounts)
 	start := time.Now()
 	placed, _ := plan.Place(d)
 	p.Figure("plan_s", time.Since(start).Seconds(), "s")
 	for _, accounts := range []int{designAccounts / 4, designAccounts / 2, designAccounts} {
-		if err := stateOf(p, placed, accounts); err != nil {
+		if err := measureState(p, placed, accounts); err != nil {
 			return err
 		}
 	}
-	return graphs(p, placed)
+	return measureGraphs(p, placed)
 }
 
+// designDocument returns a configuration of the design size, with that many accounts, on which no layers are placed yet.
 func designDocument(accounts int) *intent.Document {
 	d := &intent.Document{Kinds: fleet.Kinds()}
 	for i := range designModels {
@@ -64,8 +66,9 @@
 	return out
 }
 
-// stateOf measures the configuration in force with that many accounts.
-func stateOf(p *Printer, placed *intent.Document, accounts int) error {
+// measureState measures memory and time of the configuration in force with that many accounts, and the sizes of its stored
+// records.
+func measureState(p *Printer, placed *intent.Document, accounts int) error {
 	d := placed.Clone()
 	d.Accounts = designAccountList(accounts)
 	segments, err := revision.Split(d)
@@ -102,6 +105,7 @@
 	return err
 }
 
+// heapBytes returns the size of the heap in use after two garbage collections.
 func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -110,8 +114,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// graphs measures the building of the graphs of all models over the servers of one domain.
-func graphs(p *Printer, d *intent.Document) error {
+// measureGraphs measures how long it takes to build the graphs of all models over the servers of one domain.
+func measureGraphs(p *Printer, d *intent.Document) error {
 	start := time.Now()
 	lanes := 0
 	for _, m := range d.Models {
@@ -126,17 +130,18 @@
 	}
 	p.Figure("graphs_ms", millis(time.Since(start)), "ms")
 	p.Figure("lanes_of_a_domain", float64(lanes), "count")
-	return whole(d)
+	return checkTiling(d)
 }
 
-// whole checks that the placed layers of every model tile it in the first domain.
-func whole(d *intent.Document) error {
+// checkTiling returns an error if the distinct layer ranges placed for a model in the first domain do not add up to all its
+// layers.
+func checkTiling(d *intent.Document) error {
 	for _, m := range d.Models {
-		cuts := map[models.Layers]bool{}
+		counted := map[models.Layers]bool{}
 		layers := 0
 		for _, b := range d.Backends {
-			if b.Model == m.Name && b.Domain == "d0" && !cuts[b.Layers] {
-				cuts[b.Layers] = true
+			if b.Model == m.Name && b.Domain == "d0" && !counted[b.Layers] {
+				counted[b.Layers] = true
 				layers += b.Layers.Count()
 			}
 		}
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	throughputWarm   = 3 * time.Second
-	throughputWindow = 12 * time.Second
-	churnPeriod      = 5 * time.Second
-	churnWindow      = 16 * time.Second
-	saturation       = 260
-	answerTokens     = 40
+	warmUpTime        = 3 * time.Second
+	throughputWindow  = 12 * time.Second
+	churnPeriod       = 5 * time.Second
+	churnWindow       = 16 * time.Second
+	saturatingCallers = 260
+	answerTokens      = 40
 )
 
-// Throughput measures delivered tokens against the bound of the hardware, undisturbed and while engines are killed, slowed
-// and started again.
+// Throughput measures the delivered tokens a second as a ratio of the throughput bound of the engines: undisturbed, and
+// while engines are killed and restarted or run slowly.
 func Throughput(bin string, p *Printer) error {
 	spec := poolSpec(3)
 	f, err := fleet.Start(spec, bin)
@@ -28,13 +28,13 @@
 		return err
 	}
 	defer f.Stop()
-	bound := boundOf(spec)
+	bound := throughputBound(spec)
 	p.Figure("bound_tokens_s", bound, "tokens/s")
 	before, err := sampleControl(f)
 	if err != nil {
 		return err
 	}
-	rate, tally := saturate(p, f, throughputWindow, nil)
+	rate, summary := measureSaturated(p, f, throughputWindow, nil)
 	after, err := sampleControl(f)
 	if err != nil {
 		return err
@@ -42,20 +42,20 @@
 	p.Figure("tokens_s", rate, "tokens/s")
 	p.Figure("throughput_ratio", rate/bound, "ratio")
 	cores := (after.cpu - before.cpu).Seconds()
-	p.Figure("tokens_per_core_s", float64(tally.Tokens)/cores, "tokens/core-s")
-	p.Figure("gap_ms_p95", millis(quantile(tally.Gaps, 0.95)), "ms")
-	p.Figure("first_ms_p50", millis(quantile(tally.First, 0.5)), "ms")
-	printTally(p, "saturated_", tally)
+	p.Figure("tokens_per_core_s", float64(summary.Tokens)/cores, "tokens/core-s")
+	p.Figure("gap_ms_p95", millis(quantile(summary.Gaps, 0.95)), "ms")
+	p.Figure("first_ms_p50", millis(quantile(summary.FirstTokenTimes, 0.5)), "ms")
+	printSummary(p, "saturated_", summary)
 	if err := printEngines(f, p); err != nil {
 		return err
 	}
-	rate, tally = saturate(p, f, churnWindow, churn)
+	rate, summary = measureSaturated(p, f, churnWindow, churn)
 	p.Figure("throughput_ratio_churn", rate/bound, "ratio")
-	printTally(p, "churn_", tally)
+	printSummary(p, "churn_", summary)
 	return printRetries(f, p)
 }
 
-// printRetries prints what the instances retried and why.
+// printRetries prints the number of the instances' retries by reason.
 func printRetries(f *fleet.Fleet, p *Printer) error {
 	for _, reason := range []models.Reason{models.RetryUnreachable, models.RetryTimeout, models.RetryRefused, models.RetryOutOfOrder, models.RetrySlow} {
 		total := int64(0)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// printEngines prints how busy each engine was, over its busiest possible time, and how full its batches were.
+// printEngines prints, for each engine, the share of the run in which it was busy and the mean number of sequences in a batch.
 func printEngines(f *fleet.Fleet, p *Printer) error {
 	for _, e := range f.Engines() {
 		t, err := fleet.EngineTally(e)
@@ -81,32 +81,34 @@
 		if err != nil {
 			return err
 		}
-		busy := float64(t.BusyMicros) / float64((throughputWarm + throughputWindow).Microseconds())
+		busy := float64(t.BusyMicros) / float64((warmUpTime + throughputWindow).Microseconds())
 		p.Note("engine %s layers %s busy %.2f batch %.1f", e.Name, r.Layers, busy, float64(t.Sequences)/float64(max(t.Steps, 1)))
 	}
 	return nil
 }
 
-// saturate keeps more requests under way than the engines can batch and returns the tokens a second within the window.
-func saturate(p *Printer, f *fleet.Fleet, window time.Duration, disturb func(ctx context.Context, f *fleet.Fleet)) (float64, load.Tally) {
-	ctx, cancel := context.WithTimeout(context.Background(), throughputWarm+window)
+// measureSaturated keeps more requests in flight than the engines can batch and returns the tokens a second within the
+// window, which begins after warmUpTime. disturb, if not nil, runs meanwhile.
+func measureSaturated(p *Printer, f *fleet.Fleet, window time.Duration, disturb func(ctx context.Context, f *fleet.Fleet)) (float64, load.Summary) {
+	ctx, cancel := context.WithTimeout(context.Background(), warmUpTime+window)
 	defer cancel()
 	var meter tokenMeter
-	next := asks(f, answerTokens)
-	start := time.Now().Add(throughputWarm)
+	next := requests(f, answerTokens)
+	start := time.Now().Add(warmUpTime)
 	if disturb != nil {
 		go disturb(ctx, f)
 	}
-	result := load.RunClosed(ctx, saturation, func(n int) load.Ask {
+	result := load.RunClosed(ctx, saturatingCallers, func(n int) load.Ask {
 		a := next(n)
 		a.OnToken = func(int) { meter.count(start, window) }
 		return a
-	}, checker(f.Spec()))
+	}, answerCheck(f.Spec()))
 	p.Note("tokens in each second %v", meter.perSecond(window))
-	return meter.rate(window), result.Tally()
+	return meter.rate(window), result.Summarize()
 }
 
-// churn kills, revives and slows an engine in turn.
+// churn disturbs one engine after the other until ctx ends. Alternately it kills one and restarts it after half of
+// churnPeriod, or makes one run ten times slower for as long.
 func churn(ctx context.Context, f *fleet.Fleet) {
 	engines := f.Engines()
 	for n := 0; ; n++ {
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -1,49 +1,54 @@
 package capacity
 
-// The design size, two years on, as the users state it.
+// The design size: the fleet that the users expect to have in two years.
 const (
-	daemons       = 410.0
-	replicas      = 600.0
-	accelerators  = 4800.0
-	requestsS     = 5500.0
-	tokensS       = 2.1e6
-	accounts      = 20_000.0
-	domains       = 7.0
-	changesDay    = 850.0
-	failedDay     = 17.0
-	replacedDay   = 83.0
-	secondsPerDay = 86_400.0
+	instances         = 410.0
+	replicas          = 600.0
+	accelerators      = 4800.0
+	requestsPerSecond = 5500.0
+	tokensPerSecond   = 2.1e6
+	accounts          = 20_000.0
+	domains           = 7.0
+	changesPerDay     = 850.0
+	failedPerDay      = 17.0
+	replacedPerDay    = 83.0
+	secondsPerDay     = 86_400.0
 )
 
-// The limits of the users.
+// The limits that the users set.
 const (
-	limitCPU       = 1.0
-	limitMemoryMB  = 32.0
-	limitBytesS    = 25_000.0
-	limitKVWritesS = 300.0
-	limitKVReadsS  = 2000.0
-	limitInForceMS = 4000.0
-	limitFirstMS   = 640.0
-	limitGapMS     = 67.0
+	// limitCPU is in percent of a core.
+	limitCPU               = 1.0
+	limitMemoryMB          = 32.0
+	limitBytesPerSecond    = 25_000.0
+	limitKVWritesPerSecond = 300.0
+	limitKVReadsPerSecond  = 2000.0
+	limitInForceMS         = 4000.0
+	// limitFirstMS limits the time to the first token, limitGapMS the time between tokens.
+	limitFirstMS = 640.0
+	limitGapMS   = 67.0
 )
 
-// What the users do not state, assumed until they do.
+// Values that the users have not stated yet and that are assumed here, and properties of the measured fleets.
 const (
 	stagesPerReplica = 4.0
-	keyedShare       = 0.02
-	promptTokens     = 300.0
-	activationBytes  = 16_384.0
-	gapSeconds       = 0.056
+	// keyedShare is the share of requests that carry an idempotency key.
+	keyedShare      = 0.02
+	promptTokens    = 300.0
+	activationBytes = 16_384.0
+	// tokenGapSeconds is the time between two tokens of an answer.
+	tokenGapSeconds = 0.056
 	// measuredStages is the number of stages of the pipelines that throughput is measured with.
 	measuredStages = 2.0
-	// measuredSize is the size of a domain, of those measured, that is nearest to the design's.
-	measuredSize = "64"
+	// measuredInstances is the measured number of instances of a domain that is nearest to that of the design size.
+	measuredInstances = "64"
 )
 
 const (
-	daemonsPerDomain = daemons / domains
-	serversPerDomain = replicas * stagesPerReplica / domains
-	tokensPerDaemon  = tokensS / daemons
-	answerTokens     = tokensS / requestsS
-	claimsS          = requestsS * keyedShare
+	instancesPerDomain = instances / domains
+	serversPerDomain   = replicas * stagesPerReplica / domains
+	tokensPerInstance  = tokensPerSecond / instances
+	answerTokens       = tokensPerSecond / requestsPerSecond
+	// claimsPerSecond is the rate of requests with an idempotency key, each of which is claimed once.
+	claimsPerSecond = requestsPerSecond * keyedShare
 )
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -14,20 +14,22 @@
 	"junctioncross/standin"
 )
 
-const checkLimit = 20 * time.Second
+// checkTimeout is the timeout of one check.
+const checkTimeout = 20 * time.Second
 
-// check is one promise; run returns what was seen, or the error that shows that the promise does not hold.
+// check tests one guaranteed property. run returns a description of what it observed, or an error if the property does not
+// hold.
 type check struct {
 	name string
 	run  func(ctx context.Context, f *fleet.Fleet) (string, error)
 }
 
-// checks are in an order in which each leaves the fleet fit for the next.
+// checks are run in this order, in which each one leaves the fleet in a state that the next one can use.
 var checks = []check{
 	{"answer_equals_computed", answerEqualsComputed},
 	{"stock_client", stockClient},
-	{"model_refused_not_run", modelRefused},
-	{"confirm_in_force_everywhere", confirmEverywhere},
+	{"model_refused_not_run", modelRefusedNotRun},
+	{"confirm_in_force_everywhere", confirmInForceEverywhere},
 	{"conflicting_confirms", conflictingConfirms},
 	{"stage_killed", stageKilled},
 	{"payment_once", paymentOnce},
@@ -37,33 +39,35 @@
 	{"entry_sigkill", entryKilled},
 }
 
-// Run starts the users' fleet, prints one line for each check and reports whether all were ok.
+// Run starts the default fleet, prints one line for each check and reports whether all passed. It returns an error
+// if the fleet does not start.
 func Run(bin string, out io.Writer) (bool, error) {
 	f, err := fleet.Start(fleet.DefaultSpec(), bin)
 	if err != nil {
 		return false, err
 	}
 	defer f.Stop()
-	all := true
+	allOK := true
 	for _, c := range checks {
-		ctx, cancel := context.WithTimeout(context.Background(), checkLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 		detail, err := c.run(ctx, f)
 		cancel()
 		result := "ok"
 		if err != nil {
-			result, detail, all = "FAIL", err.Error(), false
+			result, detail, allOK = "FAIL", err.Error(), false
 		}
 		fmt.Fprintf(out, "check %s %s %s\n", c.name, result, detail)
 	}
-	return all, nil
+	return allOK, nil
 }
 
-// expected computes an answer apart from the system.
-func expected(m intent.Model, prompt string, limit int) string {
+// expectedAnswer computes the answer of a model without the fleet.
+func expectedAnswer(m intent.Model, prompt string, limit int) string {
 	text, _, _ := standin.NewModel(m.Name, m.Version, m.Layers).Answer(load.PromptText(prompt), limit)
 	return text
 }
 
+// modelOf returns the model of that name from the fleet's specification, or the zero Model if there is none.
 func modelOf(f *fleet.Fleet, name string) intent.Model {
 	for _, m := range f.Spec().Models {
 		if m.Name == name {
@@ -73,7 +77,8 @@
 	return intent.Model{}
 }
 
-// askCounter asks an instance for an answer of the counter's model and compares it with the expected one.
+// askCounter sends a request for the model of the account counter to an instance. It returns an error unless the answer is
+// complete and as expected.
 func askCounter(ctx context.Context, f *fleet.Fleet, addr, prompt string, limit int, onToken func(int)) (*load.Reply, error) {
 	r, err := load.NewClient().Stream(ctx, load.Ask{
 		Addr: addr, Key: fleet.KeyCounter, Model: fleet.ModelCounter, Prompt: prompt, Limit: limit, OnToken: onToken,
@@ -81,11 +86,11 @@
 	if err != nil {
 		return r, err
 	}
-	if r.Status != 200 || !r.Whole() {
-		return r, errors.Errorf("status %d reason %q after %d tokens", r.Status, r.Reason, r.Pieces)
+	if r.Status != 200 || !r.Complete() {
+		return r, errors.Errorf("status %d reason %q after %d tokens", r.Status, r.Reason, r.Tokens)
 	}
-	if want := expected(modelOf(f, fleet.ModelCounter), prompt, limit); r.Text != want {
-		return r, errors.Errorf("the answer differs from the computed one after %d tokens", r.Pieces)
+	if want := expectedAnswer(modelOf(f, fleet.ModelCounter), prompt, limit); r.Text != want {
+		return r, errors.Errorf("the answer differs from the computed one after %d tokens", r.Tokens)
 	}
 	return r, nil
 }
--- a/load/closed.go
+++ b/load/closed.go
@@ -8,89 +8,93 @@
 	"junctioncross/models"
 )
 
-// Outcome is one finished request of a run.
+// Outcome is one finished request of a run. Reply and Err are the results of Client.Stream.
 type Outcome struct {
 	Ask   Ask
 	Reply *Reply
 	Err   error
-	At    time.Time
+	// Start is when the request was sent.
+	Start time.Time
+	// Wrong reports that the answer is complete but differs from the expected one.
 	Wrong bool
 }
 
-// Result adds up the outcomes of a run.
+// Result collects the outcomes of a run. It is safe for concurrent use.
 type Result struct {
 	mu       sync.Mutex
 	outcomes []Outcome
 }
 
-// Add takes one outcome in.
+// Add adds one outcome.
 func (r *Result) Add(o Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outcomes = append(r.outcomes, o)
 }
 
-// Outcomes returns every outcome.
+// Outcomes returns a copy of all outcomes so far, in the order in which the requests finished.
 func (r *Result) Outcomes() []Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Outcome(nil), r.outcomes...)
 }
 
-// Tally counts the outcomes by what became of them.
-type Tally struct {
-	Asked   int
-	Whole   int
+// Summary counts the outcomes of a run by kind and holds their times. Each request is either Complete, Refused, Lost or Wrong.
+type Summary struct {
+	Requests int
+	// Complete counts complete answers that are as expected.
+	Complete int
+	// Refused counts requests that were refused as not run.
 	Refused int
-	// Lost counts answers that were cut, and requests that got no answer.
+	// Lost counts all others: answers that were cut off, and requests that got no answer.
 	Lost int
-	// Wrong counts whole answers that differ from the computed ones.
-	Wrong  int
-	Tokens int
-	First  []time.Duration
-	Gaps   []time.Duration
-	// Reasons counts refusals by reason.
+	// Wrong counts complete answers that differ from the expected ones.
+	Wrong           int
+	Tokens          int
+	FirstTokenTimes []time.Duration
+	Gaps            []time.Duration
+	// Reasons counts the reasons in error bodies and error events.
 	Reasons map[models.Reason]int
 }
 
-// Tally adds the outcomes up.
-func (r *Result) Tally() Tally {
-	t := Tally{Reasons: map[models.Reason]int{}}
+// Summarize returns the summary of the outcomes so far.
+func (r *Result) Summarize() Summary {
+	t := Summary{Reasons: map[models.Reason]int{}}
 	for _, o := range r.Outcomes() {
 		t.add(o)
 	}
 	return t
 }
 
-func (t *Tally) add(o Outcome) {
-	t.Asked++
+func (t *Summary) add(o Outcome) {
+	t.Requests++
 	if o.Reply != nil {
-		t.Tokens += o.Reply.Pieces
+		t.Tokens += o.Reply.Tokens
 		t.Gaps = append(t.Gaps, o.Reply.Gaps...)
-		if o.Reply.Pieces > 0 {
-			t.First = append(t.First, o.Reply.First)
+		if o.Reply.Tokens > 0 {
+			t.FirstTokenTimes = append(t.FirstTokenTimes, o.Reply.FirstTokenTime)
 		}
 		if o.Reply.Reason != "" {
 			t.Reasons[o.Reply.Reason]++
 		}
 	}
 	switch {
-	case o.Err == nil && o.Reply.Whole() && o.Wrong:
+	case o.Err == nil && o.Reply.Complete() && o.Wrong:
 		t.Wrong++
-	case o.Err == nil && o.Reply.Whole():
-		t.Whole++
-	case o.Err == nil && o.Reply.Pieces == 0 && o.Reply.Fate == models.FateNotRun:
+	case o.Err == nil && o.Reply.Complete():
+		t.Complete++
+	case o.Err == nil && o.Reply.Tokens == 0 && o.Reply.Fate == models.FateNotRun:
 		t.Refused++
 	default:
 		t.Lost++
 	}
 }
 
-// Check compares an answer with the expected one.
+// Check reports whether a complete answer is as expected.
 type Check func(a Ask, r *Reply) bool
 
-// RunClosed keeps that many requests under way until ctx ends; next returns the n-th request. Requests under way at the
-// end are finished.
+// RunClosed runs a closed loop of that many workers until ctx ends: each worker sends a request, waits for its end and sends
+// the next one. next returns the n-th request. RunClosed waits for the requests that are in flight when ctx ends.
 func RunClosed(ctx context.Context, workers int, next func(n int) Ask, check Check) *Result {
 	result := &Result{}
 	client := NewClient()
@@ -105,45 +109,47 @@
 			}
 		}
 	}()
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for range workers {
-		all.Go(func() {
+		running.Go(func() {
 			for n := range numbers {
-				result.Add(client.one(next(n), check))
+				result.Add(client.run(next(n), check))
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	return result
 }
 
-// RunOpen starts rate requests a second until ctx ends, whatever becomes of the earlier ones, and waits for the last.
+// RunOpen runs an open loop until ctx ends: it starts rate requests a second without waiting for earlier ones. next returns
+// the n-th request. RunOpen waits for the requests that are in flight when ctx ends.
 func RunOpen(ctx context.Context, rate float64, next func(n int) Ask, check Check) *Result {
 	result := &Result{}
 	client := NewClient()
 	start := time.Now()
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for n := 0; ; n++ {
 		due := start.Add(time.Duration(float64(n) / rate * float64(time.Second)))
 		select {
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
-			all.Wait()
+			running.Wait()
 			return result
 		}
-		all.Go(func() { result.Add(client.one(next(n), check)) })
+		running.Go(func() { result.Add(client.run(next(n), check)) })
 	}
 }
 
-// requestLimit bounds one request of a run.
-const requestLimit = 60 * time.Second
+// requestTimeout is the timeout of one request of a run.
+const requestTimeout = 60 * time.Second
 
-func (c *Client) one(a Ask, check Check) Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), requestLimit)
+// run sends one request and checks its answer if it is complete.
+func (c *Client) run(a Ask, check Check) Outcome {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	o := Outcome{Ask: a, At: time.Now()}
+	o := Outcome{Ask: a, Start: time.Now()}
 	o.Reply, o.Err = c.Stream(ctx, a)
-	if o.Err == nil && o.Reply.Whole() {
+	if o.Err == nil && o.Reply.Complete() {
 		o.Wrong = !check(a, o.Reply)
 	}
 	return o
