--- a/standin/compute.go
+++ b/standin/compute.go
@@ -47,13 +47,13 @@
 // Answer computes the whole answer apart from any pipeline: its text, its number of tokens and whether it ended by itself.
 func (m Model) Answer(prompt string, limit int) (text string, tokens int, ended bool) {
 	cache := make([]uint64, m.layers)
-	var act uint64
+	var activation uint64
 	for _, t := range Tokens(prompt) {
-		act = m.run(cache, 0, t)
+		activation = m.runLayers(cache, 0, t)
 	}
 	var b strings.Builder
 	for n := 1; ; n++ {
-		token := act % vocabulary
+		token := activation % vocabulary
 		if Ends(token) {
 			return b.String(), n - 1, true
 		}
@@ -61,19 +61,19 @@
 		if n == limit {
 			return b.String(), n, false
 		}
-		act = m.run(cache, 0, token)
+		activation = m.runLayers(cache, 0, token)
 	}
 }
 
-// run passes one position through the layers that begin at first, one cache entry for each layer.
-func (m Model) run(cache []uint64, first int, act uint64) uint64 {
+// runLayers passes one position through the layers that begin at first, one cache entry for each layer.
+func (m Model) runLayers(cache []uint64, first int, activation uint64) uint64 {
 	seed := m.seed()
 	for i := range cache {
 		layer := uint64(first + i + 1)
-		cache[i] = scramble(cache[i] ^ act ^ layer*0x9e3779b97f4a7c15)
-		act = scramble(act ^ cache[i] ^ seed ^ layer)
+		cache[i] = scramble(cache[i] ^ activation ^ layer*0x9e3779b97f4a7c15)
+		activation = scramble(activation ^ cache[i] ^ seed ^ layer)
 	}
-	return act
+	return activation
 }
 
 // scramble is the finalizer of the splitmix64 generator.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -28,14 +28,14 @@
 	IgnoreFence bool
 }
 
-const maxLate = 2 * time.Millisecond
+const maxOvershoot = 2 * time.Millisecond
 
 type attemptState struct {
 	cache    []uint64
 	position int
 }
 
-type work struct {
+type queuedFrame struct {
 	frame  engine.Frame
 	result engine.Result
 	done   *sync.WaitGroup
@@ -43,43 +43,43 @@
 
 // Engine is a stand-in model engine that holds a range of layers and batches continuously.
 type Engine struct {
-	set         EngineSettings
+	settings    EngineSettings
 	incarnation uint64
 
-	mu        sync.Mutex
-	model     Model
-	layers    models.Layers
-	state     engine.State
-	fence     uint64
-	loads     int
-	states    map[engine.AttemptID]*attemptState
-	leaving   bool
-	newAfter  int
-	waiting   []*work
-	step      time.Duration
-	running   int
-	sequence  uint64
-	old       engine.Report
-	oldAt     time.Time
-	slow      float64
-	hung      bool
-	ran       map[string]int
-	busy      time.Duration
-	steps     int
-	sequences int
-	// late is how much longer than wanted the last step took; it belongs to the batch loop.
-	late time.Duration
-	wake chan struct{}
+	mu              sync.Mutex
+	model           Model
+	layers          models.Layers
+	state           engine.State
+	fence           uint64
+	loads           int
+	attempts        map[engine.AttemptID]*attemptState
+	leaving         bool
+	newSinceLeaving int
+	waiting         []*queuedFrame
+	step            time.Duration
+	running         int
+	sequence        uint64
+	lastReport      engine.Report
+	lastReportAt    time.Time
+	slow            float64
+	hung            bool
+	started         map[string]int
+	busy            time.Duration
+	steps           int
+	sequences       int
+	// overshoot is how much longer than wanted the last step took; it belongs to the batch loop.
+	overshoot time.Duration
+	wake      chan struct{}
 }
 
 // NewEngine returns an empty engine and starts its batch loop.
-func NewEngine(set EngineSettings) *Engine {
+func NewEngine(settings EngineSettings) *Engine {
 	e := &Engine{
-		set:         set,
+		settings:    settings,
 		incarnation: uint64(time.Now().UnixNano()),
 		state:       engine.StateEmpty,
-		states:      map[engine.AttemptID]*attemptState{},
-		ran:         map[string]int{},
+		attempts:    map[engine.AttemptID]*attemptState{},
+		started:     map[string]int{},
 		slow:        1,
 		wake:        make(chan struct{}, 1),
 	}
@@ -89,12 +89,12 @@
 
 // Submit queues frames and returns their results once all of them ran or were refused.
 func (e *Engine) Submit(frames []engine.Frame) engine.StepReply {
-	time.Sleep(e.set.Link)
-	defer time.Sleep(e.set.Link)
+	time.Sleep(e.settings.Link)
+	defer time.Sleep(e.settings.Link)
 	var done sync.WaitGroup
-	items := make([]*work, len(frames))
+	items := make([]*queuedFrame, len(frames))
 	for i := range frames {
-		items[i] = &work{frame: frames[i], done: &done}
+		items[i] = &queuedFrame{frame: frames[i], done: &done}
 	}
 	done.Add(len(items))
 	e.mu.Lock()
@@ -123,7 +123,7 @@
 func (e *Engine) loop() {
 	for range e.wake {
 		for {
-			batch := e.take()
+			batch := e.nextBatch()
 			if len(batch) == 0 {
 				break
 			}
@@ -132,24 +132,24 @@
 	}
 }
 
-// take removes the next batch from the queue, higher priorities first.
-func (e *Engine) take() []*work {
+// nextBatch removes the next batch from the queue, higher priorities first.
+func (e *Engine) nextBatch() []*queuedFrame {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.hung || len(e.waiting) == 0 {
 		return nil
 	}
-	batch := make([]*work, 0, e.set.MaxBatch)
-	rest := make([]*work, 0, len(e.waiting))
+	batch := make([]*queuedFrame, 0, e.settings.MaxBatch)
+	rest := make([]*queuedFrame, 0, len(e.waiting))
 	best := highestPriority(e.waiting)
 	for _, w := range e.waiting {
-		if len(batch) < e.set.MaxBatch && w.frame.Priority == best {
+		if len(batch) < e.settings.MaxBatch && w.frame.Priority == best {
 			batch = append(batch, w)
 			continue
 		}
 		rest = append(rest, w)
 	}
-	for len(batch) < e.set.MaxBatch && len(rest) > 0 {
+	for len(batch) < e.settings.MaxBatch && len(rest) > 0 {
 		batch = append(batch, rest[0])
 		rest = rest[1:]
 	}
@@ -158,7 +158,7 @@
 	return batch
 }
 
-func highestPriority(queue []*work) int {
+func highestPriority(queue []*queuedFrame) int {
 	best := queue[0].frame.Priority
 	for _, w := range queue {
 		best = max(best, w.frame.Priority)
@@ -166,12 +166,12 @@
 	return best
 }
 
-func (e *Engine) runBatch(batch []*work) {
+func (e *Engine) runBatch(batch []*queuedFrame) {
 	step := e.stepTime(batch)
 	// The system's sleep overshoots by up to a millisecond; the next step makes up for it.
 	start := time.Now()
-	time.Sleep(step - e.late)
-	e.late = min(max(time.Since(start)-(step-e.late), 0), maxLate)
+	time.Sleep(step - e.overshoot)
+	e.overshoot = min(max(time.Since(start)-(step-e.overshoot), 0), maxOvershoot)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.step = step
@@ -180,33 +180,33 @@
 	e.steps++
 	e.sequences += len(batch)
 	for _, w := range batch {
-		w.result = e.run(&w.frame)
+		w.result = e.runFrame(&w.frame)
 		w.done.Done()
 	}
 }
 
-func (e *Engine) stepTime(batch []*work) time.Duration {
+func (e *Engine) stepTime(batch []*queuedFrame) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	prefill := 0
 	for _, w := range batch {
 		prefill += max(len(w.frame.Input), len(w.frame.Text)/4) - 1
 	}
-	perLayer := e.set.LayerMicros + e.set.SequenceMicros*float64(len(batch)) + e.set.PrefillMicros*float64(max(prefill, 0))
+	perLayer := e.settings.LayerMicros + e.settings.SequenceMicros*float64(len(batch)) + e.settings.PrefillMicros*float64(max(prefill, 0))
 	return time.Duration(perLayer * e.slow * float64(e.layers.Count()) * float64(time.Microsecond))
 }
 
-// run computes one frame; the caller holds the lock.
-func (e *Engine) run(f *engine.Frame) engine.Result {
+// runFrame computes one frame; the caller holds the lock.
+func (e *Engine) runFrame(f *engine.Frame) engine.Result {
 	result := engine.Result{Request: f.Request, Attempt: f.Attempt, Position: f.Position, Layers: f.Layers}
 	if e.state != engine.StateReady || f.Model != e.model.name || f.Layers != e.layers {
 		result.Code = engine.CodeNotStarted
 		return result
 	}
 	id := engine.AttemptID{Request: f.Request, Attempt: f.Attempt}
-	s := e.states[id]
+	s := e.attempts[id]
 	if s == nil && f.Position == 0 {
-		s = e.start(id)
+		s = e.startAttempt(id)
 	}
 	if s == nil || s.position != f.Position {
 		result.Code = engine.CodeOutOfOrder
@@ -217,24 +217,24 @@
 		input = Tokens(f.Text)
 		result.Tokens = input
 	}
-	e.compute(s, input, &result)
+	e.runLayers(s, input, &result)
 	return result
 }
 
-func (e *Engine) start(id engine.AttemptID) *attemptState {
+func (e *Engine) startAttempt(id engine.AttemptID) *attemptState {
 	s := &attemptState{cache: make([]uint64, e.layers.Count())}
-	e.states[id] = s
-	e.ran[id.Request]++
+	e.attempts[id] = s
+	e.started[id.Request]++
 	if e.leaving {
-		e.newAfter++
+		e.newSinceLeaving++
 	}
 	return s
 }
 
-func (e *Engine) compute(s *attemptState, input []uint64, result *engine.Result) {
+func (e *Engine) runLayers(s *attemptState, input []uint64, result *engine.Result) {
 	output := make([]uint64, len(input))
 	for i, act := range input {
-		output[i] = e.model.run(s.cache, e.layers.First, act)
+		output[i] = e.model.runLayers(s.cache, e.layers.First, act)
 		s.position++
 	}
 	result.Code = engine.CodeDone
@@ -253,7 +253,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, id := range c.Attempts {
-		delete(e.states, id)
+		delete(e.attempts, id)
 	}
 }
 
@@ -261,18 +261,18 @@
 func (e *Engine) Report(now time.Time) engine.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.oldAt) >= e.set.ReportLag {
+	if now.Sub(e.lastReportAt) >= e.settings.ReportLag {
 		e.sequence++
-		e.oldAt = now
-		e.old = engine.Report{
-			Name: e.set.Name, Incarnation: e.incarnation, Sequence: e.sequence,
+		e.lastReportAt = now
+		e.lastReport = engine.Report{
+			Name: e.settings.Name, Incarnation: e.incarnation, Sequence: e.sequence,
 			State: e.state, Model: e.model.name, Version: e.model.version, Layers: e.layers,
 			Leaving: e.leaving, Running: e.running, Waiting: len(e.waiting),
 			StepMicros: e.step.Microseconds(), Fence: e.fence,
 		}
 	}
-	report := e.old
-	report.Held = len(e.states)
+	report := e.lastReport
+	report.Held = len(e.attempts)
 	report.Leaving = e.leaving
 	return report
 }
@@ -281,7 +281,7 @@
 func (e *Engine) Order(o engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if o.Fence < e.fence && !e.set.IgnoreFence {
+	if o.Fence < e.fence && !e.settings.IgnoreFence {
 		return false
 	}
 	e.fence = max(e.fence, o.Fence)
@@ -291,17 +291,17 @@
 	e.model = NewModel(o.Model, o.Version, o.Total)
 	e.layers = o.Layers
 	e.state = engine.StateLoading
-	e.states = map[engine.AttemptID]*attemptState{}
+	e.attempts = map[engine.AttemptID]*attemptState{}
 	e.loads++
 	load := e.loads
 	go func() {
-		e.set.Fetch(o.Layers.Count())
-		e.loaded(load)
+		e.settings.Fetch(o.Layers.Count())
+		e.finishLoading(load)
 	}()
 	return true
 }
 
-func (e *Engine) loaded(load int) {
+func (e *Engine) finishLoading(load int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.loads == load {
@@ -313,7 +313,7 @@
 func (e *Engine) Export(id engine.AttemptID) (engine.Snapshot, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.states[id]
+	s := e.attempts[id]
 	if s == nil {
 		return engine.Snapshot{}, false
 	}
@@ -330,7 +330,7 @@
 	if e.state != engine.StateReady || s.Layers != e.layers || s.Model != e.model.name || len(s.Cache) != e.layers.Count() {
 		return false
 	}
-	e.states[s.ID] = &attemptState{cache: append([]uint64(nil), s.Cache...), position: s.Position}
+	e.attempts[s.ID] = &attemptState{cache: append([]uint64(nil), s.Cache...), position: s.Position}
 	return true
 }
 
@@ -348,7 +348,7 @@
 func (e *Engine) SetFault(f EngineFault) {
 	e.mu.Lock()
 	if f.Leaving && !e.leaving {
-		e.newAfter = 0
+		e.newSinceLeaving = 0
 	}
 	e.leaving = f.Leaving
 	e.hung = f.Hung
@@ -378,12 +378,12 @@
 func (e *Engine) Tally() EngineTally {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	ran := make(map[string]int, len(e.ran))
-	for k, v := range e.ran {
-		ran[k] = v
+	started := make(map[string]int, len(e.started))
+	for k, v := range e.started {
+		started[k] = v
 	}
 	return EngineTally{
-		Requests: ran, NewSinceLeaving: e.newAfter, Held: len(e.states),
+		Requests: started, NewSinceLeaving: e.newSinceLeaving, Held: len(e.attempts),
 		BusyMicros: e.busy.Microseconds(), Steps: e.steps, Sequences: e.sequences,
 	}
 }
--- a/standin/engineserver.go
+++ b/standin/engineserver.go
@@ -13,31 +13,31 @@
 // EngineHandler returns the HTTP interface of a stand-in engine; paths under /test belong to tests.
 func EngineHandler(e *Engine) fasthttp.RequestHandler {
 	r := router.New()
-	r.POST(engine.PathStep, answer(func(call engine.StepCall) (engine.StepReply, bool) {
+	r.POST(engine.PathStep, handleRPC(func(call engine.StepCall) (engine.StepReply, bool) {
 		return e.Submit(call.Frames), true
 	}))
-	r.POST(engine.PathCancel, answer(func(c engine.Cancel) (bool, bool) {
+	r.POST(engine.PathCancel, handleRPC(func(c engine.Cancel) (bool, bool) {
 		e.Cancel(c)
 		return true, true
 	}))
-	r.POST(engine.PathReport, answer(func(bool) (engine.Report, bool) { return e.Report(time.Now()), true }))
-	r.POST(engine.PathOrder, answer(func(o engine.Order) (bool, bool) { return true, e.Order(o) }))
-	r.POST(engine.PathExport, answer(e.Export))
-	r.POST(engine.PathImport, answer(func(s engine.Snapshot) (bool, bool) { return true, e.Import(s) }))
-	r.POST("/test/fault", func(ctx *fasthttp.RequestCtx) { setFault(ctx, e.SetFault) })
+	r.POST(engine.PathReport, handleRPC(func(bool) (engine.Report, bool) { return e.Report(time.Now()), true }))
+	r.POST(engine.PathOrder, handleRPC(func(o engine.Order) (bool, bool) { return true, e.Order(o) }))
+	r.POST(engine.PathExport, handleRPC(e.Export))
+	r.POST(engine.PathImport, handleRPC(func(s engine.Snapshot) (bool, bool) { return true, e.Import(s) }))
+	r.POST("/test/fault", func(ctx *fasthttp.RequestCtx) { handleJSON(ctx, e.SetFault) })
 	r.GET("/test/tally", func(ctx *fasthttp.RequestCtx) { writeJSON(ctx, e.Tally()) })
 	return r.Handler
 }
 
-// answer decodes the question, runs the handler and encodes its answer; a handler's false becomes status 409.
-func answer[Q, A any](handle func(Q) (A, bool)) fasthttp.RequestHandler {
+// handleRPC decodes the question, runs the handler and encodes its answer; a handler's false becomes status 409.
+func handleRPC[Q, A any](handle func(Q) (A, bool)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		question, err := engine.Decode[Q](ctx.PostBody())
+		request, err := engine.Decode[Q](ctx.PostBody())
 		if err != nil {
 			ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 			return
 		}
-		value, ok := handle(question)
+		value, ok := handle(request)
 		if !ok {
 			ctx.SetStatusCode(fasthttp.StatusConflict)
 			return
@@ -51,7 +51,7 @@
 	}
 }
 
-func setFault[F any](ctx *fasthttp.RequestCtx, set func(F)) {
+func handleJSON[F any](ctx *fasthttp.RequestCtx, set func(F)) {
 	var f F
 	if err := json.Unmarshal(ctx.PostBody(), &f); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
--- a/standin/kv.go
+++ b/standin/kv.go
@@ -9,7 +9,7 @@
 	"junctioncross/kv"
 )
 
-type stored struct {
+type leasedRecord struct {
 	record  kv.Record
 	expires time.Time
 }
@@ -18,14 +18,14 @@
 type Keys struct {
 	mu       sync.Mutex
 	revision kv.Revision
-	records  map[string]*stored
+	records  map[string]*leasedRecord
 	changed  chan struct{}
 	now      func() time.Time
 }
 
 // NewKeys returns an empty store that reads the time from now.
 func NewKeys(now func() time.Time) *Keys {
-	return &Keys{records: map[string]*stored{}, changed: make(chan struct{}), now: now}
+	return &Keys{records: map[string]*leasedRecord{}, changed: make(chan struct{}), now: now}
 }
 
 // Get returns the record under key.
@@ -69,7 +69,7 @@
 		return kv.Record{}, false
 	}
 	k.revision++
-	next := &stored{record: kv.Record{Key: put.Key, Value: put.Value, Revision: k.revision, Created: k.revision}}
+	next := &leasedRecord{record: kv.Record{Key: put.Key, Value: put.Value, Revision: k.revision, Created: k.revision}}
 	if s != nil {
 		next.record.Created = s.record.Created
 	}
@@ -114,7 +114,7 @@
 }
 
 // live returns the record under key unless its lease has ended; the caller holds the lock.
-func (k *Keys) live(key string) *stored {
+func (k *Keys) live(key string) *leasedRecord {
 	s := k.records[key]
 	if s == nil {
 		return nil
--- a/standin/kvserver.go
+++ b/standin/kvserver.go
@@ -23,51 +23,51 @@
 	CallsPerSecond int64 `json:"calls_per_second"`
 }
 
-// KeyServer answers the key-value service's HTTP calls.
-type KeyServer struct {
-	keys   *Keys
-	faults atomic.Pointer[Faults]
-	lose   atomic.Int64
-	second atomic.Int64
-	calls  atomic.Int64
-	total  atomic.Int64
+// KVServer answers the key-value service's HTTP calls.
+type KVServer struct {
+	keys          *Keys
+	faults        atomic.Pointer[Faults]
+	answersToLose atomic.Int64
+	currentSecond atomic.Int64
+	callsInSecond atomic.Int64
+	totalCalls    atomic.Int64
 }
 
 // NewKeyServer returns a server over keys that has no faults.
-func NewKeyServer(keys *Keys) *KeyServer {
-	s := &KeyServer{keys: keys}
+func NewKeyServer(keys *Keys) *KVServer {
+	s := &KVServer{keys: keys}
 	s.faults.Store(&Faults{})
 	return s
 }
 
 // Handler returns the service's HTTP handler.
-func (s *KeyServer) Handler() fasthttp.RequestHandler {
+func (s *KVServer) Handler() fasthttp.RequestHandler {
 	r := router.New()
-	r.GET("/kv/{key:*}", s.guard(s.get))
-	r.PUT("/kv/{key:*}", s.guard(s.put))
-	r.DELETE("/kv/{key:*}", s.guard(s.remove))
-	r.GET("/list", s.guard(s.list))
-	r.GET("/watch/{key:*}", s.guard(s.watch))
+	r.GET("/kv/{key:*}", s.withFaults(s.get))
+	r.PUT("/kv/{key:*}", s.withFaults(s.put))
+	r.DELETE("/kv/{key:*}", s.withFaults(s.remove))
+	r.GET("/list", s.withFaults(s.list))
+	r.GET("/watch/{key:*}", s.withFaults(s.watch))
 	r.POST("/faults", s.setFaults)
-	r.GET("/calls", func(ctx *fasthttp.RequestCtx) { writeJSON(ctx, s.total.Load()) })
+	r.GET("/calls", func(ctx *fasthttp.RequestCtx) { writeJSON(ctx, s.totalCalls.Load()) })
 	return r.Handler
 }
 
-func (s *KeyServer) setFaults(ctx *fasthttp.RequestCtx) {
+func (s *KVServer) setFaults(ctx *fasthttp.RequestCtx) {
 	var f Faults
 	if err := json.Unmarshal(ctx.PostBody(), &f); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	s.lose.Store(f.LoseAnswers)
+	s.answersToLose.Store(f.LoseAnswers)
 	s.faults.Store(&f)
 }
 
-// guard applies the faults in front of a call.
-func (s *KeyServer) guard(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// withFaults applies the faults in front of a call.
+func (s *KVServer) withFaults(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		f := s.faults.Load()
-		s.total.Add(1)
+		s.totalCalls.Add(1)
 		if f.Down {
 			ctx.Error("down", fasthttp.StatusServiceUnavailable)
 			return
@@ -83,24 +83,24 @@
 	}
 }
 
-func (s *KeyServer) countCall() int64 {
+func (s *KVServer) countCall() int64 {
 	now := time.Now().Unix()
-	if s.second.Swap(now) != now {
-		s.calls.Store(0)
+	if s.currentSecond.Swap(now) != now {
+		s.callsInSecond.Store(0)
 	}
-	return s.calls.Add(1)
+	return s.callsInSecond.Add(1)
 }
 
-func (s *KeyServer) get(ctx *fasthttp.RequestCtx) {
+func (s *KVServer) get(ctx *fasthttp.RequestCtx) {
 	record, ok := s.keys.Get(keyOf(ctx))
-	answerRecord(ctx, record, ok, fasthttp.StatusNotFound)
+	writeRecord(ctx, record, ok, fasthttp.StatusNotFound)
 }
 
-func (s *KeyServer) list(ctx *fasthttp.RequestCtx) {
+func (s *KVServer) list(ctx *fasthttp.RequestCtx) {
 	writeJSON(ctx, s.keys.List(string(ctx.QueryArgs().Peek("prefix"))))
 }
 
-func (s *KeyServer) put(ctx *fasthttp.RequestCtx) {
+func (s *KVServer) put(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
 	record, ok := s.keys.Write(kv.Put{
 		Key:    keyOf(ctx),
@@ -108,29 +108,29 @@
 		Expect: kv.Revision(args.GetUintOrZero("expect")),
 		TTL:    time.Duration(args.GetUintOrZero("ttl_ms")) * time.Millisecond,
 	})
-	if ok && s.lose.Add(-1) >= 0 {
+	if ok && s.answersToLose.Add(-1) >= 0 {
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(closeConnection)
 		return
 	}
-	answerRecord(ctx, record, ok, fasthttp.StatusPreconditionFailed)
+	writeRecord(ctx, record, ok, fasthttp.StatusPreconditionFailed)
 }
 
-func (s *KeyServer) remove(ctx *fasthttp.RequestCtx) {
+func (s *KVServer) remove(ctx *fasthttp.RequestCtx) {
 	ok := s.keys.Delete(keyOf(ctx), kv.Revision(ctx.QueryArgs().GetUintOrZero("expect")))
-	answerRecord(ctx, kv.Record{}, ok, fasthttp.StatusPreconditionFailed)
+	writeRecord(ctx, kv.Record{}, ok, fasthttp.StatusPreconditionFailed)
 }
 
-func (s *KeyServer) watch(ctx *fasthttp.RequestCtx) {
+func (s *KVServer) watch(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
 	limit := time.After(time.Duration(args.GetUintOrZero("wait_ms")) * time.Millisecond)
 	record, ok := s.keys.Wait(keyOf(ctx), kv.Revision(args.GetUintOrZero("after")), limit)
-	answerRecord(ctx, record, ok, fasthttp.StatusNotFound)
+	writeRecord(ctx, record, ok, fasthttp.StatusNotFound)
 }
 
 func keyOf(ctx *fasthttp.RequestCtx) string { return ctx.UserValue("key").(string) }
 
-func answerRecord(ctx *fasthttp.RequestCtx, record kv.Record, ok bool, failure int) {
+func writeRecord(ctx *fasthttp.RequestCtx, record kv.Record, ok bool, failure int) {
 	if !ok {
 		ctx.SetStatusCode(failure)
 		return
--- a/standin/list.go
+++ b/standin/list.go
@@ -15,8 +15,8 @@
 	instances []member.Listed
 }
 
-// List is the platform's instance list, which shows what was true a lag ago.
-type List struct {
+// InstanceList is the platform's instance list, which shows what was true a lag ago.
+type InstanceList struct {
 	lag time.Duration
 
 	mu       sync.Mutex
@@ -24,10 +24,10 @@
 }
 
 // NewList returns an empty list with that lag.
-func NewList(lag time.Duration) *List { return &List{lag: lag} }
+func NewList(lag time.Duration) *InstanceList { return &InstanceList{lag: lag} }
 
 // Set replaces the list; readers see it when the lag has passed.
-func (l *List) Set(instances []member.Listed, now time.Time) {
+func (l *InstanceList) Set(instances []member.Listed, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.versions) == 0 {
@@ -37,7 +37,7 @@
 }
 
 // Get returns the list as it was a lag ago.
-func (l *List) Get(now time.Time) []member.Listed {
+func (l *InstanceList) Get(now time.Time) []member.Listed {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := []member.Listed{}
@@ -50,11 +50,11 @@
 }
 
 // Handler returns the list's HTTP interface.
-func (l *List) Handler() fasthttp.RequestHandler {
+func (l *InstanceList) Handler() fasthttp.RequestHandler {
 	r := router.New()
 	r.GET(member.PathInstances, func(ctx *fasthttp.RequestCtx) { writeJSON(ctx, l.Get(time.Now())) })
 	r.POST(member.PathInstances, func(ctx *fasthttp.RequestCtx) {
-		setFault(ctx, func(instances []member.Listed) { l.Set(instances, time.Now()) })
+		handleJSON(ctx, func(instances []member.Listed) { l.Set(instances, time.Now()) })
 	})
 	return r.Handler
 }
--- a/standin/local.go
+++ b/standin/local.go
@@ -14,32 +14,32 @@
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// fail and lose are the chances that a call has no effect, and that it has one but its answer is lost.
-	fail float64
-	lose float64
+	// failChance and lose are the chances that a call has no effect, and that it has one but its answer is lost.
+	failChance float64
+	loseChance float64
 }
 
 // NewLocal returns a Local over keys.
 func NewLocal(keys *Keys, seed uint64, fail, lose float64) *Local {
-	return &Local{keys: keys, random: rand.New(rand.NewPCG(seed, seed)), fail: fail, lose: lose}
+	return &Local{keys: keys, random: rand.New(rand.NewPCG(seed, seed)), failChance: fail, loseChance: lose}
 }
 
 // Heal ends the faults.
 func (l *Local) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fail, l.lose = 0, 0
+	l.failChance, l.loseChance = 0, 0
 }
 
-func (l *Local) draw() (failed, lost bool) {
+func (l *Local) drawFaults() (failed, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.random.Float64() < l.fail, l.random.Float64() < l.lose
+	return l.random.Float64() < l.failChance, l.random.Float64() < l.loseChance
 }
 
 // Get implements kv.Store.
 func (l *Local) Get(_ context.Context, key string) (kv.Record, error) {
-	if failed, lost := l.draw(); failed || lost {
+	if failed, lost := l.drawFaults(); failed || lost {
 		return kv.Record{}, kv.ErrUnavailable
 	}
 	r, ok := l.keys.Get(key)
@@ -51,7 +51,7 @@
 
 // List implements kv.Store.
 func (l *Local) List(_ context.Context, prefix string) ([]kv.Record, error) {
-	if failed, lost := l.draw(); failed || lost {
+	if failed, lost := l.drawFaults(); failed || lost {
 		return nil, kv.ErrUnavailable
 	}
 	return l.keys.List(prefix), nil
@@ -59,7 +59,7 @@
 
 // Write implements kv.Store.
 func (l *Local) Write(_ context.Context, put kv.Put) (kv.Revision, error) {
-	failed, lost := l.draw()
+	failed, lost := l.drawFaults()
 	if failed {
 		return 0, kv.ErrUnavailable
 	}
@@ -76,7 +76,7 @@
 
 // Delete implements kv.Store.
 func (l *Local) Delete(_ context.Context, key string, expect kv.Revision) error {
-	failed, lost := l.draw()
+	failed, lost := l.drawFaults()
 	if failed {
 		return kv.ErrUnavailable
 	}
@@ -93,7 +93,7 @@
 
 // Wait implements kv.Store.
 func (l *Local) Wait(ctx context.Context, key string, after kv.Revision) (kv.Record, error) {
-	if failed, lost := l.draw(); failed || lost {
+	if failed, lost := l.drawFaults(); failed || lost {
 		return kv.Record{}, kv.ErrUnavailable
 	}
 	r, ok := l.keys.Wait(key, after, nil)
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -16,9 +16,9 @@
 	name  string
 	delay time.Duration
 
-	mu  sync.Mutex
-	ran map[string]int
-	bad PlainFault
+	mu    sync.Mutex
+	runs  map[string]int
+	fault PlainFault
 }
 
 // PlainFault is a fault of a plain service.
@@ -31,14 +31,14 @@
 
 // NewPlain returns a service whose calls take that long.
 func NewPlain(name string, delay time.Duration) *Plain {
-	return &Plain{name: name, delay: delay, ran: map[string]int{}}
+	return &Plain{name: name, delay: delay, runs: map[string]int{}}
 }
 
 // Handler returns the service's HTTP interface; paths under /test belong to tests.
 func (p *Plain) Handler() fasthttp.RequestHandler {
 	r := router.New()
 	r.GET("/test/tally", func(ctx *fasthttp.RequestCtx) { writeJSON(ctx, p.Tally()) })
-	r.POST("/test/fault", func(ctx *fasthttp.RequestCtx) { setFault(ctx, p.setFault) })
+	r.POST("/test/fault", func(ctx *fasthttp.RequestCtx) { handleJSON(ctx, p.setFault) })
 	r.ANY("/{path:*}", p.serve)
 	return r.Handler
 }
@@ -47,8 +47,8 @@
 func (p *Plain) Tally() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]int, len(p.ran))
-	for k, v := range p.ran {
+	out := make(map[string]int, len(p.runs))
+	for k, v := range p.runs {
 		out[k] = v
 	}
 	return out
@@ -57,7 +57,7 @@
 func (p *Plain) setFault(f PlainFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.bad = f
+	p.fault = f
 }
 
 func (p *Plain) serve(ctx *fasthttp.RequestCtx) {
@@ -65,7 +65,7 @@
 	if key == "" {
 		key = string(ctx.Path())
 	}
-	count, lose, fail := p.record(key)
+	count, lose, fail := p.startRun(key)
 	if fail {
 		ctx.Error("not started", fasthttp.StatusServiceUnavailable)
 		return
@@ -80,16 +80,16 @@
 	fmt.Fprintf(ctx, `{"service":%q,"path":%q,"run":%d,"echo":%q}`, p.name, ctx.Path(), count, ctx.PostBody())
 }
 
-func (p *Plain) record(key string) (count int, lose, fail bool) {
+func (p *Plain) startRun(key string) (count int, lose, fail bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.bad.Fail {
+	if p.fault.Fail {
 		return 0, false, true
 	}
-	p.ran[key]++
-	lose = p.bad.LoseAnswers > 0
+	p.runs[key]++
+	lose = p.fault.LoseAnswers > 0
 	if lose {
-		p.bad.LoseAnswers--
+		p.fault.LoseAnswers--
 	}
-	return p.ran[key], lose, false
+	return p.runs[key], lose, false
 }
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -13,8 +13,8 @@
 type Weights struct {
 	perLayer time.Duration
 
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
 // NewWeights returns a store that needs perLayer for each layer, over all its readers.
@@ -24,11 +24,11 @@
 func (w *Weights) reserve(layers int, now time.Time) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.free.Before(now) {
-		w.free = now
+	if w.freeAt.Before(now) {
+		w.freeAt = now
 	}
-	w.free = w.free.Add(time.Duration(layers) * w.perLayer)
-	return w.free
+	w.freeAt = w.freeAt.Add(time.Duration(layers) * w.perLayer)
+	return w.freeAt
 }
 
 // Handler returns the store's HTTP interface.
