--- a/service/forward.go
+++ b/service/forward.go
@@ -27,21 +27,21 @@
 var (
 	// ErrNeverSent means that no byte of the call left for any backend server.
 	ErrNeverSent = errors.New("service: call never sent")
-	// ErrUnsure means that a backend server may have run the call.
-	ErrUnsure = errors.New("service: outcome unsure")
+	// ErrOutcomeUnknown means that a backend server may have run the call.
+	ErrOutcomeUnknown = errors.New("service: outcome unsure")
 )
 
 // Forwarder sends calls to the backend servers of plain services.
 type Forwarder struct {
 	stats *metrics.Registry
-	// reusing keeps connections between calls; single opens one for each call, so that a failure to send is certain.
-	reusing *fasthttp.Client
-	single  *fasthttp.Client
+	// pooled keeps connections between calls; single opens one for each call, so that a failure to send is certain.
+	pooled   *fasthttp.Client
+	unpooled *fasthttp.Client
 }
 
 // New returns a Forwarder.
 func New(stats *metrics.Registry) *Forwarder {
-	return &Forwarder{stats: stats, reusing: newClient(), single: newClient()}
+	return &Forwarder{stats: stats, pooled: newClient(), unpooled: newClient()}
 }
 
 func newClient() *fasthttp.Client {
@@ -63,49 +63,49 @@
 // Forward sends the call and fills resp; it returns ErrNeverSent or ErrUnsure.
 //
 // A call that may not be repeated goes to another server only after a failure to connect, when no byte has left.
-func (f *Forwarder) Forward(ctx context.Context, s *intent.Service, req *fasthttp.Request, resp *fasthttp.Response, repeatable bool) error {
+func (f *Forwarder) Forward(ctx context.Context, s *intent.Service, req *fasthttp.Request, resp *fasthttp.Response, mayRetry bool) error {
 	start := rand.IntN(len(s.Addrs))
 	sent := false
 	for try := range min(maxTries, max(len(s.Addrs), 2)) {
 		req.SetHost(s.Addrs[(start+try)%len(s.Addrs)])
-		err := f.once(ctx, req, resp, repeatable)
-		if err == nil && !retryable(resp, repeatable) {
+		err := f.tryOnce(ctx, req, resp, mayRetry)
+		if err == nil && !shouldRetry(resp, mayRetry) {
 			return nil
 		}
 		neverSent := err != nil && once.NeverSent(err)
 		sent = sent || !neverSent
-		if !repeatable && sent {
-			return errors.Wrap(ErrUnsure, err.Error())
+		if !mayRetry && sent {
+			return errors.Wrap(ErrOutcomeUnknown, err.Error())
 		}
-		f.stats.Retried(reasonOf(neverSent))
+		f.stats.Retried(retryReason(neverSent))
 		if !wait(ctx, retry.Pause(try, rand.Float64())) {
 			break
 		}
 	}
 	if sent {
-		return ErrUnsure
+		return ErrOutcomeUnknown
 	}
 	return ErrNeverSent
 }
 
-func (f *Forwarder) once(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response, repeatable bool) error {
+func (f *Forwarder) tryOnce(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response, mayRetry bool) error {
 	deadline := time.Now().Add(CallTimeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
-	if repeatable {
-		return f.reusing.DoDeadline(req, resp, deadline)
+	if mayRetry {
+		return f.pooled.DoDeadline(req, resp, deadline)
 	}
 	req.SetConnectionClose()
-	return f.single.DoDeadline(req, resp, deadline)
+	return f.unpooled.DoDeadline(req, resp, deadline)
 }
 
-// retryable reports whether an answer asks for another try.
-func retryable(resp *fasthttp.Response, repeatable bool) bool {
-	return repeatable && resp.StatusCode() == fasthttp.StatusServiceUnavailable
+// shouldRetry reports whether an answer asks for another try.
+func shouldRetry(resp *fasthttp.Response, mayRetry bool) bool {
+	return mayRetry && resp.StatusCode() == fasthttp.StatusServiceUnavailable
 }
 
-func reasonOf(neverSent bool) models.Reason {
+func retryReason(neverSent bool) models.Reason {
 	if neverSent {
 		return models.RetryUnreachable
 	}
