--- a/operator/client.go
+++ b/operator/client.go
@@ -23,9 +23,9 @@
 }
 
 // NewClient returns a Client of the instance at addr that shows the ring's certificate.
-func NewClient(addr string, ring *keys.CertReloader) *Client {
+func NewClient(addr string, certs *keys.CertReloader) *Client {
 	return &Client{base: "https://" + addr, http: &fasthttp.Client{
-		TLSConfig: ring.Client(), MaxIdemponentCallAttempts: 1, MaxResponseBodySize: 64 << 20,
+		TLSConfig: certs.Client(), MaxIdemponentCallAttempts: 1, MaxResponseBodySize: 64 << 20,
 	}}
 }
 
@@ -76,7 +76,7 @@
 
 // request sends a call and decodes its answer; a reported failure becomes a *Refused.
 func request[A any](c *Client, method, path string, body []byte) (A, error) {
-	var answer A
+	var value A
 	req := fasthttp.AcquireRequest()
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -85,15 +85,15 @@
 	req.Header.SetMethod(method)
 	req.SetBody(body)
 	if err := c.http.DoTimeout(req, resp, clientTimeout); err != nil {
-		return answer, errors.Wrap(err, "no answer; ask again to learn what became of the call")
+		return value, errors.Wrap(err, "no answer; ask again to learn what became of the call")
 	}
 	if resp.StatusCode() == fasthttp.StatusOK {
-		err := json.Unmarshal(resp.Body(), &answer)
-		return answer, errors.Wrap(err, "answer")
+		err := json.Unmarshal(resp.Body(), &value)
+		return value, errors.Wrap(err, "answer")
 	}
 	var f Failure
 	if err := json.Unmarshal(resp.Body(), &f); err != nil {
-		return answer, errors.Errorf("status %d: %s", resp.StatusCode(), resp.Body())
+		return value, errors.Errorf("status %d: %s", resp.StatusCode(), resp.Body())
 	}
-	return answer, &Refused{failure: f}
+	return value, &Refused{failure: f}
 }
--- a/operator/cluster.go
+++ b/operator/cluster.go
@@ -36,32 +36,32 @@
 	}
 	add(c.loop.Statuses())
 	listed := c.loop.Listed()
-	asked := map[string]bool{c.domain: true}
-	for _, line := range listed {
-		if line.Role != member.RoleEntry || asked[line.Domain] {
+	answered := map[string]bool{c.domain: true}
+	for _, l := range listed {
+		if l.Role != member.RoleEntry || answered[l.Domain] {
 			continue
 		}
-		all, err := c.askOne(ctx, line.Addr)
+		all, err := c.queryStatuses(ctx, l.Addr)
 		if err == nil {
-			asked[line.Domain] = true
+			answered[l.Domain] = true
 			add(all)
 		}
 	}
-	for _, line := range listed {
-		if _, ok := byName[line.Name]; !ok && line.Role == member.RoleEntry {
-			byName[line.Name] = control.InstanceStatus{Name: line.Name, Domain: line.Domain, Addr: line.Addr, Note: "not reached"}
+	for _, l := range listed {
+		if _, ok := byName[l.Name]; !ok && l.Role == member.RoleEntry {
+			byName[l.Name] = control.InstanceStatus{Name: l.Name, Domain: l.Domain, Addr: l.Addr, Note: "not reached"}
 		}
 	}
-	return sorted(byName)
+	return sortedByName(byName)
 }
 
-func (c *Cluster) askOne(ctx context.Context, addr string) ([]control.InstanceStatus, error) {
+func (c *Cluster) queryStatuses(ctx context.Context, addr string) ([]control.InstanceStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return link.Call[struct{}, []control.InstanceStatus](ctx, c.links, addr, link.KindStatus, struct{}{})
 }
 
-func sorted(byName map[string]control.InstanceStatus) []control.InstanceStatus {
+func sortedByName(byName map[string]control.InstanceStatus) []control.InstanceStatus {
 	out := make([]control.InstanceStatus, 0, len(byName))
 	for _, s := range byName {
 		out = append(out, s)
--- a/operator/failure.go
+++ b/operator/failure.go
@@ -22,7 +22,7 @@
 // Error implements error.
 func (r *rejection) Error() string { return "the intent cannot be had" }
 
-func reject(problems []error) error {
+func newRejection(problems []error) error {
 	r := &rejection{}
 	for _, p := range problems {
 		r.problems = append(r.problems, p.Error())
@@ -30,8 +30,8 @@
 	return r
 }
 
-// describe returns the status and body that tell an operator of an error.
-func describe(err error) (int, Failure) {
+// failureOf returns the status and body that tell an operator of an error.
+func failureOf(err error) (int, Failure) {
 	var conflict *revision.ConflictError
 	var rejected *rejection
 	switch {
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -19,7 +19,7 @@
 	"junctioncross/timer"
 )
 
-const callLimit = 15 * time.Second
+const callTimeout = 15 * time.Second
 
 // Handler answers operators.
 type Handler struct {
@@ -57,11 +57,11 @@
 			write(req, fasthttp.StatusForbidden, Failure{Message: "this certificate may not do that", Settled: true})
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		value, err := run(ctx, req, who.Name())
 		if err != nil {
-			status, failure := describe(err)
+			status, failure := failureOf(err)
 			h.log.WithField("operator", who.Name()).WithField("path", string(req.Path())).WithError(err).Info("operator refused")
 			write(req, status, failure)
 			return
@@ -117,10 +117,10 @@
 	if err := h.store.AddIntent(ctx, i); err != nil {
 		return nil, err
 	}
-	return IntentAnswer{ID: i.ID, Changes: describeAll(changes)}, nil
+	return IntentAnswer{ID: i.ID, Changes: describeChanges(changes)}, nil
 }
 
-func describeAll(changes []intent.Change) []string {
+func describeChanges(changes []intent.Change) []string {
 	out := make([]string, len(changes))
 	for i, c := range changes {
 		out[i] = intent.Describe(c)
@@ -129,11 +129,11 @@
 }
 
 func (h *Handler) addPlan(ctx context.Context, req *fasthttp.RequestCtx, who string) (any, error) {
-	kept, err := h.store.Intent(ctx, req.UserValue("id").(string))
+	stored, err := h.store.Intent(ctx, req.UserValue("id").(string))
 	if err != nil {
 		return nil, err
 	}
-	why, changes, err := intent.Parse(kept.ID, []byte(kept.YAML))
+	why, changes, err := intent.Parse(stored.ID, []byte(stored.YAML))
 	if err != nil {
 		return nil, err
 	}
@@ -147,12 +147,12 @@
 	}
 	after, problems := intent.Apply(before, changes)
 	if len(problems) > 0 {
-		return nil, reject(problems)
+		return nil, newRejection(problems)
 	}
 	placed, effects := plan.Place(after)
 	p := revision.Plan{
-		ID: newID("p-"), Intent: kept.ID, Base: head.Revision, Why: why, Who: who, Created: h.clock.Now().UTC(),
-		Changes: describeAll(changes), Effects: append(effects, plan.Compare(before, placed)...),
+		ID: newID("p-"), Intent: stored.ID, Base: head.Revision, Why: why, Who: who, Created: h.clock.Now().UTC(),
+		Changes: describeChanges(changes), Effects: append(effects, plan.Compare(before, placed)...),
 	}
 	return h.store.AddPlan(ctx, p, head, placed)
 }
