--- a/fault/udp.go
+++ b/fault/udp.go
@@ -9,21 +9,21 @@
 	"github.com/pkg/errors"
 )
 
-const datagram = 64 << 10
+const maxDatagram = 64 << 10
 
 // UDP is a proxy in front of one UDP address.
 type UDP struct {
 	socket   *net.UDPConn
 	upstream *net.UDPAddr
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	loss    float64
-	delay   time.Duration
-	cut     bool
-	clients map[string]*net.UDPConn
-	// silent holds the senders whose datagrams are lost for good, in both directions.
-	silent map[string]bool
+	mu              sync.Mutex
+	random          *rand.Rand
+	loss            float64
+	delay           time.Duration
+	cut             bool
+	upstreamSockets map[string]*net.UDPConn
+	// silenced holds the senders whose datagrams are lost for good, in both directions.
+	silenced map[string]bool
 }
 
 // NewUDP starts a proxy of the address upstream on a free loopback port; seed makes its losses repeatable.
@@ -36,7 +36,10 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "fault: listen")
 	}
-	u := &UDP{socket: socket, upstream: target, random: rand.New(rand.NewPCG(seed, seed)), clients: map[string]*net.UDPConn{}, silent: map[string]bool{}}
+	u := &UDP{
+		socket: socket, upstream: target, random: rand.New(rand.NewPCG(seed, seed)),
+		upstreamSockets: map[string]*net.UDPConn{}, silenced: map[string]bool{},
+	}
 	go func() { u.forward() }()
 	return u, nil
 }
@@ -61,8 +64,8 @@
 func (u *UDP) Silence() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for sender := range u.clients {
-		u.silent[sender] = true
+	for sender := range u.upstreamSockets {
+		u.silenced[sender] = true
 	}
 }
 
@@ -77,15 +80,15 @@
 	_ = u.socket.Close()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, c := range u.clients {
+	for _, c := range u.upstreamSockets {
 		_ = c.Close()
 	}
 }
 
-// pass sends a datagram on that a sender sent or is to get, late or not at all.
-func (u *UDP) pass(sender *net.UDPAddr, send func()) {
+// deliver sends a datagram on that a sender sent or is to get, late or not at all.
+func (u *UDP) deliver(sender *net.UDPAddr, send func()) {
 	u.mu.Lock()
-	lost := u.cut || u.silent[sender.String()] || u.random.Float64() < u.loss
+	lost := u.cut || u.silenced[sender.String()] || u.random.Float64() < u.loss
 	delay := u.delay
 	u.mu.Unlock()
 	switch {
@@ -98,39 +101,39 @@
 }
 
 func (u *UDP) forward() {
-	buffer := make([]byte, datagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := u.socket.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
-		client, err := u.client(from)
+		socket, err := u.upstreamSocket(from)
 		if err != nil {
 			continue
 		}
 		body := append([]byte(nil), buffer[:n]...)
-		u.pass(from, func() { _, _ = client.Write(body) })
+		u.deliver(from, func() { _, _ = socket.Write(body) })
 	}
 }
 
-// client returns the socket that stands for a sender towards the upstream.
-func (u *UDP) client(from *net.UDPAddr) (*net.UDPConn, error) {
+// upstreamSocket returns the socket that stands for a sender towards the upstream.
+func (u *UDP) upstreamSocket(from *net.UDPAddr) (*net.UDPConn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if c := u.clients[from.String()]; c != nil {
+	if c := u.upstreamSockets[from.String()]; c != nil {
 		return c, nil
 	}
 	c, err := net.DialUDP("udp4", nil, u.upstream)
 	if err != nil {
 		return nil, err
 	}
-	u.clients[from.String()] = c
-	go func() { u.backward(c, from) }()
+	u.upstreamSockets[from.String()] = c
+	go func() { u.reverse(c, from) }()
 	return c, nil
 }
 
-func (u *UDP) backward(c *net.UDPConn, to *net.UDPAddr) {
-	buffer := make([]byte, datagram)
+func (u *UDP) reverse(c *net.UDPConn, to *net.UDPAddr) {
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, err := c.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -140,6 +143,6 @@
 			continue
 		}
 		body := append([]byte(nil), buffer[:n]...)
-		u.pass(to, func() { _, _ = u.socket.WriteToUDP(body, to) })
+		u.deliver(to, func() { _, _ = u.socket.WriteToUDP(body, to) })
 	}
 }
