--- a/strict/decode.go
+++ b/strict/decode.go
@@ -20,24 +20,24 @@
 	}
 	target := reflect.ValueOf(out).Elem()
 	if len(tree.Docs) > 0 && tree.Docs[0].Body != nil {
-		d.value(tree.Docs[0].Body, target, place{path: target.Type().Name()})
+		d.value(tree.Docs[0].Body, target, location{goPath: target.Type().Name()})
 	}
 	d.validate(out)
 	return newError(d.problems)
 }
 
-// place is where the decoder stands: path in Go's names and key in the file's.
-type place struct {
-	path string
-	key  string
+// location is where the decoder stands: path in Go's names and key in the file's.
+type location struct {
+	goPath  string
+	yamlKey string
 }
 
-func (p place) field(goName, yamlName string) place {
-	return place{path: p.path + "." + goName, key: strings.TrimPrefix(p.key+"."+yamlName, ".")}
+func (p location) field(goName, yamlName string) location {
+	return location{goPath: p.goPath + "." + goName, yamlKey: strings.TrimPrefix(p.yamlKey+"."+yamlName, ".")}
 }
 
-func (p place) index(i string) place {
-	return place{path: p.path + "[" + i + "]", key: p.key + "[" + i + "]"}
+func (p location) index(index string) location {
+	return location{goPath: p.goPath + "[" + index + "]", yamlKey: p.yamlKey + "[" + index + "]"}
 }
 
 type decoder struct {
@@ -58,18 +58,18 @@
 	return Problem{file: d.file, line: line, key: "(file)", message: message}
 }
 
-func (d *decoder) add(node ast.Node, at place, message string) {
-	d.failed[at.path] = true
-	d.problems = append(d.problems, Problem{file: d.file, line: lineOf(node), key: at.key, message: message})
+func (d *decoder) add(node ast.Node, at location, message string) {
+	d.failed[at.goPath] = true
+	d.problems = append(d.problems, Problem{file: d.file, line: lineOf(node), key: at.yamlKey, message: message})
 }
 
 func lineOf(node ast.Node) int { return node.GetToken().Position.Line }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-func (d *decoder) value(node ast.Node, target reflect.Value, at place) {
-	d.lines[at.path] = lineOf(node)
-	d.keys[at.path] = at.key
+func (d *decoder) value(node ast.Node, target reflect.Value, at location) {
+	d.lines[at.goPath] = lineOf(node)
+	d.keys[at.goPath] = at.yamlKey
 	if _, null := node.(*ast.NullNode); null {
 		return
 	}
@@ -88,13 +88,13 @@
 	}
 }
 
-func (d *decoder) scalar(node ast.Node, target reflect.Value, at place) {
+func (d *decoder) scalar(node ast.Node, target reflect.Value, at location) {
 	if err := yaml.NodeToValue(node, target.Addr().Interface(), yaml.Strict()); err != nil {
 		d.add(node, at, "is not "+typeName(target.Type()))
 	}
 }
 
-func (d *decoder) list(node ast.Node, target reflect.Value, at place) {
+func (d *decoder) list(node ast.Node, target reflect.Value, at location) {
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok {
 		d.add(node, at, "is not a list")
@@ -107,7 +107,7 @@
 	target.Set(out)
 }
 
-func (d *decoder) structure(node ast.Node, target reflect.Value, at place) {
+func (d *decoder) structure(node ast.Node, target reflect.Value, at location) {
 	entries, ok := mappingOf(node)
 	if !ok {
 		d.add(node, at, "is not a mapping; accepted keys: "+strings.Join(keysOf(target.Type()), ", "))
--- a/strict/validate.go
+++ b/strict/validate.go
@@ -39,13 +39,13 @@
 		if d.failed[path] {
 			continue
 		}
-		line, key := d.find(path, reflect.TypeOf(out).Elem())
-		d.problems = append(d.problems, Problem{file: d.file, line: line, key: key, message: accepted(f)})
+		line, key := d.locate(path, reflect.TypeOf(out).Elem())
+		d.problems = append(d.problems, Problem{file: d.file, line: line, key: key, message: problemMessage(f)})
 	}
 }
 
-// find returns the line of a path, or that of the nearest key above it when the path is missing from the file.
-func (d *decoder) find(path string, root reflect.Type) (line int, key string) {
+// locate returns the line of a path, or that of the nearest key above it when the path is missing from the file.
+func (d *decoder) locate(path string, root reflect.Type) (line int, key string) {
 	key = yamlPath(path, root)
 	for at := path; at != ""; {
 		if n, ok := d.lines[at]; ok {
@@ -82,7 +82,7 @@
 	return strings.Join(parts, ".")
 }
 
-func accepted(f validator.FieldError) string {
+func problemMessage(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required", "required_with", "required_if":
 		return "is missing"
