--- a/chart/chart.go
+++ b/chart/chart.go
@@ -19,10 +19,10 @@
 
 // Chart is a set of states with the transitions between them.
 type Chart struct {
-	name    string
-	initial State
-	final   map[State]bool
-	next    map[State]map[Event]State
+	name        string
+	initial     State
+	final       map[State]bool
+	transitions map[State]map[Event]State
 }
 
 type file struct {
@@ -65,19 +65,19 @@
 	if err := yaml.UnmarshalWithOptions(body, &f, yaml.Strict()); err != nil {
 		return nil, errors.Wrapf(err, "chart %s", name)
 	}
-	c := &Chart{name: name, initial: f.Initial, final: map[State]bool{}, next: f.Transitions}
+	c := &Chart{name: name, initial: f.Initial, final: map[State]bool{}, transitions: f.Transitions}
 	for _, s := range f.Final {
 		c.final[s] = true
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Chart) check() error {
+func (c *Chart) validate() error {
 	reached := c.reachable()
-	for from, events := range c.next {
+	for from, events := range c.transitions {
 		if !reached[from] {
 			return errors.Errorf("chart %s: state %s cannot be reached", c.name, from)
 		}
@@ -86,7 +86,7 @@
 		}
 	}
 	for s := range reached {
-		if !c.final[s] && len(c.next[s]) == 0 {
+		if !c.final[s] && len(c.transitions[s]) == 0 {
 			return errors.Errorf("chart %s: state %s cannot be left", c.name, s)
 		}
 	}
@@ -102,7 +102,7 @@
 	seen := map[State]bool{c.initial: true}
 	queue := []State{c.initial}
 	for len(queue) > 0 {
-		for _, to := range c.next[queue[0]] {
+		for _, to := range c.transitions[queue[0]] {
 			if !seen[to] {
 				seen[to] = true
 				queue = append(queue, to)
@@ -130,13 +130,13 @@
 
 // Can reports whether the event has a transition from the current state.
 func (m *Machine) Can(e Event) bool {
-	_, ok := m.chart.next[m.state][e]
+	_, ok := m.chart.transitions[m.state][e]
 	return ok
 }
 
 // Fire moves along the event's transition; the error says that there is none.
 func (m *Machine) Fire(e Event) error {
-	to, ok := m.chart.next[m.state][e]
+	to, ok := m.chart.transitions[m.state][e]
 	if !ok {
 		return fmt.Errorf("chart %s: event %s in state %s", m.chart.name, e, m.state)
 	}
--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -8,7 +8,7 @@
 	"junctioncross/chart"
 )
 
-func TestEveryChartCanBeEnteredAndLeft(t *testing.T) {
+func TestEmbeddedChartsAreValid(t *testing.T) {
 	require.NotEmpty(t, chart.Names())
 	for _, name := range chart.Names() {
 		_, err := chart.Load(name)
