--- a/standin/compute.go
+++ b/standin/compute.go
@@ -8,26 +8,28 @@
 )
 
 const (
+	// vocabulary is the number of token ids.
 	vocabulary = 8192
-	// endEvery makes about one token in that many end the answer.
+	// endEvery is the average number of tokens after which an answer ends: one token id in so many means the end.
 	endEvery = 512
 )
 
-// Model describes what a stand-in model computes.
+// Model is a fake model: hash functions over the layers take the place of matrices, so that an answer is a pure function of
+// the model's name, version, number of layers and the prompt.
 type Model struct {
 	name    string
 	version string
 	layers  int
 }
 
-// NewModel returns the model of that name and version with that number of layers.
+// NewModel returns a Model with the given name, version and number of layers.
 func NewModel(name, version string, layers int) Model {
 	return Model{name: name, version: version, layers: layers}
 }
 
 func (m Model) seed() uint64 { return xxhash.Sum64String(m.name + "@" + m.version) }
 
-// Tokens splits a text into token ids, at least one.
+// Tokens returns the token ids of a text: a start token and one token for each word.
 func Tokens(text string) []uint64 {
 	words := strings.Fields(text)
 	out := make([]uint64, 0, len(words)+1)
@@ -41,10 +43,11 @@
 // Piece returns the text of a token.
 func Piece(token uint64) string { return " w" + strconv.FormatUint(token, 36) }
 
-// Ends reports whether the token ends an answer.
+// Ends reports whether the token is one that ends an answer.
 func Ends(token uint64) bool { return token%endEvery == endEvery-1 }
 
-// Answer computes the whole answer apart from any pipeline: its text, its number of tokens and whether it ended by itself.
+// Answer computes the expected answer to a prompt without engines: its text, its number of tokens, and whether an end token
+// ended it before limit tokens.
 func (m Model) Answer(prompt string, limit int) (text string, tokens int, ended bool) {
 	cache := make([]uint64, m.layers)
 	var activation uint64
@@ -65,7 +68,8 @@
 	}
 }
 
-// runLayers passes one position through the layers that begin at first, one cache entry for each layer.
+// runLayers computes one position in the layers from first on, as many as cache has entries. It updates the cache, which stands
+// for the KV cache, and returns the activation after the last layer.
 func (m Model) runLayers(cache []uint64, first int, activation uint64) uint64 {
 	seed := m.seed()
 	for i := range cache {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -8,40 +8,45 @@
 	"junctioncross/models"
 )
 
-// EngineSettings describes one stand-in engine.
+// EngineSettings describes one fake engine.
 type EngineSettings struct {
+	// Name is the name that the engine's reports give.
 	Name string
-	// LayerMicros is the time of one layer for an empty batch, in microseconds.
+	// LayerMicros is the fixed time of a step for each layer, in microseconds.
 	LayerMicros float64
-	// SequenceMicros is added for each layer and sequence of the batch, in microseconds.
+	// SequenceMicros is the additional time for each layer and each sequence of the batch, in microseconds.
 	SequenceMicros float64
-	// PrefillMicros is added for each layer and position beyond the first of a sequence, in microseconds.
+	// PrefillMicros is the additional time for each layer and each position of a sequence beyond the first, in microseconds.
 	PrefillMicros float64
-	MaxBatch      int
-	// ReportLag is how old the load report is.
+	// MaxBatch is the greatest number of sequences in a batch.
+	MaxBatch int
+	// ReportLag is the greatest age of the load that a report shows.
 	ReportLag time.Duration
-	// Fetch blocks until the weights of n layers have come from the weight store.
+	// Fetch blocks until the weight store has delivered the weights of the given number of layers.
 	Fetch func(layers int)
-	// Link is the one-way delay of the engine's link.
+	// Link is the one-way delay of the network link to the engine.
 	Link time.Duration
-	// IgnoreFence makes the engine take orders with any fence.
+	// IgnoreFence makes the engine execute orders with outdated fences, too.
 	IgnoreFence bool
 }
 
+// maxOvershoot bounds by how much the next step is shortened after one that took too long.
 const maxOvershoot = 2 * time.Millisecond
 
+// attemptState is what the engine holds for an attempt: one cache entry for each layer and the next position.
 type attemptState struct {
 	cache    []uint64
 	position int
 }
 
+// queuedFrame is a frame in the queue; done is signalled once result is set.
 type queuedFrame struct {
 	frame  engine.Frame
 	result engine.Result
 	done   *sync.WaitGroup
 }
 
-// Engine is a stand-in model engine that holds a range of layers and batches continuously.
+// Engine is a fake model engine that holds a range of layers and runs them with continuous batching.
 type Engine struct {
 	settings    EngineSettings
 	incarnation uint64
@@ -67,12 +72,12 @@
 	busy            time.Duration
 	steps           int
 	sequences       int
-	// overshoot is how much longer than wanted the last step took; it belongs to the batch loop.
+	// overshoot is how much longer than intended the last step took; only the batch loop uses it.
 	overshoot time.Duration
 	wake      chan struct{}
 }
 
-// NewEngine returns an empty engine and starts its batch loop.
+// NewEngine returns an engine that holds no layers, and starts its batch loop, which never ends.
 func NewEngine(settings EngineSettings) *Engine {
 	e := &Engine{
 		settings:    settings,
@@ -87,7 +92,7 @@
 	return e
 }
 
-// Submit queues frames and returns their results once all of them ran or were refused.
+// Submit queues frames and blocks until all of them have run or been refused; it returns their results in the same order.
 func (e *Engine) Submit(frames []engine.Frame) engine.StepReply {
 	time.Sleep(e.settings.Link)
 	defer time.Sleep(e.settings.Link)
@@ -132,7 +137,8 @@
 	}
 }
 
-// nextBatch removes the next batch from the queue, higher priorities first.
+// nextBatch removes the next batch from the queue: the frames of the highest priority, then the others in order of arrival.
+// It returns none while the queue is empty or the engine hangs.
 func (e *Engine) nextBatch() []*queuedFrame {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -168,7 +174,7 @@
 
 func (e *Engine) runBatch(batch []*queuedFrame) {
 	step := e.stepTime(batch)
-	// The system's sleep overshoots by up to a millisecond; the next step makes up for it.
+	// time.Sleep may take up to a millisecond too long; the next step is shorter by the excess.
 	start := time.Now()
 	time.Sleep(step - e.overshoot)
 	e.overshoot = min(max(time.Since(start)-(step-e.overshoot), 0), maxOvershoot)
@@ -196,7 +202,7 @@
 	return time.Duration(perLayer * e.slow * float64(e.layers.Count()) * float64(time.Microsecond))
 }
 
-// runFrame computes one frame; the caller holds the lock.
+// runFrame computes one frame; e.mu must be held.
 func (e *Engine) runFrame(f *engine.Frame) engine.Result {
 	result := engine.Result{Request: f.Request, Attempt: f.Attempt, Position: f.Position, Layers: f.Layers}
 	if e.state != engine.StateReady || f.Model != e.model.name || f.Layers != e.layers {
@@ -248,7 +254,7 @@
 	result.End = Ends(token)
 }
 
-// Cancel forgets attempts.
+// Cancel deletes the caches of attempts.
 func (e *Engine) Cancel(c engine.Cancel) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -257,7 +263,7 @@
 	}
 }
 
-// Report returns the state as it was a lag ago; leaving shows at once.
+// Report returns the engine's report. State and load are at most ReportLag old; Held and Leaving are up to date.
 func (e *Engine) Report(now time.Time) engine.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -277,7 +283,8 @@
 	return report
 }
 
-// Order takes an order unless a higher fence was seen; it reports whether it was taken.
+// Order executes an order to hold certain layers, which it loads in the background, and reports true. It refuses the order and
+// reports false if the engine has seen a higher fence.
 func (e *Engine) Order(o engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -309,7 +316,7 @@
 	}
 }
 
-// Export returns the cache of an attempt.
+// Export returns the cache of an attempt, or false if the engine holds none.
 func (e *Engine) Export(id engine.AttemptID) (engine.Snapshot, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -323,7 +330,7 @@
 	}, true
 }
 
-// Import takes the cache of an attempt when it fits the layers held here.
+// Import stores the cache of an attempt if it belongs to the model and layers that the engine holds, and reports whether it did.
 func (e *Engine) Import(s engine.Snapshot) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -334,17 +341,17 @@
 	return true
 }
 
-// EngineFault is a fault that a test brings about.
+// EngineFault is a fault that a test injects into an engine.
 type EngineFault struct {
-	// Leaving starts the engine's leave.
+	// Leaving makes the engine announce that it is leaving.
 	Leaving bool `json:"leaving"`
-	// Hung stops the batch loop while connections stay open.
+	// Hung makes the engine run no batches while its connections stay open.
 	Hung bool `json:"hung"`
-	// Slow multiplies the step time; zero means one.
+	// Slow is a factor of the step time; zero means one.
 	Slow float64 `json:"slow"`
 }
 
-// SetFault brings a fault about or ends it.
+// SetFault injects a fault; the zero EngineFault ends all faults.
 func (e *Engine) SetFault(f EngineFault) {
 	e.mu.Lock()
 	if f.Leaving && !e.leaving {
@@ -360,21 +367,21 @@
 	e.signal()
 }
 
-// EngineTally is what the engine recorded of its work.
+// EngineTally counts the work of an engine.
 type EngineTally struct {
-	// Requests counts the attempts that were started here for each request.
+	// Requests is the number of attempts that the engine has started for each request.
 	Requests map[string]int `json:"requests"`
-	// NewSinceLeaving counts the attempts started since the engine said that it is leaving.
+	// NewSinceLeaving is the number of attempts started since the engine announced that it is leaving.
 	NewSinceLeaving int `json:"new_since_leaving"`
-	// Held counts the attempts whose cache is held.
+	// Held is the number of attempts whose cache the engine holds.
 	Held int `json:"held"`
-	// BusyMicros is the time spent in steps, in microseconds; Steps and Sequences count what was done in it.
+	// BusyMicros is the time spent in steps, in microseconds; Steps and Sequences count the steps and the frames run in them.
 	BusyMicros int64 `json:"busy_us"`
 	Steps      int   `json:"steps"`
 	Sequences  int   `json:"sequences"`
 }
 
-// Tally returns the record of the engine's work.
+// Tally returns the counts of the engine's work since its start.
 func (e *Engine) Tally() EngineTally {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engineserver.go
+++ b/standin/engineserver.go
@@ -10,7 +10,7 @@
 	"junctioncross/engine"
 )
 
-// EngineHandler returns the HTTP interface of a stand-in engine; paths under /test belong to tests.
+// EngineHandler returns the HTTP handler of a fake engine. Paths under /test are for tests: they inject faults and return counts.
 func EngineHandler(e *Engine) fasthttp.RequestHandler {
 	r := router.New()
 	r.POST(engine.PathStep, handleRPC(func(call engine.StepCall) (engine.StepReply, bool) {
@@ -29,7 +29,8 @@
 	return r.Handler
 }
 
-// handleRPC decodes the question, runs the handler and encodes its answer; a handler's false becomes status 409.
+// handleRPC returns a handler that decodes the request, calls handle and encodes its result. If handle returns false, it responds
+// with status 409.
 func handleRPC[Q, A any](handle func(Q) (A, bool)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		request, err := engine.Decode[Q](ctx.PostBody())
@@ -51,6 +52,7 @@
 	}
 }
 
+// handleJSON passes the JSON body of a request to set.
 func handleJSON[F any](ctx *fasthttp.RequestCtx, set func(F)) {
 	var f F
 	if err := json.Unmarshal(ctx.PostBody(), &f); err != nil {
--- a/standin/kv.go
+++ b/standin/kv.go
@@ -9,12 +9,13 @@
 	"junctioncross/kv"
 )
 
+// leasedRecord is a record and the end of its lease, zero if it has none.
 type leasedRecord struct {
 	record  kv.Record
 	expires time.Time
 }
 
-// Keys is the memory of the key-value service: records with revisions, leases and watches.
+// Keys is the in-memory store of the fake key-value service: records with revisions, leases and watches.
 type Keys struct {
 	mu       sync.Mutex
 	revision kv.Revision
@@ -28,7 +29,7 @@
 	return &Keys{records: map[string]*leasedRecord{}, changed: make(chan struct{}), now: now}
 }
 
-// Get returns the record under key.
+// Get returns the record under key, or false if there is none.
 func (k *Keys) Get(key string) (kv.Record, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -39,7 +40,7 @@
 	return s.record, true
 }
 
-// List returns the records under prefix, in order of key.
+// List returns the records whose keys begin with prefix, sorted by key.
 func (k *Keys) List(prefix string) []kv.Record {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -56,7 +57,7 @@
 	return out
 }
 
-// Write stores a value when the record has the expected revision and reports whether it did.
+// Write stores a value if the record has the expected revision (zero: there is no record), and reports whether it did.
 func (k *Keys) Write(put kv.Put) (kv.Record, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -81,7 +82,7 @@
 	return next.record, true
 }
 
-// Delete removes a record that has the expected revision and reports whether it did.
+// Delete removes a record if it has the expected revision, and reports whether it did.
 func (k *Keys) Delete(key string, expect kv.Revision) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -95,7 +96,7 @@
 	return true
 }
 
-// Wait returns the record once its revision is above after, or false when the time is over.
+// Wait blocks until the record has a higher revision than after and returns it, or returns false when limit fires.
 func (k *Keys) Wait(key string, after kv.Revision, limit <-chan time.Time) (kv.Record, bool) {
 	for {
 		k.mu.Lock()
@@ -113,7 +114,7 @@
 	}
 }
 
-// live returns the record under key unless its lease has ended; the caller holds the lock.
+// live returns the record under key, or nil if there is none or its lease has expired; k.mu must be held.
 func (k *Keys) live(key string) *leasedRecord {
 	s := k.records[key]
 	if s == nil {
--- a/standin/kvserver.go
+++ b/standin/kvserver.go
@@ -11,19 +11,19 @@
 	"junctioncross/kv"
 )
 
-// Faults says how the key-value service misbehaves.
+// Faults holds the faults of the fake key-value service.
 type Faults struct {
-	// Down makes every call fail before it takes effect.
+	// Down makes every call fail without effect.
 	Down bool `json:"down"`
 	// SlowMS delays every call, in milliseconds.
 	SlowMS int `json:"slow_ms"`
-	// LoseAnswers lets the next writes take effect and closes their connections without an answer.
+	// LoseAnswers is the number of writes that take effect but whose connections are closed without a response.
 	LoseAnswers int64 `json:"lose_answers"`
-	// CallsPerSecond refuses calls above that rate; zero means no limit.
+	// CallsPerSecond is the rate above which calls are rejected; zero means no limit.
 	CallsPerSecond int64 `json:"calls_per_second"`
 }
 
-// KVServer answers the key-value service's HTTP calls.
+// KVServer serves the HTTP calls of the fake key-value service.
 type KVServer struct {
 	keys          *Keys
 	faults        atomic.Pointer[Faults]
@@ -33,14 +33,14 @@
 	totalCalls    atomic.Int64
 }
 
-// NewKeyServer returns a server over keys that has no faults.
+// NewKeyServer returns a server of the records in keys, without faults.
 func NewKeyServer(keys *Keys) *KVServer {
 	s := &KVServer{keys: keys}
 	s.faults.Store(&Faults{})
 	return s
 }
 
-// Handler returns the service's HTTP handler.
+// Handler returns the service's HTTP handler. The paths /faults and /calls are for tests.
 func (s *KVServer) Handler() fasthttp.RequestHandler {
 	r := router.New()
 	r.GET("/kv/{key:*}", s.withFaults(s.get))
@@ -63,7 +63,7 @@
 	s.faults.Store(&f)
 }
 
-// withFaults applies the faults in front of a call.
+// withFaults returns a handler that applies the faults before it calls next.
 func (s *KVServer) withFaults(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		f := s.faults.Load()
--- a/standin/list.go
+++ b/standin/list.go
@@ -10,12 +10,13 @@
 	"junctioncross/member"
 )
 
+// listVersion is the content of the list from a moment on.
 type listVersion struct {
 	at        time.Time
 	instances []member.Listed
 }
 
-// InstanceList is the platform's instance list, which shows what was true a lag ago.
+// InstanceList is a fake of the platform's instance list, which lags behind: a change becomes visible only after the lag.
 type InstanceList struct {
 	lag time.Duration
 
@@ -23,10 +24,10 @@
 	versions []listVersion
 }
 
-// NewList returns an empty list with that lag.
+// NewList returns an empty list with the given lag.
 func NewList(lag time.Duration) *InstanceList { return &InstanceList{lag: lag} }
 
-// Set replaces the list; readers see it when the lag has passed.
+// Set replaces the content of the list. Readers see the new content after the lag, the first content at once.
 func (l *InstanceList) Set(instances []member.Listed, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,7 +37,7 @@
 	l.versions = append(l.versions, listVersion{at: now, instances: instances})
 }
 
-// Get returns the list as it was a lag ago.
+// Get returns the content of the list as of one lag before now.
 func (l *InstanceList) Get(now time.Time) []member.Listed {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +50,7 @@
 	return out
 }
 
-// Handler returns the list's HTTP interface.
+// Handler returns the HTTP handler of the list; GET returns its content, POST replaces it.
 func (l *InstanceList) Handler() fasthttp.RequestHandler {
 	r := router.New()
 	r.GET(member.PathInstances, func(ctx *fasthttp.RequestCtx) { writeJSON(ctx, l.Get(time.Now())) })
--- a/standin/local.go
+++ b/standin/local.go
@@ -8,29 +8,31 @@
 	"junctioncross/kv"
 )
 
-// Local is the key-value service without a network: it loses calls and answers at random, by a seed.
+// Local is a kv.Store that calls Keys without a network and fails at random, repeatably for the same seed.
 type Local struct {
 	keys *Keys
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// failChance and lose are the chances that a call has no effect, and that it has one but its answer is lost.
+	// failChance is the probability that a call fails without effect, loseChance the one that it takes effect but its response is
+	// lost; both are from 0 to 1.
 	failChance float64
 	loseChance float64
 }
 
-// NewLocal returns a Local over keys.
+// NewLocal returns a Local over keys; fail and lose are the probabilities that a call or its response is lost.
 func NewLocal(keys *Keys, seed uint64, fail, lose float64) *Local {
 	return &Local{keys: keys, random: rand.New(rand.NewPCG(seed, seed)), failChance: fail, loseChance: lose}
 }
 
-// Heal ends the faults.
+// Heal ends the faults: no later call fails.
 func (l *Local) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failChance, l.loseChance = 0, 0
 }
 
+// drawFaults decides at random whether the next call and its response are lost.
 func (l *Local) drawFaults() (failed, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -11,7 +11,7 @@
 	"junctioncross/models"
 )
 
-// Plain is a plain service that records what it ran.
+// Plain is a fake plain service that counts how often it ran each request.
 type Plain struct {
 	name  string
 	delay time.Duration
@@ -21,20 +21,20 @@
 	fault PlainFault
 }
 
-// PlainFault is a fault of a plain service.
+// PlainFault holds the faults that a test injects into a plain service.
 type PlainFault struct {
-	// LoseAnswers lets that many calls run and closes their connections without an answer.
+	// LoseAnswers is the number of requests that run but whose connections are closed without a response.
 	LoseAnswers int `json:"lose_answers"`
-	// Fail answers with status 503 before running anything.
+	// Fail makes the service respond with status 503 without running the request.
 	Fail bool `json:"fail"`
 }
 
-// NewPlain returns a service whose calls take that long.
+// NewPlain returns a service that takes the given delay to run a request.
 func NewPlain(name string, delay time.Duration) *Plain {
 	return &Plain{name: name, delay: delay, runs: map[string]int{}}
 }
 
-// Handler returns the service's HTTP interface; paths under /test belong to tests.
+// Handler returns the service's HTTP handler. Paths under /test are for tests: they inject faults and return counts.
 func (p *Plain) Handler() fasthttp.RequestHandler {
 	r := router.New()
 	r.GET("/test/tally", func(ctx *fasthttp.RequestCtx) { writeJSON(ctx, p.Tally()) })
@@ -43,7 +43,7 @@
 	return r.Handler
 }
 
-// Tally returns how often each request ran, by its idempotency key or else its path.
+// Tally returns how often each request ran, by its idempotency key or, if it has none, by its path.
 func (p *Plain) Tally() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,6 +80,8 @@
 	fmt.Fprintf(ctx, `{"service":%q,"path":%q,"run":%d,"echo":%q}`, p.name, ctx.Path(), count, ctx.PostBody())
 }
 
+// startRun counts a run of the request with that key and applies the faults: with lose its response must be lost, with fail it
+// must not run and has not been counted.
 func (p *Plain) startRun(key string) (count int, lose, fail bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -9,18 +9,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Weights is the weight store: it hands out layers one after another at a limited rate.
+// Weights is a fake weight store. It delivers layers one after another, and all readers share its limited rate.
 type Weights struct {
 	perLayer time.Duration
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// freeAt is when all reserved fetches will be complete.
 	freeAt time.Time
 }
 
-// NewWeights returns a store that needs perLayer for each layer, over all its readers.
+// NewWeights returns a store that takes perLayer to deliver a layer, whoever reads it.
 func NewWeights(perLayer time.Duration) *Weights { return &Weights{perLayer: perLayer} }
 
-// reserve returns the time at which a fetch of that many layers will be complete.
+// reserve queues a fetch of the given number of layers and returns when it will be complete.
 func (w *Weights) reserve(layers int, now time.Time) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -31,7 +32,7 @@
 	return w.freeAt
 }
 
-// Handler returns the store's HTTP interface.
+// Handler returns the store's HTTP handler. It responds when the fetch is complete, without a body.
 func (w *Weights) Handler() fasthttp.RequestHandler {
 	r := router.New()
 	r.GET("/fetch", func(ctx *fasthttp.RequestCtx) {
@@ -41,7 +42,8 @@
 	return r.Handler
 }
 
-// FetchFrom returns a function that blocks until the store at addr has delivered that many layers.
+// FetchFrom returns a function that blocks until the store at addr has delivered the given number of layers; it retries failed
+// fetches without end.
 func FetchFrom(addr string) func(layers int) {
 	client := &fasthttp.Client{ReadTimeout: time.Minute}
 	return func(layers int) {
