--- a/service/doc.go
+++ b/service/doc.go
@@ -1,2 +1,3 @@
-// Package service is the adapter to plain services: it forwards calls and repeats only those that may be repeated.
+// Package service forwards calls to the backend servers of plain services. It retries a call that may already
+// have run only if the settings of the service allow that.
 package service
--- a/service/forward.go
+++ b/service/forward.go
@@ -18,14 +18,15 @@
 
 const (
 	dialTimeout = 300 * time.Millisecond
-	// CallTimeout bounds one call to a plain service.
+	// CallTimeout bounds one attempt of a call to a plain service.
 	CallTimeout = 5 * time.Second
-	maxTries    = 3
+	// maxTries bounds the attempts of one call.
+	maxTries = 3
 )
 
-// Errors of this layer.
+// Errors that Forward returns.
 var (
-	// ErrNeverSent means that no byte of the call left for any backend server.
+	// ErrNeverSent means that no byte of the call was sent to any backend server.
 	ErrNeverSent = errors.New("service: call never sent")
 	// ErrOutcomeUnknown means that a backend server may have run the call.
 	ErrOutcomeUnknown = errors.New("service: outcome unsure")
@@ -34,12 +35,13 @@
 // Forwarder sends calls to the backend servers of plain services.
 type Forwarder struct {
 	stats *metrics.Registry
-	// pooled keeps connections between calls; single opens one for each call, so that a failure to send is certain.
+	// pooled keeps connections between calls; unpooled opens one for each call, so that it is certain
+	// whether a failed call was sent.
 	pooled   *fasthttp.Client
 	unpooled *fasthttp.Client
 }
 
-// New returns a Forwarder.
+// New returns a Forwarder that counts its retries in stats.
 func New(stats *metrics.Registry) *Forwarder {
 	return &Forwarder{stats: stats, pooled: newClient(), unpooled: newClient()}
 }
@@ -50,7 +52,8 @@
 	return client
 }
 
-// Repeatable reports whether the service's settings let the call be repeated.
+// Repeatable reports whether the service's settings allow a retry of the call. The first rule for its method and a prefix of its
+// path decides; without a rule it must not be retried.
 func Repeatable(s *intent.Service, method, path string) bool {
 	for _, c := range s.Calls {
 		if c.Method == method && strings.HasPrefix(path, c.Path) {
@@ -60,9 +63,9 @@
 	return false
 }
 
-// Forward sends the call and fills resp; it returns ErrNeverSent or ErrUnsure.
+// Forward sends the call and fills resp; it returns ErrNeverSent or ErrOutcomeUnknown.
 //
-// A call that may not be repeated goes to another server only after a failure to connect, when no byte has left.
+// A call that must not be retried is sent to another server only after a failure to connect, when no byte was sent.
 func (f *Forwarder) Forward(ctx context.Context, s *intent.Service, req *fasthttp.Request, resp *fasthttp.Response, mayRetry bool) error {
 	start := rand.IntN(len(s.Addrs))
 	sent := false
@@ -88,6 +91,7 @@
 	return ErrNeverSent
 }
 
+// tryOnce sends the call to one server. Calls that must not be retried use a new connection; see Forwarder.
 func (f *Forwarder) tryOnce(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response, mayRetry bool) error {
 	deadline := time.Now().Add(CallTimeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
@@ -100,7 +104,7 @@
 	return f.unpooled.DoDeadline(req, resp, deadline)
 }
 
-// shouldRetry reports whether an answer asks for another try.
+// shouldRetry reports whether a response is a 503 to a call that may be retried.
 func shouldRetry(resp *fasthttp.Response, mayRetry bool) bool {
 	return mayRetry && resp.StatusCode() == fasthttp.StatusServiceUnavailable
 }
@@ -112,6 +116,7 @@
 	return models.RetryTimeout
 }
 
+// wait blocks for the pause; it returns false if ctx ends first.
 func wait(ctx context.Context, pause time.Duration) bool {
 	select {
 	case <-time.After(pause):
