--- a/operator/client.go
+++ b/operator/client.go
@@ -14,28 +14,29 @@
 	"junctioncross/revision"
 )
 
+// clientTimeout is longer than callTimeout, so that the instance ends a slow call first.
 const clientTimeout = 20 * time.Second
 
-// Client calls an instance's operators' listener.
+// Client calls the operators' API of an instance.
 type Client struct {
 	base string
 	http *fasthttp.Client
 }
 
-// NewClient returns a Client of the instance at addr that shows the ring's certificate.
+// NewClient returns a Client of the instance at addr that presents the certificate of certs.
 func NewClient(addr string, certs *keys.CertReloader) *Client {
 	return &Client{base: "https://" + addr, http: &fasthttp.Client{
 		TLSConfig: certs.Client(), MaxIdemponentCallAttempts: 1, MaxResponseBodySize: 64 << 20,
 	}}
 }
 
-// Refused is a failure that the instance reported.
+// Refused is the error for a failure that the instance reported.
 type Refused struct{ failure Failure }
 
-// Failure returns what the instance said.
+// Failure returns the instance's description of the failure.
 func (r *Refused) Failure() Failure { return r.failure }
 
-// Error returns the message with every problem on a line of its own.
+// Error returns the message, followed by a line for each problem and, if the call may have taken effect, one that says so.
 func (r *Refused) Error() string {
 	lines := append([]string{r.failure.Message}, r.failure.Problems...)
 	if !r.failure.Settled {
@@ -44,37 +45,37 @@
 	return strings.Join(lines, "\n  ")
 }
 
-// Intent states an intent; name stands for its file in errors.
+// Intent submits an intent for storage; errors refer to its file by name.
 func (c *Client) Intent(name string, yaml []byte) (IntentAnswer, error) {
 	return request[IntentAnswer](c, fasthttp.MethodPost, "/v1/intents?name="+url.QueryEscape(name), yaml)
 }
 
-// MakePlan makes the plan of an intent.
+// MakePlan has the instance compute and store the plan of an intent.
 func (c *Client) MakePlan(intentID string) (revision.Plan, error) {
 	return request[revision.Plan](c, fasthttp.MethodPost, "/v1/intents/"+intentID+"/plan", nil)
 }
 
-// Plan returns a plan.
+// Plan returns a stored plan.
 func (c *Client) Plan(id string) (revision.Plan, error) {
 	return request[revision.Plan](c, fasthttp.MethodGet, "/v1/plans/"+id, nil)
 }
 
-// Confirm confirms a plan.
+// Confirm confirms a plan, which makes it the accepted configuration, and returns its entry in the history.
 func (c *Client) Confirm(planID string) (revision.Entry, error) {
 	return request[revision.Entry](c, fasthttp.MethodPost, "/v1/plans/"+planID+"/confirm", nil)
 }
 
-// Status returns every instance.
+// Status returns the status of every known instance of the fleet, sorted by name.
 func (c *Client) Status() ([]control.InstanceStatus, error) {
 	return request[[]control.InstanceStatus](c, fasthttp.MethodGet, "/v1/status", nil)
 }
 
-// History returns the confirmed plans, the newest first.
+// History returns the entries of the confirmed plans, the newest first.
 func (c *Client) History() ([]revision.Entry, error) {
 	return request[[]revision.Entry](c, fasthttp.MethodGet, "/v1/history", nil)
 }
 
-// request sends a call and decodes its answer; a reported failure becomes a *Refused.
+// request sends a call and decodes the response; a failure that the instance reports is returned as a *Refused.
 func request[A any](c *Client, method, path string, body []byte) (A, error) {
 	var value A
 	req := fasthttp.AcquireRequest()
--- a/operator/cluster.go
+++ b/operator/cluster.go
@@ -10,21 +10,24 @@
 	"junctioncross/member"
 )
 
+// statusTimeout bounds the query to one instance.
 const statusTimeout = 1500 * time.Millisecond
 
-// Cluster asks every failure domain for the state of its instances.
+// Cluster collects the status of the instances of all failure domains: of its own domain from the control loop, of each other
+// domain from one of its instances.
 type Cluster struct {
 	loop   *control.Loop
 	links  *link.Client
 	domain string
 }
 
-// NewCluster returns a Cluster that stands in a failure domain.
+// NewCluster returns a Cluster for an instance in the given failure domain.
 func NewCluster(loop *control.Loop, links *link.Client, domain string) *Cluster {
 	return &Cluster{loop: loop, links: links, domain: domain}
 }
 
-// Statuses returns every instance that the platform's list or a domain knows, with a note on those that nobody reaches.
+// Statuses returns the status of every instance that the platform's list or any domain knows, sorted by name. If several domains
+// report an instance, the latest status counts; an instance that only the list knows gets a note.
 func (c *Cluster) Statuses(ctx context.Context) []control.InstanceStatus {
 	byName := map[string]control.InstanceStatus{}
 	add := func(all []control.InstanceStatus) {
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,2 +1,3 @@
-// Package operator answers operators: intents, plans, confirmations, status and history over HTTP with mutual TLS.
+// Package operator is the operators' API over HTTP with mutual TLS, server and client: intents, plans and their confirmation,
+// status and history.
 package operator
--- a/operator/failure.go
+++ b/operator/failure.go
@@ -7,16 +7,18 @@
 	"junctioncross/revision"
 )
 
-// Failure is the body of an answer that is not a success.
+// Failure is the body of a response to a failed call.
 type Failure struct {
 	Message string `json:"message"`
-	// Settled is false when the call may have taken effect.
-	Settled  bool             `json:"settled"`
-	Problems []string         `json:"problems,omitempty"`
+	// Settled is false if the call may have taken effect.
+	Settled bool `json:"settled"`
+	// Problems lists why the changes of an intent cannot be applied.
+	Problems []string `json:"problems,omitempty"`
+	// Meantime lists the plans confirmed after the revision on which a refused plan is based.
 	Meantime []revision.Entry `json:"meantime,omitempty"`
 }
 
-// rejection lists why an intent cannot be had.
+// rejection is the error for an intent whose changes cannot be applied, with the reasons.
 type rejection struct{ problems []string }
 
 // Error implements error.
@@ -30,7 +32,7 @@
 	return r
 }
 
-// failureOf returns the status and body that tell an operator of an error.
+// failureOf returns the HTTP status and the response body for an error.
 func failureOf(err error) (int, Failure) {
 	var conflict *revision.ConflictError
 	var rejected *rejection
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -19,9 +19,10 @@
 	"junctioncross/timer"
 )
 
+// callTimeout bounds the work on one call.
 const callTimeout = 15 * time.Second
 
-// Handler answers operators.
+// Handler serves the operators' API.
 type Handler struct {
 	store   *revision.Store
 	keeper  *revision.Keeper
@@ -30,12 +31,12 @@
 	log     *logrus.Logger
 }
 
-// New returns a Handler.
+// New returns a Handler that keeps intents and plans in store and writes to log what operators do.
 func New(store *revision.Store, keeper *revision.Keeper, cluster *Cluster, clock *timer.Service, log *logrus.Logger) *Handler {
 	return &Handler{store: store, keeper: keeper, cluster: cluster, clock: clock, log: log}
 }
 
-// Routes returns the handler of all operators' paths.
+// Routes returns the HTTP handler of the API.
 func (h *Handler) Routes() fasthttp.RequestHandler {
 	r := router.New()
 	r.POST("/v1/intents", h.serve(keys.RoleOperator, h.addIntent))
@@ -47,9 +48,10 @@
 	return r.Handler
 }
 
+// action serves one call of the operator named who and returns the body of the response.
 type action func(ctx context.Context, req *fasthttp.RequestCtx, who string) (any, error)
 
-// serve checks the caller's role, runs the action and writes its result or failure as JSON.
+// serve returns a handler that checks the operator's role, runs the action and writes its result or failure as JSON.
 func (h *Handler) serve(role keys.Role, run action) fasthttp.RequestHandler {
 	return func(req *fasthttp.RequestCtx) {
 		who, err := identify(req)
@@ -70,6 +72,7 @@
 	}
 }
 
+// identify returns the identity in the client certificate.
 func identify(req *fasthttp.RequestCtx) (keys.Identity, error) {
 	state := req.TLSConnectionState()
 	if state == nil || len(state.PeerCertificates) == 0 {
@@ -78,6 +81,7 @@
 	return keys.IdentityOf(state.PeerCertificates[0])
 }
 
+// allowed reports whether a holder of one role may do what needs another: operators may do everything, viewers may read.
 func allowed(have, need keys.Role) bool {
 	return have == keys.RoleOperator || have == keys.RoleViewer && need == keys.RoleViewer
 }
@@ -98,7 +102,7 @@
 	return prefix + hex.EncodeToString(b[:])
 }
 
-// IntentAnswer names a kept intent.
+// IntentAnswer is the response to a submitted intent: its id and a description of each change.
 type IntentAnswer struct {
 	ID      string   `json:"id"`
 	Changes []string `json:"changes"`
