--- a/member/doc.go
+++ b/member/doc.go
@@ -1,3 +1,3 @@
-// Package member keeps the live entry instances and backend servers of a fleet: the platform's lagging list joined with
-// what instances say of themselves and of each other.
+// Package member holds the format of the platform's instance list. It also has the functions by which instances that know the
+// same members agree, without asking each other, on who is responsible for a subject and who exchanges updates with whom.
 package member
--- a/member/listed.go
+++ b/member/listed.go
@@ -3,7 +3,7 @@
 // PathInstances is the path of the platform's instance list.
 const PathInstances = "/instances"
 
-// Role says what an instance is for.
+// Role is the role of an instance in the fleet.
 type Role string
 
 // Roles of instances.
@@ -12,7 +12,7 @@
 	RoleBackend Role = "backend"
 )
 
-// Listed is one line of the platform's instance list.
+// Listed is one entry of the platform's instance list.
 type Listed struct {
 	Name    string `json:"name"`
 	Addr    string `json:"addr"`
--- a/member/rank.go
+++ b/member/rank.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank returns the names in the order in which they are responsible for a subject; every instance that knows the same
-// names computes the same order, and a name that comes or goes moves no other pair.
+// Rank returns the names in the order in which they are responsible for a subject, by rendezvous hashing: every instance that
+// knows the same names computes the same order, and adding or removing a name does not change the order of the others.
 func Rank(names []string, subject string) []string {
 	type scored struct {
 		name  string
@@ -30,7 +30,7 @@
 	return out
 }
 
-// Position returns the place of name in the rank for a subject, counted from zero, or -1.
+// Position returns the index of name in the order that Rank returns for a subject, or -1 if it is not among the names.
 func Position(names []string, subject, name string) int {
 	for i, n := range Rank(names, subject) {
 		if n == name {
@@ -40,8 +40,9 @@
 	return -1
 }
 
-// Neighbours returns the members that an instance exchanges news with: those at distances of powers of two on the ring of
-// hashed names, so that news reaches all in a number of steps that grows with the logarithm of their number.
+// Neighbours returns the members with which an instance exchanges updates: those at distances of powers of two on the ring of
+// hashed names, so that an update reaches all members in a number of hops that grows with the logarithm of their number. For an
+// instance that is not among the names it returns all of them.
 func Neighbours(names []string, self string) []string {
 	ring := Rank(names, "ring")
 	at := -1
