--- a/fault/doc.go
+++ b/fault/doc.go
@@ -1,2 +1,3 @@
-// Package fault puts proxies that lose, delay and cut between the processes of a fleet, for tests and measurements.
+// Package fault holds TCP and UDP proxies that lose, delay or cut off traffic between the processes of a fleet, for tests and
+// benchmarks.
 package fault
--- a/fault/tcp.go
+++ b/fault/tcp.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Toxic is a fault of connections, by the names of the proxy library.
+// Toxic is a fault of the connections of a proxy, in the format of the toxiproxy library, where a fault is called toxic.
 type Toxic struct {
 	Name       string           `json:"name"`
 	Type       string           `json:"type"`
@@ -19,17 +19,17 @@
 	Attributes map[string]int64 `json:"attributes"`
 }
 
-// Latency returns a fault that delays answers, in milliseconds, give or take the jitter.
+// Latency returns a fault that delays responses by ms milliseconds, plus or minus up to jitter milliseconds.
 func Latency(ms, jitter int64) Toxic {
 	return Toxic{Name: "latency", Type: "latency", Stream: "downstream", Toxicity: 1, Attributes: map[string]int64{"latency": ms, "jitter": jitter}}
 }
 
-// Reset returns a fault that closes a share of the connections after some bytes of an answer.
+// Reset returns a fault that closes a share (0 to 1) of the connections after the given number of bytes of the response.
 func Reset(share float32, bytes int64) Toxic {
 	return Toxic{Name: "reset", Type: "limit_data", Stream: "downstream", Toxicity: share, Attributes: map[string]int64{"bytes": bytes}}
 }
 
-// Silence returns a fault that holds back every byte of one direction, "upstream" to the server or "downstream" from it, while
+// Silence returns a fault that drops all data in one direction, "upstream" (to the server) or "downstream" (from it), while
 // connections stay open.
 func Silence(stream string) Toxic {
 	return Toxic{Name: "silence-" + stream, Type: "timeout", Stream: stream, Toxicity: 1, Attributes: map[string]int64{"timeout": 0}}
@@ -40,9 +40,9 @@
 	inner *toxiproxy.Proxy
 }
 
-// NewTCP starts a proxy of the address upstream on a free loopback port.
+// NewTCP starts a proxy for the address upstream, on a free loopback port.
 func NewTCP(upstream string) (*TCP, error) {
-	// The library logs every connection.
+	// The library logs every connection to logrus' standard logger.
 	logrus.SetOutput(io.Discard)
 	p := toxiproxy.NewProxy()
 	p.Name = upstream
@@ -54,10 +54,10 @@
 	return &TCP{inner: p}, nil
 }
 
-// Addr returns the address to connect to.
+// Addr returns the address on which the proxy listens.
 func (t *TCP) Addr() string { return t.inner.Listen }
 
-// Add brings a fault about.
+// Add injects a fault.
 func (t *TCP) Add(toxic Toxic) error {
 	body, err := json.Marshal(toxic)
 	if err != nil {
@@ -67,16 +67,16 @@
 	return errors.Wrap(err, "fault: add")
 }
 
-// Remove ends a fault.
+// Remove ends the fault with the given name.
 func (t *TCP) Remove(name string) error {
 	return errors.Wrap(t.inner.Toxics.RemoveToxic(name), "fault: remove")
 }
 
-// Cut closes every connection and refuses new ones.
+// Cut closes every connection and refuses new ones until Heal.
 func (t *TCP) Cut() { t.inner.Stop() }
 
-// Heal accepts connections again.
+// Heal accepts connections again after Cut.
 func (t *TCP) Heal() error { return errors.Wrap(t.inner.Start(), "fault: heal") }
 
-// Close ends the proxy.
+// Close stops the proxy.
 func (t *TCP) Close() { t.inner.Stop() }
--- a/fault/udp.go
+++ b/fault/udp.go
@@ -9,6 +9,7 @@
 	"github.com/pkg/errors"
 )
 
+// maxDatagram is the size of the receive buffers, in bytes; no UDP datagram is larger.
 const maxDatagram = 64 << 10
 
 // UDP is a proxy in front of one UDP address.
@@ -16,17 +17,18 @@
 	socket   *net.UDPConn
 	upstream *net.UDPAddr
 
-	mu              sync.Mutex
-	random          *rand.Rand
-	loss            float64
-	delay           time.Duration
-	cut             bool
+	mu     sync.Mutex
+	random *rand.Rand
+	loss   float64
+	delay  time.Duration
+	cut    bool
+	// upstreamSockets holds each sender's socket to the upstream, by the sender's address.
 	upstreamSockets map[string]*net.UDPConn
-	// silenced holds the senders whose datagrams are lost for good, in both directions.
+	// silenced holds the addresses of the senders whose datagrams are dropped for good, in both directions.
 	silenced map[string]bool
 }
 
-// NewUDP starts a proxy of the address upstream on a free loopback port; seed makes its losses repeatable.
+// NewUDP starts a proxy for the address upstream, on a free loopback port; the same seed makes the same choice of lost datagrams.
 func NewUDP(upstream string, seed uint64) (*UDP, error) {
 	target, err := net.ResolveUDPAddr("udp4", upstream)
 	if err != nil {
@@ -44,23 +46,24 @@
 	return u, nil
 }
 
-// Addr returns the address to send to.
+// Addr returns the address on which the proxy receives.
 func (u *UDP) Addr() string { return u.socket.LocalAddr().String() }
 
-// Set makes the proxy lose a share of the datagrams and delay the others.
+// Set makes the proxy drop a share (0 to 1) of the datagrams and delay the others.
 func (u *UDP) Set(loss float64, delay time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.loss, u.delay = loss, delay
 }
 
-// Cut loses every datagram until Heal.
+// Cut drops every datagram until Heal.
 func (u *UDP) Cut() { u.setCut(true) }
 
-// Heal ends a cut.
+// Heal ends Cut.
 func (u *UDP) Heal() { u.setCut(false) }
 
-// Silence loses for good whatever belongs to the connections that are open now; those that are opened later work.
+// Silence drops for good the datagrams of all senders that the proxy has seen so far, in both directions: connections from these
+// addresses hang, those from new addresses work.
 func (u *UDP) Silence() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -75,7 +78,7 @@
 	u.cut = cut
 }
 
-// Close ends the proxy.
+// Close stops the proxy.
 func (u *UDP) Close() {
 	_ = u.socket.Close()
 	u.mu.Lock()
@@ -85,7 +88,7 @@
 	}
 }
 
-// deliver sends a datagram on that a sender sent or is to get, late or not at all.
+// deliver calls send for a datagram from or to the sender, at once or after the delay, or drops it.
 func (u *UDP) deliver(sender *net.UDPAddr, send func()) {
 	u.mu.Lock()
 	lost := u.cut || u.silenced[sender.String()] || u.random.Float64() < u.loss
@@ -100,6 +103,7 @@
 	}
 }
 
+// forward passes datagrams of all senders to the upstream until the proxy is closed.
 func (u *UDP) forward() {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -116,7 +120,7 @@
 	}
 }
 
-// upstreamSocket returns the socket that stands for a sender towards the upstream.
+// upstreamSocket returns the sender's socket to the upstream and opens it if it is new.
 func (u *UDP) upstreamSocket(from *net.UDPAddr) (*net.UDPConn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -132,6 +136,7 @@
 	return c, nil
 }
 
+// reverse passes datagrams of the upstream back to a sender until the proxy is closed.
 func (u *UDP) reverse(c *net.UDPConn, to *net.UDPAddr) {
 	buffer := make([]byte, maxDatagram)
 	for {
