--- a/strict/decode.go
+++ b/strict/decode.go
@@ -26,7 +26,7 @@
 	return newError(d.problems)
 }
 
-// location is where the decoder stands: path in Go's names and key in the file's.
+// location is the path of a value: goPath in field names, as the validator names it, and yamlKey in the keys of the file.
 type location struct {
 	goPath  string
 	yamlKey string
@@ -40,12 +40,15 @@
 	return location{goPath: p.goPath + "[" + index + "]", yamlKey: p.yamlKey + "[" + index + "]"}
 }
 
+// decoder decodes one file. Its maps are by goPath.
 type decoder struct {
 	file     string
 	problems []Problem
-	lines    map[string]int
-	keys     map[string]string
-	failed   map[string]bool
+	// lines and keys hold the line and the yamlKey of every value in the file.
+	lines map[string]int
+	keys  map[string]string
+	// failed holds the values that could not be decoded; they are not validated.
+	failed map[string]bool
 }
 
 func (d *decoder) syntax(err error) Problem {
--- a/strict/doc.go
+++ b/strict/doc.go
@@ -1,2 +1,2 @@
-// Package strict decodes YAML into settings types and reports every mistake at once, each with file, line and key.
+// Package strict decodes YAML into structs and reports all mistakes at once, each with file, line and key.
 package strict
--- a/strict/problem.go
+++ b/strict/problem.go
@@ -14,13 +14,13 @@
 	message string
 }
 
-// Line returns the line number, counted from one.
+// Line returns the line number, counted from one; for a missing key, that of the nearest enclosing value.
 func (p Problem) Line() int { return p.line }
 
-// Key returns the path of the key.
+// Key returns the path of the key, such as parts[1].kind.
 func (p Problem) Key() string { return p.key }
 
-// String returns the mistake with its place.
+// String returns the mistake with its file, line and key.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s", p.file, p.line, p.key, p.message)
 }
@@ -30,10 +30,10 @@
 	problems []Problem
 }
 
-// Problems returns the mistakes in order of line.
+// Problems returns the mistakes, sorted by line.
 func (e *Error) Problems() []Problem { return e.problems }
 
-// Error returns one line for each mistake.
+// Error returns a line of text for each mistake.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.problems))
 	for i, p := range e.problems {
--- a/strict/types.go
+++ b/strict/types.go
@@ -8,7 +8,7 @@
 
 func itoa(i int) string { return strconv.Itoa(i) }
 
-// yamlName returns the key of a field, from its yaml tag or else its name in lower case.
+// yamlName returns the key of a field: that of its yaml tag or, without one, its name in lower case.
 func yamlName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
 	if name == "" {
@@ -17,7 +17,7 @@
 	return name
 }
 
-// isKey reports whether the field can stand in a file.
+// isKey reports whether the field is decoded from the file.
 func isKey(f reflect.StructField) bool { return f.IsExported() && f.Tag.Get("yaml") != "-" }
 
 func fieldOf(t reflect.Type, name string) (reflect.StructField, bool) {
@@ -40,6 +40,7 @@
 	return keys
 }
 
+// typeName describes the values that a type accepts, for messages.
 func typeName(t reflect.Type) string {
 	if t == durationType {
 		return "a duration such as 250ms or 2s"
--- a/strict/validate.go
+++ b/strict/validate.go
@@ -27,7 +27,7 @@
 	return err == nil
 }
 
-// validate checks the values and adds a problem for each that is not accepted.
+// validate checks the validate tags and adds a problem for each value that is not accepted.
 func (d *decoder) validate(out any) {
 	err := checker().Struct(out)
 	var fields validator.ValidationErrors
@@ -44,7 +44,8 @@
 	}
 }
 
-// locate returns the line of a path, or that of the nearest key above it when the path is missing from the file.
+// locate returns the line and the key of a Go path. If the path is missing from the file, the line is that of the nearest
+// enclosing value.
 func (d *decoder) locate(path string, root reflect.Type) (line int, key string) {
 	key = yamlPath(path, root)
 	for at := path; at != ""; {
@@ -60,7 +61,7 @@
 	return 1, key
 }
 
-// yamlPath turns a path in Go's names into the file's keys.
+// yamlPath converts a path of Go field names into the keys of the file.
 func yamlPath(path string, t reflect.Type) string {
 	parts := strings.Split(path, ".")[1:]
 	for i, part := range parts {
