--- a/chart/chart.go
+++ b/chart/chart.go
@@ -17,7 +17,7 @@
 // Event is the name of an event.
 type Event string
 
-// Chart is a set of states with the transitions between them.
+// Chart is the definition of a state machine: its states and the transitions between them.
 type Chart struct {
 	name        string
 	initial     State
@@ -25,13 +25,14 @@
 	transitions map[State]map[Event]State
 }
 
+// file is the format of a chart's YAML file.
 type file struct {
 	Initial     State                     `yaml:"initial"`
 	Final       []State                   `yaml:"final"`
 	Transitions map[State]map[Event]State `yaml:"transitions"`
 }
 
-// Load reads the chart of that name from the embedded files and checks it.
+// Load reads the embedded chart of the given name and validates it.
 func Load(name string) (*Chart, error) {
 	body, err := files.ReadFile(name + ".yaml")
 	if err != nil {
@@ -40,7 +41,7 @@
 	return Parse(name, body)
 }
 
-// MustLoad is Load for charts that ship with the program; it panics when the chart is broken.
+// MustLoad is Load for charts that a test has validated; it panics if the chart is missing or invalid.
 func MustLoad(name string) *Chart {
 	c, err := Load(name)
 	if err != nil {
@@ -59,7 +60,8 @@
 	return names
 }
 
-// Parse reads a chart and returns an error for states that cannot be reached or left.
+// Parse decodes a chart from YAML and validates it: every state must be reachable, and those without transitions must be exactly
+// the final ones.
 func Parse(name string, body []byte) (*Chart, error) {
 	var f file
 	if err := yaml.UnmarshalWithOptions(body, &f, yaml.Strict()); err != nil {
@@ -98,6 +100,7 @@
 	return nil
 }
 
+// reachable returns the states that can be reached from the initial one.
 func (c *Chart) reachable() map[State]bool {
 	seen := map[State]bool{c.initial: true}
 	queue := []State{c.initial}
@@ -113,13 +116,13 @@
 	return seen
 }
 
-// Machine is one run through a chart.
+// Machine is a state machine: a chart and its current state. It is not safe for concurrent use.
 type Machine struct {
 	chart *Chart
 	state State
 }
 
-// New returns a Machine in the chart's initial state.
+// New returns a Machine in the initial state of the chart.
 func New(c *Chart) *Machine { return &Machine{chart: c, state: c.initial} }
 
 // State returns the current state.
@@ -128,13 +131,13 @@
 // Done reports whether the state is final.
 func (m *Machine) Done() bool { return m.chart.final[m.state] }
 
-// Can reports whether the event has a transition from the current state.
+// Can reports whether the current state has a transition for the event.
 func (m *Machine) Can(e Event) bool {
 	_, ok := m.chart.transitions[m.state][e]
 	return ok
 }
 
-// Fire moves along the event's transition; the error says that there is none.
+// Fire changes to the state to which the event leads; if there is no transition for it, it returns an error and keeps the state.
 func (m *Machine) Fire(e Event) error {
 	to, ok := m.chart.transitions[m.state][e]
 	if !ok {
--- a/chart/doc.go
+++ b/chart/doc.go
@@ -1,2 +1,2 @@
-// Package chart interprets the state charts that stand in YAML files beside the code.
+// Package chart runs state machines whose states and transitions (state charts) are defined in the YAML files of this folder.
 package chart
