--- a/fault/udp.go
+++ b/fault/udp.go
@@ -9,24 +9,26 @@
 	"github.com/pkg/errors"
 )
 
-const datagram = 64 << 10
+// maxDatagram is the size of the receive buffers, in bytes; no UDP datagram is larger.
+const maxDatagram = 64 << 10
 
 // UDP is a proxy in front of one UDP address.
 type UDP struct {
 	socket   *net.UDPConn
 	upstream *net.UDPAddr
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	loss    float64
-	delay   time.Duration
-	cut     bool
-	clients map[string]*net.UDPConn
-	// silent holds the senders whose datagrams are lost for good, in both directions.
-	silent map[string]bool
+	mu     sync.Mutex
+	random *rand.Rand
+	loss   float64
+	delay  time.Duration
+	cut    bool
+	// upstreamSockets holds each sender's socket to the upstream, by the sender's address.
+	upstreamSockets map[string]*net.UDPConn
+	// silenced holds the addresses of the senders whose datagrams are dropped for good, in both directions.
+	silenced map[string]bool
 }
 
-// NewUDP starts a proxy of the address upstream on a free loopback port; seed makes its losses repeatable.
+// NewUDP starts a proxy for the address upstream, on a free loopback port; the same seed makes the same choice of lost datagrams.
 func NewUDP(upstream string, seed uint64) (*UDP, error) {
 	target, err := net.ResolveUDPAddr("udp4", upstream)
 	if err != nil {
@@ -36,33 +38,37 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "fault: listen")
 	}
-	u := &UDP{socket: socket, upstream: target, random: rand.New(rand.NewPCG(seed, seed)), clients: map[string]*net.UDPConn{}, silent: map[string]bool{}}
+	u := &UDP{
+		socket: socket, upstream: target, random: rand.New(rand.NewPCG(seed, seed)),
+		upstreamSockets: map[string]*net.UDPConn{}, silenced: map[string]bool{},
+	}
 	go func() { u.forward() }()
 	return u, nil
 }
 
-// Addr returns the address to send to.
+// Addr returns the address on which the proxy receives.
 func (u *UDP) Addr() string { return u.socket.LocalAddr().String() }
 
-// Set makes the proxy lose a share of the datagrams and delay the others.
+// Set makes the proxy drop a share (0 to 1) of the datagrams and delay the others.
 func (u *UDP) Set(loss float64, delay time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.loss, u.delay = loss, delay
 }
 
-// Cut loses every datagram until Heal.
+// Cut drops every datagram until Heal.
 func (u *UDP) Cut() { u.setCut(true) }
 
-// Heal ends a cut.
+// Heal ends Cut.
 func (u *UDP) Heal() { u.setCut(false) }
 
-// Silence loses for good whatever belongs to the connections that are open now; those that are opened later work.
+// Silence drops for good the datagrams of all senders that the proxy has seen so far, in both directions: connections from these
+// addresses hang, those from new addresses work.
 func (u *UDP) Silence() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for sender := range u.clients {
-		u.silent[sender] = true
+	for sender := range u.upstreamSockets {
+		u.silenced[sender] = true
 	}
 }
 
@@ -72,20 +78,20 @@
 	u.cut = cut
 }
 
-// Close ends the proxy.
+// Close stops the proxy.
 func (u *UDP) Close() {
 	_ = u.socket.Close()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, c := range u.clients {
+	for _, c := range u.upstreamSockets {
 		_ = c.Close()
 	}
 }
 
-// pass sends a datagram on that a sender sent or is to get, late or not at all.
-func (u *UDP) pass(sender *net.UDPAddr, send func()) {
+// deliver calls send for a datagram from or to the sender, at once or after the delay, or drops it.
+func (u *UDP) deliver(sender *net.UDPAddr, send func()) {
 	u.mu.Lock()
-	lost := u.cut || u.silent[sender.String()] || u.random.Float64() < u.loss
+	lost := u.cut || u.silenced[sender.String()] || u.random.Float64() < u.loss
 	delay := u.delay
 	u.mu.Unlock()
 	switch {
@@ -97,40 +103,42 @@
 	}
 }
 
+// forward passes datagrams of all senders to the upstream until the proxy is closed.
 func (u *UDP) forward() {
-	buffer := make([]byte, datagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := u.socket.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
-		client, err := u.client(from)
+		socket, err := u.upstreamSocket(from)
 		if err != nil {
 			continue
 		}
 		body := append([]byte(nil), buffer[:n]...)
-		u.pass(from, func() { _, _ = client.Write(body) })
+		u.deliver(from, func() { _, _ = socket.Write(body) })
 	}
 }
 
-// client returns the socket that stands for a sender towards the upstream.
-func (u *UDP) client(from *net.UDPAddr) (*net.UDPConn, error) {
+// upstreamSocket returns the sender's socket to the upstream and opens it if it is new.
+func (u *UDP) upstreamSocket(from *net.UDPAddr) (*net.UDPConn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if c := u.clients[from.String()]; c != nil {
+	if c := u.upstreamSockets[from.String()]; c != nil {
 		return c, nil
 	}
 	c, err := net.DialUDP("udp4", nil, u.upstream)
 	if err != nil {
 		return nil, err
 	}
-	u.clients[from.String()] = c
-	go func() { u.backward(c, from) }()
+	u.upstreamSockets[from.String()] = c
+	go func() { u.reverse(c, from) }()
 	return c, nil
 }
 
-func (u *UDP) backward(c *net.UDPConn, to *net.UDPAddr) {
-	buffer := make([]byte, datagram)
+// reverse passes datagrams of the upstream back to a sender until the proxy is closed.
+func (u *UDP) reverse(c *net.UDPConn, to *net.UDPAddr) {
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, err := c.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -140,6 +148,6 @@
 			continue
 		}
 		body := append([]byte(nil), buffer[:n]...)
-		u.pass(to, func() { _, _ = u.socket.WriteToUDP(body, to) })
+		u.deliver(to, func() { _, _ = u.socket.WriteToUDP(body, to) })
 	}
 }
--- a/operator/cluster.go
+++ b/operator/cluster.go
@@ -10,21 +10,24 @@
 	"junctioncross/member"
 )
 
+// statusTimeout bounds the query to one instance.
 const statusTimeout = 1500 * time.Millisecond
 
-// Cluster asks every failure domain for the state of its instances.
+// Cluster collects the status of the instances of all failure domains: of its own domain from the control loop, of each other
+// domain from one of its instances.
 type Cluster struct {
 	loop   *control.Loop
 	links  *link.Client
 	domain string
 }
 
-// NewCluster returns a Cluster that stands in a failure domain.
+// NewCluster returns a Cluster for an instance in the given failure domain.
 func NewCluster(loop *control.Loop, links *link.Client, domain string) *Cluster {
 	return &Cluster{loop: loop, links: links, domain: domain}
 }
 
-// Statuses returns every instance that the platform's list or a domain knows, with a note on those that nobody reaches.
+// Statuses returns the status of every instance that the platform's list or any domain knows, sorted by name. If several domains
+// report an instance, the latest status counts; an instance that only the list knows gets a note.
 func (c *Cluster) Statuses(ctx context.Context) []control.InstanceStatus {
 	byName := map[string]control.InstanceStatus{}
 	add := func(all []control.InstanceStatus) {
@@ -36,32 +39,32 @@
 	}
 	add(c.loop.Statuses())
 	listed := c.loop.Listed()
-	asked := map[string]bool{c.domain: true}
-	for _, line := range listed {
-		if line.Role != member.RoleEntry || asked[line.Domain] {
+	answered := map[string]bool{c.domain: true}
+	for _, l := range listed {
+		if l.Role != member.RoleEntry || answered[l.Domain] {
 			continue
 		}
-		all, err := c.askOne(ctx, line.Addr)
+		all, err := c.queryStatuses(ctx, l.Addr)
 		if err == nil {
-			asked[line.Domain] = true
+			answered[l.Domain] = true
 			add(all)
 		}
 	}
-	for _, line := range listed {
-		if _, ok := byName[line.Name]; !ok && line.Role == member.RoleEntry {
-			byName[line.Name] = control.InstanceStatus{Name: line.Name, Domain: line.Domain, Addr: line.Addr, Note: "not reached"}
+	for _, l := range listed {
+		if _, ok := byName[l.Name]; !ok && l.Role == member.RoleEntry {
+			byName[l.Name] = control.InstanceStatus{Name: l.Name, Domain: l.Domain, Addr: l.Addr, Note: "not reached"}
 		}
 	}
-	return sorted(byName)
+	return sortedByName(byName)
 }
 
-func (c *Cluster) askOne(ctx context.Context, addr string) ([]control.InstanceStatus, error) {
+func (c *Cluster) queryStatuses(ctx context.Context, addr string) ([]control.InstanceStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return link.Call[struct{}, []control.InstanceStatus](ctx, c.links, addr, link.KindStatus, struct{}{})
 }
 
-func sorted(byName map[string]control.InstanceStatus) []control.InstanceStatus {
+func sortedByName(byName map[string]control.InstanceStatus) []control.InstanceStatus {
 	out := make([]control.InstanceStatus, 0, len(byName))
 	for _, s := range byName {
 		out = append(out, s)
--- a/operator/failure.go
+++ b/operator/failure.go
@@ -7,22 +7,24 @@
 	"junctioncross/revision"
 )
 
-// Failure is the body of an answer that is not a success.
+// Failure is the body of a response to a failed call.
 type Failure struct {
 	Message string `json:"message"`
-	// Settled is false when the call may have taken effect.
-	Settled  bool             `json:"settled"`
-	Problems []string         `json:"problems,omitempty"`
+	// Settled is false if the call may have taken effect.
+	Settled bool `json:"settled"`
+	// Problems lists why the changes of an intent cannot be applied.
+	Problems []string `json:"problems,omitempty"`
+	// Meantime lists the plans confirmed after the revision on which a refused plan is based.
 	Meantime []revision.Entry `json:"meantime,omitempty"`
 }
 
-// rejection lists why an intent cannot be had.
+// rejection is the error for an intent whose changes cannot be applied, with the reasons.
 type rejection struct{ problems []string }
 
 // Error implements error.
 func (r *rejection) Error() string { return "the intent cannot be had" }
 
-func reject(problems []error) error {
+func newRejection(problems []error) error {
 	r := &rejection{}
 	for _, p := range problems {
 		r.problems = append(r.problems, p.Error())
@@ -30,8 +32,8 @@
 	return r
 }
 
-// describe returns the status and body that tell an operator of an error.
-func describe(err error) (int, Failure) {
+// failureOf returns the HTTP status and the response body for an error.
+func failureOf(err error) (int, Failure) {
 	var conflict *revision.ConflictError
 	var rejected *rejection
 	switch {
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -19,9 +19,10 @@
 	"junctioncross/timer"
 )
 
-const callLimit = 15 * time.Second
+// callTimeout bounds the work on one call.
+const callTimeout = 15 * time.Second
 
-// Handler answers operators.
+// Handler serves the operators' API.
 type Handler struct {
 	store   *revision.Store
 	keeper  *revision.Keeper
@@ -30,12 +31,12 @@
 	log     *logrus.Logger
 }
 
-// New returns a Handler.
+// New returns a Handler that keeps intents and plans in store and writes to log what operators do.
 func New(store *revision.Store, keeper *revision.Keeper, cluster *Cluster, clock *timer.Service, log *logrus.Logger) *Handler {
 	return &Handler{store: store, keeper: keeper, cluster: cluster, clock: clock, log: log}
 }
 
-// Routes returns the handler of all operators' paths.
+// Routes returns the HTTP handler of the API.
 func (h *Handler) Routes() fasthttp.RequestHandler {
 	r := router.New()
 	r.POST("/v1/intents", h.serve(keys.RoleOperator, h.addIntent))
@@ -47,9 +48,10 @@
 	return r.Handler
 }
 
+// action serves one call of the operator named who and returns the body of the response.
 type action func(ctx context.Context, req *fasthttp.RequestCtx, who string) (any, error)
 
-// serve checks the caller's role, runs the action and writes its result or failure as JSON.
+// serve returns a handler that checks the operator's role, runs the action and writes its result or failure as JSON.
 func (h *Handler) serve(role keys.Role, run action) fasthttp.RequestHandler {
 	return func(req *fasthttp.RequestCtx) {
 		who, err := identify(req)
@@ -57,11 +59,11 @@
 			write(req, fasthttp.StatusForbidden, Failure{Message: "this certificate may not do that", Settled: true})
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		value, err := run(ctx, req, who.Name())
 		if err != nil {
-			status, failure := describe(err)
+			status, failure := failureOf(err)
 			h.log.WithField("operator", who.Name()).WithField("path", string(req.Path())).WithError(err).Info("operator refused")
 			write(req, status, failure)
 			return
@@ -70,6 +72,7 @@
 	}
 }
 
+// identify returns the identity in the client certificate.
 func identify(req *fasthttp.RequestCtx) (keys.Identity, error) {
 	state := req.TLSConnectionState()
 	if state == nil || len(state.PeerCertificates) == 0 {
@@ -78,6 +81,7 @@
 	return keys.IdentityOf(state.PeerCertificates[0])
 }
 
+// allowed reports whether a holder of one role may do what needs another: operators may do everything, viewers may read.
 func allowed(have, need keys.Role) bool {
 	return have == keys.RoleOperator || have == keys.RoleViewer && need == keys.RoleViewer
 }
@@ -98,7 +102,7 @@
 	return prefix + hex.EncodeToString(b[:])
 }
 
-// IntentAnswer names a kept intent.
+// IntentAnswer is the response to a submitted intent: its id and a description of each change.
 type IntentAnswer struct {
 	ID      string   `json:"id"`
 	Changes []string `json:"changes"`
@@ -117,10 +121,10 @@
 	if err := h.store.AddIntent(ctx, i); err != nil {
 		return nil, err
 	}
-	return IntentAnswer{ID: i.ID, Changes: describeAll(changes)}, nil
+	return IntentAnswer{ID: i.ID, Changes: describeChanges(changes)}, nil
 }
 
-func describeAll(changes []intent.Change) []string {
+func describeChanges(changes []intent.Change) []string {
 	out := make([]string, len(changes))
 	for i, c := range changes {
 		out[i] = intent.Describe(c)
@@ -129,11 +133,11 @@
 }
 
 func (h *Handler) addPlan(ctx context.Context, req *fasthttp.RequestCtx, who string) (any, error) {
-	kept, err := h.store.Intent(ctx, req.UserValue("id").(string))
+	stored, err := h.store.Intent(ctx, req.UserValue("id").(string))
 	if err != nil {
 		return nil, err
 	}
-	why, changes, err := intent.Parse(kept.ID, []byte(kept.YAML))
+	why, changes, err := intent.Parse(stored.ID, []byte(stored.YAML))
 	if err != nil {
 		return nil, err
 	}
@@ -147,12 +151,12 @@
 	}
 	after, problems := intent.Apply(before, changes)
 	if len(problems) > 0 {
-		return nil, reject(problems)
+		return nil, newRejection(problems)
 	}
 	placed, effects := plan.Place(after)
 	p := revision.Plan{
-		ID: newID("p-"), Intent: kept.ID, Base: head.Revision, Why: why, Who: who, Created: h.clock.Now().UTC(),
-		Changes: describeAll(changes), Effects: append(effects, plan.Compare(before, placed)...),
+		ID: newID("p-"), Intent: stored.ID, Base: head.Revision, Why: why, Who: who, Created: h.clock.Now().UTC(),
+		Changes: describeChanges(changes), Effects: append(effects, plan.Compare(before, placed)...),
 	}
 	return h.store.AddPlan(ctx, p, head, placed)
 }
--- a/service/forward.go
+++ b/service/forward.go
@@ -18,30 +18,32 @@
 
 const (
 	dialTimeout = 300 * time.Millisecond
-	// CallTimeout bounds one call to a plain service.
+	// CallTimeout bounds one attempt of a call to a plain service.
 	CallTimeout = 5 * time.Second
-	maxTries    = 3
+	// maxTries bounds the attempts of one call.
+	maxTries = 3
 )
 
-// Errors of this layer.
+// Errors that Forward returns.
 var (
-	// ErrNeverSent means that no byte of the call left for any backend server.
+	// ErrNeverSent means that no byte of the call was sent to any backend server.
 	ErrNeverSent = errors.New("service: call never sent")
-	// ErrUnsure means that a backend server may have run the call.
-	ErrUnsure = errors.New("service: outcome unsure")
+	// ErrOutcomeUnknown means that a backend server may have run the call.
+	ErrOutcomeUnknown = errors.New("service: outcome unsure")
 )
 
 // Forwarder sends calls to the backend servers of plain services.
 type Forwarder struct {
 	stats *metrics.Registry
-	// reusing keeps connections between calls; single opens one for each call, so that a failure to send is certain.
-	reusing *fasthttp.Client
-	single  *fasthttp.Client
+	// pooled keeps connections between calls; unpooled opens one for each call, so that it is certain
+	// whether a failed call was sent.
+	pooled   *fasthttp.Client
+	unpooled *fasthttp.Client
 }
 
-// New returns a Forwarder.
+// New returns a Forwarder that counts its retries in stats.
 func New(stats *metrics.Registry) *Forwarder {
-	return &Forwarder{stats: stats, reusing: newClient(), single: newClient()}
+	return &Forwarder{stats: stats, pooled: newClient(), unpooled: newClient()}
 }
 
 func newClient() *fasthttp.Client {
@@ -50,7 +52,8 @@
 	return client
 }
 
-// Repeatable reports whether the service's settings let the call be repeated.
+// Repeatable reports whether the service's settings allow a retry of the call. The first rule for its method and a prefix of its
+// path decides; without a rule it must not be retried.
 func Repeatable(s *intent.Service, method, path string) bool {
 	for _, c := range s.Calls {
 		if c.Method == method && strings.HasPrefix(path, c.Path) {
@@ -60,58 +63,60 @@
 	return false
 }
 
-// Forward sends the call and fills resp; it returns ErrNeverSent or ErrUnsure.
+// Forward sends the call and fills resp; it returns ErrNeverSent or ErrOutcomeUnknown.
 //
-// A call that may not be repeated goes to another server only after a failure to connect, when no byte has left.
-func (f *Forwarder) Forward(ctx context.Context, s *intent.Service, req *fasthttp.Request, resp *fasthttp.Response, repeatable bool) error {
+// A call that must not be retried is sent to another server only after a failure to connect, when no byte was sent.
+func (f *Forwarder) Forward(ctx context.Context, s *intent.Service, req *fasthttp.Request, resp *fasthttp.Response, mayRetry bool) error {
 	start := rand.IntN(len(s.Addrs))
 	sent := false
 	for try := range min(maxTries, max(len(s.Addrs), 2)) {
 		req.SetHost(s.Addrs[(start+try)%len(s.Addrs)])
-		err := f.once(ctx, req, resp, repeatable)
-		if err == nil && !retryable(resp, repeatable) {
+		err := f.tryOnce(ctx, req, resp, mayRetry)
+		if err == nil && !shouldRetry(resp, mayRetry) {
 			return nil
 		}
 		neverSent := err != nil && once.NeverSent(err)
 		sent = sent || !neverSent
-		if !repeatable && sent {
-			return errors.Wrap(ErrUnsure, err.Error())
+		if !mayRetry && sent {
+			return errors.Wrap(ErrOutcomeUnknown, err.Error())
 		}
-		f.stats.Retried(reasonOf(neverSent))
+		f.stats.Retried(retryReason(neverSent))
 		if !wait(ctx, retry.Pause(try, rand.Float64())) {
 			break
 		}
 	}
 	if sent {
-		return ErrUnsure
+		return ErrOutcomeUnknown
 	}
 	return ErrNeverSent
 }
 
-func (f *Forwarder) once(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response, repeatable bool) error {
+// tryOnce sends the call to one server. Calls that must not be retried use a new connection; see Forwarder.
+func (f *Forwarder) tryOnce(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response, mayRetry bool) error {
 	deadline := time.Now().Add(CallTimeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
-	if repeatable {
-		return f.reusing.DoDeadline(req, resp, deadline)
+	if mayRetry {
+		return f.pooled.DoDeadline(req, resp, deadline)
 	}
 	req.SetConnectionClose()
-	return f.single.DoDeadline(req, resp, deadline)
+	return f.unpooled.DoDeadline(req, resp, deadline)
 }
 
-// retryable reports whether an answer asks for another try.
-func retryable(resp *fasthttp.Response, repeatable bool) bool {
-	return repeatable && resp.StatusCode() == fasthttp.StatusServiceUnavailable
+// shouldRetry reports whether a response is a 503 to a call that may be retried.
+func shouldRetry(resp *fasthttp.Response, mayRetry bool) bool {
+	return mayRetry && resp.StatusCode() == fasthttp.StatusServiceUnavailable
 }
 
-func reasonOf(neverSent bool) models.Reason {
+func retryReason(neverSent bool) models.Reason {
 	if neverSent {
 		return models.RetryUnreachable
 	}
 	return models.RetryTimeout
 }
 
+// wait blocks for the pause; it returns false if ctx ends first.
 func wait(ctx context.Context, pause time.Duration) bool {
 	select {
 	case <-time.After(pause):
--- a/strict/validate.go
+++ b/strict/validate.go
@@ -27,7 +27,7 @@
 	return err == nil
 }
 
-// validate checks the values and adds a problem for each that is not accepted.
+// validate checks the validate tags and adds a problem for each value that is not accepted.
 func (d *decoder) validate(out any) {
 	err := checker().Struct(out)
 	var fields validator.ValidationErrors
@@ -39,13 +39,14 @@
 		if d.failed[path] {
 			continue
 		}
-		line, key := d.find(path, reflect.TypeOf(out).Elem())
-		d.problems = append(d.problems, Problem{file: d.file, line: line, key: key, message: accepted(f)})
+		line, key := d.locate(path, reflect.TypeOf(out).Elem())
+		d.problems = append(d.problems, Problem{file: d.file, line: line, key: key, message: problemMessage(f)})
 	}
 }
 
-// find returns the line of a path, or that of the nearest key above it when the path is missing from the file.
-func (d *decoder) find(path string, root reflect.Type) (line int, key string) {
+// locate returns the line and the key of a Go path. If the path is missing from the file, the line is that of the nearest
+// enclosing value.
+func (d *decoder) locate(path string, root reflect.Type) (line int, key string) {
 	key = yamlPath(path, root)
 	for at := path; at != ""; {
 		if n, ok := d.lines[at]; ok {
@@ -60,7 +61,7 @@
 	return 1, key
 }
 
-// yamlPath turns a path in Go's names into the file's keys.
+// yamlPath converts a path of Go field names into the keys of the file.
 func yamlPath(path string, t reflect.Type) string {
 	parts := strings.Split(path, ".")[1:]
 	for i, part := range parts {
@@ -82,7 +83,7 @@
 	return strings.Join(parts, ".")
 }
 
-func accepted(f validator.FieldError) string {
+func problemMessage(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required", "required_with", "required_if":
 		return "is missing"
