--- a/control/exchange.go
+++ b/control/exchange.go
@@ -16,44 +16,44 @@
 
 const (
 	exchangeTimeout = 1500 * time.Millisecond
-	// strangerShare is how many exchanges there are for one with an unknown instance, while there are any.
-	strangerShare = 2
-	// strangersAtOnce bounds the unknown instances that are asked when the list has been read.
-	strangersAtOnce = 3
+	// exchangesPerUnknown is the number of exchanges of which, on average, one goes to an unknown instance while there are any.
+	exchangesPerUnknown = 2
+	// maxUnknownAtOnce is the maximum number of unknown instances that are contacted each time the platform's list has been read.
+	maxUnknownAtOnce = 3
 )
 
 var errOtherDomain = errors.New("control: caller stands in another domain")
 
-// Register adds the handlers of the calls that other instances make.
+// Register adds the handlers for the calls of other instances.
 func (l *Loop) Register(m *link.Mux) {
 	link.Handle(m, link.KindExchange, l.serveExchange)
 	link.Handle(m, link.KindUpdates, l.serveUpdates)
 	link.Handle(m, link.KindHead, l.serveHead)
-	link.Handle(m, link.KindNews, l.serveNews)
+	link.Handle(m, link.KindNews, l.serveNewerHead)
 	link.Handle(m, link.KindSegment, l.serveSegment)
-	link.Handle(m, link.KindStatus, func(context.Context, keys.Identity, none) ([]InstanceStatus, error) {
+	link.Handle(m, link.KindStatus, func(context.Context, keys.Identity, empty) ([]InstanceStatus, error) {
 		return l.Statuses(), nil
 	})
 }
 
-func (l *Loop) serveExchange(_ context.Context, from keys.Identity, q exchangeQuestion) (exchangeAnswer, error) {
+func (l *Loop) serveExchange(_ context.Context, from keys.Identity, request exchangeRequest) (exchangeResponse, error) {
 	if from.Domain() != l.self.Domain {
-		return exchangeAnswer{}, errOtherDomain
+		return exchangeResponse{}, errOtherDomain
 	}
-	return ask(l, func(answer chan exchangeAnswer) message {
-		return exchangeAsked{digest: q.Digest, answer: answer}
+	return ask(l, func(answer chan exchangeResponse) message {
+		return exchangeAsked{digest: request.Digest, answer: answer}
 	}), nil
 }
 
-func (l *Loop) serveUpdates(_ context.Context, from keys.Identity, q updatesQuestion) (none, error) {
+func (l *Loop) serveUpdates(_ context.Context, from keys.Identity, request updatesRequest) (empty, error) {
 	if from.Domain() != l.self.Domain {
-		return none{}, errOtherDomain
+		return empty{}, errOtherDomain
 	}
-	l.post(updatesArrived{updates: q.Updates})
-	return none{}, nil
+	l.post(updatesArrived{updates: request.Updates})
+	return empty{}, nil
 }
 
-func (l *Loop) serveHead(context.Context, keys.Identity, none) (revision.Head, error) {
+func (l *Loop) serveHead(context.Context, keys.Identity, empty) (revision.Head, error) {
 	f := l.deps.Keeper.InForce()
 	if f == nil {
 		return revision.Head{}, errors.New("control: no configuration")
@@ -61,13 +61,13 @@
 	return f.Head(), nil
 }
 
-func (l *Loop) serveNews(_ context.Context, _ keys.Identity, q newsQuestion) (newsAnswer, error) {
+func (l *Loop) serveNewerHead(_ context.Context, _ keys.Identity, request newerHeadRequest) (newerHeadResponse, error) {
 	f := l.deps.Keeper.InForce()
-	if f == nil || f.Head().Revision <= q.Above {
-		return newsAnswer{}, nil
+	if f == nil || f.Head().Revision <= request.Above {
+		return newerHeadResponse{}, nil
 	}
 	head := f.Head()
-	return newsAnswer{Head: &head}, nil
+	return newerHeadResponse{Head: &head}, nil
 }
 
 func (l *Loop) serveSegment(_ context.Context, _ keys.Identity, hash string) ([]byte, error) {
@@ -78,29 +78,30 @@
 	return body, nil
 }
 
-// startExchange exchanges news with a neighbour, or with an instance that the platform lists but nobody here has heard of:
-// two groups of instances that started apart would otherwise never meet.
+// startExchange exchanges updates with a neighbour, or with an instance that the platform lists but gossip has not made known
+// yet: otherwise two groups of instances that started separately would never learn of each other.
 func (l *Loop) startExchange() {
 	addrs := l.neighbourAddrs()
-	if strangers := l.strangerAddrs(); len(strangers) > 0 && rand.IntN(strangerShare) == 0 {
-		addrs = strangers
+	if unknown := l.unknownAddrs(); len(unknown) > 0 && rand.IntN(exchangesPerUnknown) == 0 {
+		addrs = unknown
 	}
 	if len(addrs) > 0 {
 		l.exchange(addrs[rand.IntN(len(addrs))])
 	}
 }
 
-// meetStrangers exchanges news at once with some listed instances that are not known yet.
-func (l *Loop) meetStrangers() {
-	addrs := l.strangerAddrs()
+// exchangeWithUnknown exchanges updates with some unknown instances immediately.
+func (l *Loop) exchangeWithUnknown() {
+	addrs := l.unknownAddrs()
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-	for _, addr := range addrs[:min(len(addrs), strangersAtOnce)] {
+	for _, addr := range addrs[:min(len(addrs), maxUnknownAtOnce)] {
 		l.exchange(addr)
 	}
 }
 
-// strangerAddrs returns the listed instances of the domain that are not among the known ones.
-func (l *Loop) strangerAddrs() []string {
+// unknownAddrs returns the addresses of unknown instances of the domain: the platform lists them, but no status of them has
+// arrived.
+func (l *Loop) unknownAddrs() []string {
 	var out []string
 	for _, line := range l.listed {
 		_, known := l.members.statuses[line.Name]
@@ -111,14 +112,14 @@
 	return out
 }
 
-// exchangeWithAll spreads news at once instead of at the next ticks.
+// exchangeWithAll exchanges updates with all neighbours immediately instead of at the next ticks.
 func (l *Loop) exchangeWithAll() {
 	for _, addr := range l.neighbourAddrs() {
 		l.exchange(addr)
 	}
 }
 
-// neighbourAddrs returns the addresses to exchange news with; an instance that knows no other asks its seeds.
+// neighbourAddrs returns the addresses of the neighbours, or one seed address if this instance knows no other instance.
 func (l *Loop) neighbourAddrs() []string {
 	var out []string
 	for _, n := range l.members.neighbours {
@@ -132,9 +133,9 @@
 	return l.seedAddr()
 }
 
-// seedAddr returns one address from the settings or the platform's list.
+// seedAddr returns a random address from the settings and the platform's list, as a slice of at most one element.
 func (l *Loop) seedAddr() []string {
-	out := l.strangerAddrs()
+	out := l.unknownAddrs()
 	for _, addr := range l.self.Seeds {
 		if addr != l.self.PeerAddr {
 			out = append(out, addr)
@@ -146,13 +147,13 @@
 	return []string{out[rand.IntN(len(out))]}
 }
 
-// exchange asks one instance for news and then tells it what it lacks.
+// exchange requests updates from one instance and then sends it those that it lacks.
 func (l *Loop) exchange(addr string) {
 	digest := l.table.Digest()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 		defer cancel()
-		a, err := link.Call[exchangeQuestion, exchangeAnswer](ctx, l.deps.Links, addr, link.KindExchange, exchangeQuestion{Digest: digest})
+		a, err := link.Call[exchangeRequest, exchangeResponse](ctx, l.deps.Links, addr, link.KindExchange, exchangeRequest{Digest: digest})
 		if err != nil {
 			l.deps.Stats.Counter("exchanges_failed_total").Inc(1)
 			return
@@ -164,13 +165,13 @@
 	}()
 }
 
-// push sends what the holder of a digest lacks.
+// push sends an instance the updates that its digest shows to be missing.
 func (l *Loop) push(ctx context.Context, addr string, theirs gossip.Digest) {
 	updates := ask(l, func(answer chan []gossip.Update) message { return deltaAsked{digest: theirs, answer: answer} })
 	if len(updates) == 0 {
 		return
 	}
-	if _, err := link.Call[updatesQuestion, none](ctx, l.deps.Links, addr, link.KindUpdates, updatesQuestion{Updates: updates}); err != nil {
+	if _, err := link.Call[updatesRequest, empty](ctx, l.deps.Links, addr, link.KindUpdates, updatesRequest{Updates: updates}); err != nil {
 		l.deps.Stats.Counter("exchanges_failed_total").Inc(1)
 	}
 }
--- a/follow/era.go
+++ b/follow/era.go
@@ -2,15 +2,16 @@
 
 import "github.com/sirupsen/logrus"
 
-// noteEra keeps how far a feed is known, and reports whether the store has lost writes since. It lacks entries of live servers then until these
-// write them again, as after an outage in which the entries lapsed, and ends under requests until instances do.
-func (l *Loop) noteEra(feed Feed, at Position) bool {
-	was := l.at[feed]
-	l.at[feed] = max(was, at)
+// notePosition records up to which position a feed is known, and reports whether the store has lost writes since the
+// last one. After a loss the store lacks entries of live servers and ends under requests until the servers and the
+// instances have written them again, as after an outage in which the entries expired.
+func (l *Loop) notePosition(feed Feed, at Position) bool {
+	was := l.positions[feed]
+	l.positions[feed] = max(was, at)
 	if was == 0 || at.Era() <= was.Era() {
 		return false
 	}
-	l.failed = l.clock.Now()
+	l.lastFailure = l.clock.Now()
 	l.stats.Counter("store_losses_total{feed=\"" + feed.String() + "\"}").Inc(1)
 	l.log.WithFields(logrus.Fields{
 		"feed": feed.String(), "era": at.Era(), "was": was.Era(), "at": at.Revision(), "held": was.Revision(),
@@ -21,7 +22,7 @@
 	return true
 }
 
-// isEndGone reports whether a change takes an end under a request back.
+// isEndGone reports whether a change removes an end under a request.
 func isEndGone(c Change) bool {
 	_, gone := c.(EndGone)
 	return gone
--- a/forward/evacuate_test.go
+++ b/forward/evacuate_test.go
@@ -10,18 +10,18 @@
 	"junctioncross/models"
 )
 
-// leave lets a server say that it leaves.
+// leave has a server announce in its entry that it leaves.
 func leave(s *backend.Server) {
 	s.Update(backend.Entry{ID: s.ID(), Leaving: true, Layers: s.Layers()})
 }
 
-// TestAStreamGoesOnWithoutAServerThatLeaves lets the second part of a path leave while another server holds its layers.
-func TestAStreamGoesOnWithoutAServerThatLeaves(t *testing.T) {
+// TestAStreamIsEvacuatedFromALeavingServer has the second server of a path leave while another one holds its layers.
+func TestAStreamIsEvacuatedFromALeavingServer(t *testing.T) {
 	g := twoCopies()
 	e := newEngines(g)
 	h, _ := testHandler(t, e)
 	f := flying(h, g, "one", 0, 0, 1)
-	require.Nil(t, h.partToLeave(f), "nobody leaves yet")
+	require.Nil(t, h.partToLeave(f), "no server leaves yet")
 	leave(g.Servers()[1])
 	require.Equal(t, g.Servers()[1], h.partToLeave(f))
 	require.True(t, h.watch.evacuateOne(t.Context(), f, g))
@@ -33,8 +33,8 @@
 	require.Nil(t, h.partToLeave(f))
 }
 
-// TestAStreamStaysWhereOnlyAnotherDomainCouldTakeItsPart leaves no other holder in the domain.
-func TestAStreamStaysWhereOnlyAnotherDomainCouldTakeItsPart(t *testing.T) {
+// TestAStreamIsNotEvacuatedToAnotherDomain has no other holder of the layers in the domain.
+func TestAStreamIsNotEvacuatedToAnotherDomain(t *testing.T) {
 	service := twoCopies().Service()
 	entry := func(id, domain string, first int) backend.Entry {
 		return backend.Entry{
@@ -48,11 +48,12 @@
 	f := flying(h, g, "one", 0, 0, 1)
 	leave(g.Servers()[1])
 	require.False(t, h.watch.evacuateOne(t.Context(), f, g))
-	require.Zero(t, f.repairs, "looking for a path costs none of the stream's repairs")
+	require.Zero(t, f.repairs, "a search for a path does not count as a repair")
 }
 
-// TestStreamsLeaveAServerThatMayBeLeaving lets the entry of a part vanish around an outage of the store, and come back.
-func TestStreamsLeaveAServerThatMayBeLeaving(t *testing.T) {
+// TestStreamsAreEvacuatedFromAServerThatMayBeLeaving has the entry of a server vanish around an outage of the store, and come
+// back.
+func TestStreamsAreEvacuatedFromAServerThatMayBeLeaving(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	f := flying(h, g, "one", 0, 0, 1)
@@ -67,13 +68,13 @@
 	require.Nil(t, h.partToLeave(other))
 }
 
-// TestAStreamThatLastsAboutAsLongAsItsServerLeaves counts with news that are some time old.
-func TestAStreamThatLastsAboutAsLongAsItsServerLeaves(t *testing.T) {
+// TestAStreamThatMayOutlastItsServerIsEvacuated checks that the leave notice is taken to be propagationTime old.
+func TestAStreamThatMayOutlastItsServerIsEvacuated(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newEngines(g))
 	f := flying(h, g, "one", 0, 0, 1)
 	goodbye(g.Servers()[1], clock)
-	f.life = h.terms.Load().DrainTime - newsAge
+	f.life = h.terms.Load().DrainTime - propagationTime
 	require.Nil(t, h.partToLeave(f))
 	f.life++
 	require.Equal(t, g.Servers()[1], h.partToLeave(f))
--- a/link/client.go
+++ b/link/client.go
@@ -11,7 +11,7 @@
 	"junctioncross/metrics"
 )
 
-// Client calls other instances and keeps its connections while they are in use.
+// Client calls other instances. It keeps one connection to each and opens another when that one has ended.
 type Client struct {
 	trust Trust
 	stats *metrics.Registry
@@ -20,78 +20,78 @@
 	conns map[string]*quic.Conn
 }
 
-// NewClient returns a Client that shows the instance's certificate.
+// NewClient returns a Client whose connections use the TLS settings of trust.
 func NewClient(trust Trust, stats *metrics.Registry) *Client {
 	return &Client{trust: trust, stats: stats, conns: map[string]*quic.Conn{}}
 }
 
-// Call sends a question to the instance at addr; it returns ErrUnreachable, ErrLost or ErrRefused.
-func Call[Q, A any](ctx context.Context, c *Client, addr string, kind Kind, q Q) (A, error) {
-	var answer A
-	body, err := cbor.Marshal(q)
+// Call sends a request to the instance at addr and returns its response; the error is ErrUnreachable, ErrLost or ErrRefused.
+func Call[Req, Resp any](ctx context.Context, c *Client, addr string, kind Kind, req Req) (Resp, error) {
+	var answer Resp
+	body, err := cbor.Marshal(req)
 	if err != nil {
 		return answer, errors.Wrap(ErrRefused, err.Error())
 	}
-	a, err := c.exchange(ctx, addr, question{Kind: kind, Body: body})
+	resp, err := c.exchange(ctx, addr, request{Kind: kind, Body: body})
 	if err != nil {
 		return answer, err
 	}
-	if a.Refused != "" {
-		return answer, errors.Wrap(ErrRefused, a.Refused)
+	if resp.Refused != "" {
+		return answer, errors.Wrap(ErrRefused, resp.Refused)
 	}
-	if err := cbor.Unmarshal(a.Body, &answer); err != nil {
+	if err := cbor.Unmarshal(resp.Body, &answer); err != nil {
 		return answer, errors.Wrap(ErrLost, err.Error())
 	}
 	return answer, nil
 }
 
-// Reach connects to the instance at addr unless it is connected already; it returns ErrUnreachable, or ErrRefused when the instance is
-// there and takes no connection, as one that does not know the fleet's key yet.
+// Reach connects to the instance at addr unless a connection exists already. It returns ErrUnreachable, or ErrRefused when the instance
+// answers but rejects the connection, as it does before it knows the fleet key.
 func (c *Client) Reach(ctx context.Context, addr string) error {
 	_, err := c.connect(ctx, addr)
-	var said *quic.TransportError
+	var transportErr *quic.TransportError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &said) && said.Remote:
+	case errors.As(err, &transportErr) && transportErr.Remote:
 		return errors.Wrap(ErrRefused, err.Error())
 	default:
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
 }
 
-func (c *Client) exchange(ctx context.Context, addr string, q question) (reply, error) {
+func (c *Client) exchange(ctx context.Context, addr string, req request) (response, error) {
 	conn, err := c.connect(ctx, addr)
 	if err != nil {
-		return reply{}, errors.Wrap(ErrUnreachable, err.Error())
+		return response{}, errors.Wrap(ErrUnreachable, err.Error())
 	}
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
 		c.drop(addr, conn)
-		return reply{}, errors.Wrap(ErrUnreachable, err.Error())
+		return response{}, errors.Wrap(ErrUnreachable, err.Error())
 	}
-	// Without this an abandoned call would hold its stream until the connection ends.
+	// Otherwise a call whose context has ended would hold its stream until the connection ends.
 	stop := context.AfterFunc(ctx, func() {
 		stream.CancelRead(0)
 		stream.CancelWrite(0)
 	})
 	defer stop()
-	if err := writeMessage(stream, q); err != nil {
+	if err := writeMessage(stream, req); err != nil {
 		c.drop(addr, conn)
-		return reply{}, errors.Wrap(ErrLost, err.Error())
+		return response{}, errors.Wrap(ErrLost, err.Error())
 	}
 	if err := stream.Close(); err != nil {
-		return reply{}, errors.Wrap(ErrLost, err.Error())
+		return response{}, errors.Wrap(ErrLost, err.Error())
 	}
 	c.stats.Counter("link_calls_made_total").Inc(1)
-	c.stats.Counter("link_bytes_sent_total").Inc(int64(len(q.Body)))
-	a, err := readMessage[reply](stream)
+	c.stats.Counter("link_bytes_sent_total").Inc(int64(len(req.Body)))
+	resp, err := readMessage[response](stream)
 	if err != nil {
 		c.drop(addr, conn)
-		return a, errors.Wrap(ErrLost, err.Error())
+		return resp, errors.Wrap(ErrLost, err.Error())
 	}
-	c.stats.Counter("link_bytes_received_total").Inc(int64(len(a.Body)))
-	return a, nil
+	c.stats.Counter("link_bytes_received_total").Inc(int64(len(resp.Body)))
+	return resp, nil
 }
 
 func (c *Client) connect(ctx context.Context, addr string) (*quic.Conn, error) {
@@ -101,7 +101,7 @@
 	if conn != nil && conn.Context().Err() == nil {
 		return conn, nil
 	}
-	conn, err := quic.DialAddr(ctx, addr, c.trust.Client(protocol), settings())
+	conn, err := quic.DialAddr(ctx, addr, c.trust.Client(protocol), quicConfig())
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 	return conn, nil
 }
 
-// drop closes a connection on which a call failed, so that the next call opens a fresh one.
+// drop closes a connection on which a call failed, so that the next call opens a new one.
 func (c *Client) drop(addr string, conn *quic.Conn) {
 	_ = conn.CloseWithError(0, "call failed")
 	c.mu.Lock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// Close ends every connection.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -10,62 +10,67 @@
 )
 
 const (
-	// wantedSequences is the number of sequences that a server should have memory for beside its layers. More leave less memory for layers:
-	// with one bare copy of the model in each domain the loss of one server sends all paths of its domain over the links between domains.
+	// wantedSequences is the number of sequences that a server should have memory for beside its layers. A higher number
+	// leaves less memory for layers: with only one bare copy of the model in each domain, the loss of one server sends all
+	// paths of its domain over the links between domains.
 	wantedSequences = 96
-	// standInSequences is the same for a server whose layers all have another holder in its domain that is as fast: it stands in
-	// for servers that are lost and takes what they have no memory for, and covers more layers with less room.
-	standInSequences = 48
+	// standbySequences is the same for a standby server: one whose layers all have another holder in its domain that is as
+	// fast. It takes over from lost servers and takes the overflow of the others, and covers more layers with less room for
+	// sequences.
+	standbySequences = 48
 )
 
-// Server is a server as the decision sees it.
+// Server describes a backend server for Decide and Summary.
 type Server struct {
 	ID     string
 	Domain string
 	Kind   *catalog.Kind
-	// Layers is what the server holds, or will when an order under way is done.
+	// Layers is what the server holds, or will hold when the order under way is done.
 	Layers models.Layers
-	// Settled servers can take an order now.
+	// Settled is true when no order is under way, so that the server can take one now.
 	Settled bool
-	// Stays is true for a server that shall not give up layers now.
-	Stays bool
-	// Waits is true for an empty server that gets layers only when some are missing in its domain, since others may leave soon.
-	Waits bool
+	// Pinned is true for a server that must not drop layers now.
+	Pinned bool
+	// Reserved is true for an empty server that gets layers only when its domain lacks some, because it may have been
+	// started to replace a server that is about to leave.
+	Reserved bool
 }
 
-// Order says what one server should hold from now on.
+// Order gives the layers that a server should hold from now on.
 type Order struct {
 	ID     string
 	Layers models.Layers
-	// Moves is true when the server gives layers up.
+	// Moves is true when the server drops layers that it holds.
 	Moves bool
 }
 
-// tokens returns the tokens that a usual request holds at its end.
-func tokens(e *catalog.Engine) float64 { return float64(max(e.UsualPrompt+e.UsualAnswer, 1)) }
+// usualTokens returns the number of tokens that a usual request holds in memory at its end.
+func usualTokens(e *catalog.Engine) float64 { return float64(max(e.UsualPrompt+e.UsualAnswer, 1)) }
 
-// LayersOf returns how many layers a server of a kind should hold so that its memory has room for the sequences.
+// LayersOf returns the number of layers that a server of a kind should hold to have memory for the given number of usual
+// sequences beside them: at least one, unless not even one fits.
 func LayersOf(e *catalog.Engine, k *catalog.Kind, sequences int) int {
 	return min(max(int(k.MemoryMB/layerMB(e, sequences)), 1), e.Layers, int(k.MemoryMB/e.LayerMB))
 }
 
-// layerMB returns the memory that a layer takes with that of the sequences beside it.
+// layerMB returns the memory in megabytes that one layer takes together with the given number of sequences.
 func layerMB(e *catalog.Engine, sequences int) float64 {
-	return e.LayerMB + float64(sequences)*tokens(e)*e.LayerBytes()/1e6
+	return e.LayerMB + float64(sequences)*usualTokens(e)*e.LayerBytes()/1e6
 }
 
-// sequencesOf returns the number of usual sequences that a server has memory for beside that many layers.
+// sequencesOf returns the number of usual sequences that a server has memory for beside the given number of layers.
 func sequencesOf(e *catalog.Engine, k *catalog.Kind, layers int) float64 {
 	if k == nil || layers < 1 {
 		return 0
 	}
-	return chain.Room(e, k, layers) / (tokens(e) * float64(layers))
+	return chain.Room(e, k, layers) / (usualTokens(e) * float64(layers))
 }
 
-// Decide returns the orders that bring the servers nearer to what they should hold.
+// Decide returns the next orders that bring the servers nearer to what they should hold. It gives layers to empty servers
+// first; only if there are none to give, one server moves, and only if none can, domains with missing layers are retiled.
 func Decide(e *catalog.Engine, servers []Server) []Order {
-	c := newCover(e, servers)
-	if orders := append(fill(c, servers), replace(c, servers)...); len(orders) > 0 {
+	c := newCoverageMap(e, servers)
+	if orders := append(fillEmpty(c, servers), replaceLost(c, servers)...); len(orders) > 0 {
 		return orders
 	}
 	if orders := move(e, c, servers); len(orders) > 0 {
@@ -74,28 +79,28 @@
 	return retile(e, servers)
 }
 
-// fill gives layers to the servers that hold none, domain by domain, since each shall have a whole copy, and the fastest first, so
-// that slow ones only hold what is left and stand in for others: every token passes each layer, and an answer that takes longer
-// holds its memory for longer.
-func fill(c *cover, servers []Server) []Order {
+// fillEmpty gives layers to the servers that hold none. It goes domain by domain, since each one should have a whole copy of
+// the model, and begins with the fastest servers of a domain, so that slow ones only hold what is left or are standbys: every
+// token passes each layer, and an answer that takes longer occupies its memory for longer.
+func fillEmpty(c *coverageMap, servers []Server) []Order {
 	var free []*Server
 	for i := range servers {
-		if s := &servers[i]; s.Settled && s.Layers.Count() == 0 && s.Kind != nil && !s.Waits {
+		if s := &servers[i]; s.Settled && s.Layers.Count() == 0 && s.Kind != nil && !s.Reserved {
 			free = append(free, s)
 		}
 	}
-	sort.Slice(free, func(i, j int) bool { return before(c.engine, free[i], free[j]) })
+	sort.Slice(free, func(i, j int) bool { return placedBefore(c.engine, free[i], free[j]) })
 	orders := make([]Order, 0, len(free))
-	left := c.spareLayers(servers)
+	budget := c.countLayers(servers)
 	for _, s := range free {
 		usual := LayersOf(c.engine, s.Kind, wantedSequences)
-		r, ok := c.choose(s, left.mayStandIn(s.Domain, usual, c.engine.Layers))
+		r, ok := c.choose(s, budget.mayBeStandby(s.Domain, usual, c.engine.Layers))
 		if !ok {
 			continue
 		}
-		left.free[s.Domain] -= usual
+		budget.free[s.Domain] -= usual
 		if r.Count() > usual {
-			left.standing[s.Domain] += usual
+			budget.standby[s.Domain] += usual
 		}
 		c.add(s, r, 1)
 		orders = append(orders, Order{ID: s.ID, Layers: r})
@@ -103,21 +108,22 @@
 	return orders
 }
 
-// choose returns the range that an empty server should hold.
-func (c *cover) choose(s *Server, mayStandIn bool) (models.Layers, bool) {
+// choose returns the range that an empty server should hold; false means that no layer fits.
+func (c *coverageMap) choose(s *Server, mayBeStandby bool) (models.Layers, bool) {
 	n := LayersOf(c.engine, s.Kind, wantedSequences)
 	if n == 0 {
 		return models.Layers{}, false
 	}
-	r, _ := c.best(s.Domain, n)
-	if mayStandIn && c.standsIn(s, r) {
-		r, _ = c.best(s.Domain, LayersOf(c.engine, s.Kind, standInSequences))
+	r, _ := c.bestRange(s.Domain, n)
+	if mayBeStandby && c.isStandby(s, r) {
+		r, _ = c.bestRange(s.Domain, LayersOf(c.engine, s.Kind, standbySequences))
 	}
 	return r, true
 }
 
-// standsIn reports whether every layer of a range has another holder in the server's domain that is as fast.
-func (c *cover) standsIn(s *Server, r models.Layers) bool {
+// isStandby reports whether every layer of a range has another holder in the server's domain that is as fast, so that a
+// server that holds the range would be a standby server.
+func (c *coverageMap) isStandby(s *Server, r models.Layers) bool {
 	fastest, own := c.fastest[s.Domain], stepTime(c.engine, s.Kind)
 	for l := r.First; l < r.End; l++ {
 		if fastest[l] == 0 || fastest[l] > own {
@@ -127,16 +133,16 @@
 	return true
 }
 
-// stepTime returns how long a token step of all layers keeps a kind busy with wantedSequences, with its part of reading: while each
-// answer goes on, the prompt of another one is read.
+// stepTime returns how long one token step of all layers with wantedSequences keeps a server of the kind busy, including the
+// share of prompt reading: while each answer is generated, the prompt of another one is read.
 func stepTime(e *catalog.Engine, k *catalog.Kind) time.Duration {
-	step := chain.StepTime(e, k, e.Layers, wantedSequences, tokens(e))
+	step := chain.StepTime(e, k, e.Layers, wantedSequences, usualTokens(e))
 	reading := chain.ReadTime(e, k, e.Layers, e.UsualPrompt)
 	return step + wantedSequences*reading/time.Duration(max(e.UsualAnswer, 1))
 }
 
-// before says which of two empty servers gets layers first.
-func before(e *catalog.Engine, a, b *Server) bool {
+// placedBefore reports whether the empty server a gets layers before b.
+func placedBefore(e *catalog.Engine, a, b *Server) bool {
 	switch timeA, timeB := stepTime(e, a.Kind), stepTime(e, b.Kind); {
 	case a.Domain != b.Domain:
 		return a.Domain < b.Domain
