--- a/cmd/jxload/log.go
+++ b/cmd/jxload/log.go
@@ -24,21 +24,21 @@
 	if err := os.MkdirAll(l.Logs, 0o750); err != nil {
 		return errors.Wrap(err, "log")
 	}
-	cost, err := soak.MeasureLog(soak.CostOptions{
-		Bin: c.Bin, Dir: l.Logs, Level: l.Level, Requests: l.Requests, Rate: l.Rate, Patience: soakPatience,
+	cost, err := soak.MeasureLogCost(soak.LogCostOptions{
+		Bin: c.Bin, Dir: l.Logs, Level: l.Level, Requests: l.Requests, Rate: l.Rate, ServiceTimeout: serviceTimeout,
 	})
 	if err != nil {
 		return errors.Wrap(err, "log")
 	}
 	p := bench.NewPrinter(os.Stdout)
-	p.Figure("whole", float64(cost.Whole), "count")
+	p.Figure("whole", float64(cost.Complete), "count")
 	p.Figure("refused", float64(cost.Refused), "count")
 	p.Figure("other", float64(cost.Other), "count")
-	p.Figure("took", cost.Took.Seconds(), "s")
+	p.Figure("took", cost.Elapsed.Seconds(), "s")
 	p.Figure("lines", float64(cost.Lines), "count")
 	p.Figure("bytes", float64(cost.Bytes), "bytes")
-	p.Figure("bytes_s", float64(cost.Bytes)/cost.Took.Seconds(), "bytes/s")
-	p.Note("processor profile in %s, taken over %s", cost.Profile, cost.Took.Round(time.Second))
+	p.Figure("bytes_s", float64(cost.Bytes)/cost.Elapsed.Seconds(), "bytes/s")
+	p.Note("processor profile in %s, taken over %s", cost.Profile, cost.Elapsed.Round(time.Second))
 	for line := range strings.Lines(cost.Metrics) {
 		if strings.HasPrefix(line, "jx_log_") {
 			fmt.Print("note ", line)
--- a/cmd/jxload/soak.go
+++ b/cmd/jxload/soak.go
@@ -20,8 +20,8 @@
 	Logs   string `default:"out/soak" help:"Directory for settings and logs; those of seeds that found something stay."`
 }
 
-// soakPatience bounds the wait for service at the start and after the last fault of a seed.
-const soakPatience = time.Minute
+// serviceTimeout bounds the wait for service at the start and after the last fault of a seed.
+const serviceTimeout = time.Minute
 
 // Run plays seeds one after the other and prints a line for each; it fails when one found something.
 func (s *soakCommand) Run(c *commands) error {
@@ -31,21 +31,21 @@
 		if err := os.MkdirAll(dir, 0o750); err != nil {
 			return errors.Wrap(err, "soak")
 		}
-		r, err := soak.Run(soak.Options{Seed: seed, Bin: c.Bin, Dir: dir, Events: s.Events, PerDomain: s.Domain, Patience: soakPatience})
+		r, err := soak.Run(soak.Options{Seed: seed, Bin: c.Bin, Dir: dir, Events: s.Events, PerDomain: s.Domain, ServiceTimeout: serviceTimeout})
 		if err != nil {
 			return errors.Wrap(err, "soak")
 		}
 		fmt.Printf("seed %d: %d requests, %d whole, %d stood still, %d findings, %d events\n",
-			seed, r.Requests, r.Whole, r.Still, len(r.Faults), len(r.Played))
-		if len(r.Faults) == 0 {
+			seed, r.Requests, r.Complete, r.Stalled, len(r.Findings), len(r.Events))
+		if len(r.Findings) == 0 {
 			if err := os.RemoveAll(dir); err != nil {
 				return errors.Wrap(err, "soak")
 			}
 			continue
 		}
 		failed++
-		fmt.Println("  played:", r.Played)
-		for _, f := range r.Faults {
+		fmt.Println("  played:", r.Events)
+		for _, f := range r.Findings {
 			fmt.Println("  ", f)
 		}
 	}
