--- a/cmd/jxd/run.go
+++ b/cmd/jxd/run.go
@@ -15,5 +15,5 @@
 	if err != nil {
 		return err
 	}
-	return app.Run(set, untilTold())
+	return app.Run(set, stopOnSignal())
 }
--- a/cmd/jxd/serve.go
+++ b/cmd/jxd/serve.go
@@ -21,30 +21,30 @@
 	if err != nil {
 		return err
 	}
-	return app.RunHosted(set, app.Signals{Stop: untilTold(), Reload: c.reloads()})
+	return app.RunHosted(set, app.Signals{Stop: stopOnSignal(), Reload: c.watchSettings()})
 }
 
-// lookPeriod is how often the settings file is looked at, since platforms also change it without a signal.
-const lookPeriod = 2 * time.Second
+// filePollPeriod is how often the settings file is looked at, since platforms also change it without a signal.
+const filePollPeriod = 2 * time.Second
 
-// reloads delivers the settings each time that SIGHUP says that they have changed, or that the file has; one that cannot be
+// watchSettings delivers the settings each time that SIGHUP says that they have changed, or that the file has; one that cannot be
 // used comes as an error and changes nothing.
-func (c *serveCommand) reloads() <-chan app.Reload {
+func (c *serveCommand) watchSettings() <-chan app.Reload {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	looks := timer.NewReal().Subscribe(lookPeriod)
+	polls := timer.NewReal().Subscribe(filePollPeriod)
 	out := make(chan app.Reload)
-	seen := c.stamp()
+	seen := c.fileVersion()
 	go func() {
 		for {
 			select {
 			case <-signals:
-			case <-looks.C():
-				if c.stamp() == seen {
+			case <-polls.C():
+				if c.fileVersion() == seen {
 					continue
 				}
 			}
-			seen = c.stamp()
+			seen = c.fileVersion()
 			set, err := config.LoadHosted(c.Settings)
 			out <- app.Reload{Settings: set, Err: err}
 		}
@@ -52,23 +52,23 @@
 	return out
 }
 
-// stamp is what a change of the settings file shows by.
-type stamp struct {
+// fileVersion is what a change of the settings file shows by.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-func (c *serveCommand) stamp() stamp {
+func (c *serveCommand) fileVersion() fileVersion {
 	info, err := os.Stat(c.Settings)
 	if err != nil {
 		// A file that is being replaced is looked at again; until then nothing changes.
-		return stamp{}
+		return fileVersion{}
 	}
-	return stamp{modified: info.ModTime(), size: info.Size()}
+	return fileVersion{modified: info.ModTime(), size: info.Size()}
 }
 
-// untilTold returns a channel that is closed by SIGTERM or SIGINT.
-func untilTold() <-chan struct{} {
+// stopOnSignal returns a channel that is closed by SIGTERM or SIGINT.
+func stopOnSignal() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	stop := make(chan struct{})
