--- a/cmd/jxctl/certify.go
+++ b/cmd/jxctl/certify.go
@@ -17,31 +17,31 @@
 }
 
 // Run makes a fresh authority and one certificate for each holder.
-func (k *certifyCommand) Run(*commands) error {
+func (c *certifyCommand) Run(*commands) error {
 	now := time.Now()
 	authority, err := keys.NewAuthority(now)
 	if err != nil {
 		return err
 	}
-	if err := authority.Write(k.Dir); err != nil {
+	if err := authority.Write(c.Dir); err != nil {
 		return err
 	}
-	for _, i := range k.Instances {
+	for _, i := range c.Instances {
 		domain, name, ok := strings.Cut(i, "/")
 		if !ok {
 			return errors.Errorf("instance %q: accepted: DOMAIN/NAME", i)
 		}
-		if err := authority.Issue(k.Dir, keys.NewIdentity(keys.RoleInstance, domain, name), now); err != nil {
+		if err := authority.Issue(c.Dir, keys.NewIdentity(keys.RoleInstance, domain, name), now); err != nil {
 			return err
 		}
 	}
-	for _, o := range k.Operators {
-		if err := authority.Issue(k.Dir, keys.NewIdentity(keys.RoleOperator, "", o), now); err != nil {
+	for _, o := range c.Operators {
+		if err := authority.Issue(c.Dir, keys.NewIdentity(keys.RoleOperator, "", o), now); err != nil {
 			return err
 		}
 	}
-	for _, v := range k.Viewers {
-		if err := authority.Issue(k.Dir, keys.NewIdentity(keys.RoleViewer, "", v), now); err != nil {
+	for _, v := range c.Viewers {
+		if err := authority.Issue(c.Dir, keys.NewIdentity(keys.RoleViewer, "", v), now); err != nil {
 			return err
 		}
 	}
--- a/cmd/jxctl/print.go
+++ b/cmd/jxctl/print.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// show prints a value as indented JSON.
-func show(value any) error {
+// printJSON prints a value as indented JSON.
+func printJSON(value any) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
--- a/cmd/jxctl/status.go
+++ b/cmd/jxctl/status.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	if s.JSON {
-		return show(all)
+		return printJSON(all)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "INSTANCE\tDOMAIN\tREVISION\tSILENT\tSTATE")
--- a/cmd/jxctl/why.go
+++ b/cmd/jxctl/why.go
@@ -39,13 +39,13 @@
 	return all, nil
 }
 
-// tell reads the logs and prints what fn finds in them; it fails when that is nothing.
-func (f *logFiles) tell(fn func(out io.Writer, lines []story.Line, name string) bool, kind, name string) error {
+// printMatches reads the logs and prints what fn finds in them; it fails when that is nothing.
+func (f *logFiles) printMatches(write func(out io.Writer, lines []story.Line, name string) bool, kind, name string) error {
 	lines, err := f.read()
 	if err != nil {
 		return err
 	}
-	if !fn(os.Stdout, lines, name) {
+	if !write(os.Stdout, lines, name) {
 		return errors.Errorf("jxctl: no line of %s %s", kind, name)
 	}
 	return nil
@@ -57,7 +57,7 @@
 }
 
 // Run prints the story of one request and its cause.
-func (c *whyCommand) Run() error { return c.tell(story.Why, "request", c.Request) }
+func (c *whyCommand) Run() error { return c.printMatches(story.Why, "request", c.Request) }
 
 type timelineCommand struct {
 	Instance string `arg:"" help:"Name of the instance."`
@@ -65,4 +65,4 @@
 }
 
 // Run prints what an instance did and believed beside its requests.
-func (c *timelineCommand) Run() error { return c.tell(story.Timeline, "instance", c.Instance) }
+func (c *timelineCommand) Run() error { return c.printMatches(story.Timeline, "instance", c.Instance) }
