--- a/cmd/jxd/check.go
+++ b/cmd/jxd/check.go
@@ -11,7 +11,7 @@
 	Serve    bool   `help:"The file is one for jxd serve."`
 }
 
-// Run reads and checks the file; every mistake is printed with its line.
+// Run reads and checks the settings file; the error names every mistake with its line.
 func (c *checkCommand) Run() error {
 	if err := c.load(); err != nil {
 		return err
@@ -20,6 +20,7 @@
 	return nil
 }
 
+// load reads the file as jxd serve does, or as jxd run does.
 func (c *checkCommand) load() error {
 	if c.Serve {
 		_, err := config.LoadHosted(c.Settings)
--- a/cmd/jxd/main.go
+++ b/cmd/jxd/main.go
@@ -1,4 +1,5 @@
-// Command jxd is the entry instance: it answers callers, drives pipelines and takes its part of control.
+// Command jxd runs an entry instance: it answers callers, sends their requests through backend servers and takes part in the control
+// of the fleet.
 package main
 
 import (
--- a/cmd/jxd/run.go
+++ b/cmd/jxd/run.go
@@ -9,7 +9,7 @@
 	Settings string `arg:"" type:"existingfile" help:"Settings file."`
 }
 
-// Run starts the instance; SIGTERM and SIGINT let it finish the requests under way.
+// Run starts the instance; SIGTERM and SIGINT make it finish the requests in flight and return.
 func (c *runCommand) Run() error {
 	set, err := config.Load(c.Settings)
 	if err != nil {
--- a/cmd/jxd/serve.go
+++ b/cmd/jxd/serve.go
@@ -15,7 +15,8 @@
 	Settings string `arg:"" type:"existingfile" help:"Settings file."`
 }
 
-// Run starts an instance in front of a platform's backend servers; SIGTERM and SIGINT let it finish the requests under way.
+// Run starts an instance in front of a platform's backend servers; SIGTERM and SIGINT make it finish the requests in
+// flight and return.
 func (c *serveCommand) Run() error {
 	set, err := config.LoadHosted(c.Settings)
 	if err != nil {
@@ -24,11 +25,11 @@
 	return app.RunHosted(set, app.Signals{Stop: stopOnSignal(), Reload: c.watchSettings()})
 }
 
-// filePollPeriod is how often the settings file is looked at, since platforms also change it without a signal.
+// filePollPeriod is how often the settings file is checked for changes, since platforms also change it without a signal.
 const filePollPeriod = 2 * time.Second
 
-// watchSettings delivers the settings each time that SIGHUP says that they have changed, or that the file has; one that cannot be
-// used comes as an error and changes nothing.
+// watchSettings returns a channel that delivers the settings on SIGHUP and whenever the settings file has changed. A file that cannot
+// be used is delivered as an error and changes nothing.
 func (c *serveCommand) watchSettings() <-chan app.Reload {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -52,7 +53,7 @@
 	return out
 }
 
-// fileVersion is what a change of the settings file shows by.
+// fileVersion holds the attributes of the settings file that show whether it has changed.
 type fileVersion struct {
 	modified time.Time
 	size     int64
@@ -61,7 +62,7 @@
 func (c *serveCommand) fileVersion() fileVersion {
 	info, err := os.Stat(c.Settings)
 	if err != nil {
-		// A file that is being replaced is looked at again; until then nothing changes.
+		// The file may be being replaced; it is read again at the next poll.
 		return fileVersion{}
 	}
 	return fileVersion{modified: info.ModTime(), size: info.Size()}
