--- a/cmd/jxctl/certify.go
+++ b/cmd/jxctl/certify.go
@@ -16,7 +16,7 @@
 	Viewers   []string `help:"Names of viewers, who may only look."`
 }
 
-// Run makes a fresh authority and one certificate for each holder.
+// Run creates a new certificate authority, and a certificate with its key for each instance, operator and viewer.
 func (c *certifyCommand) Run(*commands) error {
 	now := time.Now()
 	authority, err := keys.NewAuthority(now)
--- a/cmd/jxctl/confirm.go
+++ b/cmd/jxctl/confirm.go
@@ -8,7 +8,7 @@
 	Plan string `arg:"" help:"Id of the plan."`
 }
 
-// Run confirms the plan; confirming the same plan twice gives the same revision.
+// Run confirms the plan; confirming the same plan twice returns the same revision.
 func (p *confirmCommand) Run(c *commands) error {
 	client, err := c.client()
 	if err != nil {
--- a/cmd/jxctl/main.go
+++ b/cmd/jxctl/main.go
@@ -1,4 +1,5 @@
-// Command jxctl is the operators' tool: intents, plans, confirmations, status and history.
+// Command jxctl is the operators' tool: it sends intents, makes, shows and confirms plans, shows status and history, creates
+// certificates for development and explains log files.
 package main
 
 import (
@@ -26,6 +27,7 @@
 	Hash     hashCommand     `cmd:"" help:"Print the form in which a client account's key is kept."`
 }
 
+// client returns a client of the operators' listener that authenticates with the operator's certificate.
 func (c *commands) client() (*operator.Client, error) {
 	ring, err := keys.NewRing(keys.Files{
 		Authority:   filepath.Join(c.Keys, keys.FileAuthority),
--- a/cmd/jxctl/print.go
+++ b/cmd/jxctl/print.go
@@ -13,6 +13,7 @@
 	return encoder.Encode(value)
 }
 
+// printLines prints a title and below it the lines, indented.
 func printLines(title string, lines []string) {
 	fmt.Println(title)
 	for _, l := range lines {
--- a/cmd/jxctl/status.go
+++ b/cmd/jxctl/status.go
@@ -33,6 +33,7 @@
 	return w.Flush()
 }
 
+// stateOf returns the text of the STATE column.
 func stateOf(i control.InstanceStatus) string {
 	switch {
 	case i.Note != "":
--- a/cmd/jxctl/why.go
+++ b/cmd/jxctl/why.go
@@ -10,11 +10,12 @@
 	"junctioncross/story"
 )
 
-// logFiles names the logs that a command reads.
+// logFiles are the log files that a command reads.
 type logFiles struct {
 	Logs []string `arg:"" optional:"" type:"existingfile" help:"Log files of any number of instances; standard input when there are none."`
 }
 
+// read returns the lines of all log files; it reports to standard error how many were skipped.
 func (f *logFiles) read() ([]story.Line, error) {
 	if len(f.Logs) == 0 {
 		lines, _, err := story.Read(os.Stdin)
@@ -39,7 +40,7 @@
 	return all, nil
 }
 
-// printMatches reads the logs and prints what fn finds in them; it fails when that is nothing.
+// printMatches reads the logs and has write print the lines on one request or instance; it fails if there are none.
 func (f *logFiles) printMatches(write func(out io.Writer, lines []story.Line, name string) bool, kind, name string) error {
 	lines, err := f.read()
 	if err != nil {
@@ -56,7 +57,7 @@
 	logFiles
 }
 
-// Run prints the story of one request and its cause.
+// Run prints what happened to one request, and why.
 func (c *whyCommand) Run() error { return c.printMatches(story.Why, "request", c.Request) }
 
 type timelineCommand struct {
@@ -64,5 +65,5 @@
 	logFiles
 }
 
-// Run prints what an instance did and believed beside its requests.
+// Run prints the log lines of an instance that belong to no request: what it did and what it knew of the fleet.
 func (c *timelineCommand) Run() error { return c.printMatches(story.Timeline, "instance", c.Instance) }
