--- a/cmd/jxload/bench.go
+++ b/cmd/jxload/bench.go
@@ -10,7 +10,7 @@
 	Name string `arg:"" enum:"config,control,overload,recovery,state,throughput" help:"Which measurement: config, control, overload, recovery, state or throughput."`
 }
 
-// Run takes the measurement and prints its figures.
+// Run runs the measurement and prints its figures.
 func (b *benchCommand) Run(c *commands) error {
 	p := bench.NewPrinter(os.Stdout)
 	switch b.Name {
--- a/cmd/jxload/capacity.go
+++ b/cmd/jxload/capacity.go
@@ -13,7 +13,7 @@
 	Docs string `default:"docs" help:"Directory of the page, its figures and plots."`
 }
 
-// Run writes docs/CAPACITY.md and its plots from the newest figures.
+// Run writes the page CAPACITY.md and its plots from the newest figures.
 func (c *capacityCommand) Run(*commands) error {
 	f, err := capacity.ReadFigures(filepath.Join(c.Docs, "figures"))
 	if err != nil {
--- a/cmd/jxload/log.go
+++ b/cmd/jxload/log.go
@@ -19,7 +19,7 @@
 	Logs     string  `default:"out/log" help:"Directory for settings, log and processor profile."`
 }
 
-// Run measures what the log of an instance in front of the stand-in platform takes.
+// Run measures how much an instance in front of the fake platform logs, and profiles the instance meanwhile.
 func (l *logCommand) Run(c *commands) error {
 	if err := os.MkdirAll(l.Logs, 0o750); err != nil {
 		return errors.Wrap(err, "log")
--- a/cmd/jxload/main.go
+++ b/cmd/jxload/main.go
@@ -1,4 +1,4 @@
-// Command jxload runs fleets on loopback, checks them and measures them.
+// Command jxload runs fleets on loopback, to try them out, to check them and to measure them.
 package main
 
 import (
--- a/cmd/jxload/soak.go
+++ b/cmd/jxload/soak.go
@@ -20,10 +20,10 @@
 	Logs   string `default:"out/soak" help:"Directory for settings and logs; those of seeds that found something stay."`
 }
 
-// serviceTimeout bounds the wait for service at the start and after the last fault of a seed.
+// serviceTimeout bounds the wait for service at the start of a run and after its last fault.
 const serviceTimeout = time.Minute
 
-// Run plays seeds one after the other and prints a line for each; it fails when one found something.
+// Run runs the seeds one after the other and prints a line for each; it fails if any run has findings.
 func (s *soakCommand) Run(c *commands) error {
 	failed := 0
 	for seed := s.First; seed < s.First+s.Seeds; seed++ {
