--- a/cmd/jxfake/main.go
+++ b/cmd/jxfake/main.go
@@ -1,4 +1,5 @@
-// Command jxfake runs one of the stand-ins for the systems that junctioncross meets.
+// Command jxfake runs one of the simulated systems that junctioncross works with: the key-value service, the platform's instance list,
+// the weight store, model engines or a plain service.
 package main
 
 import (
@@ -12,6 +13,7 @@
 	"github.com/valyala/fasthttp"
 )
 
+// maxBody is the largest request body, in bytes.
 const maxBody = 64 << 20
 
 type commands struct {
