--- a/cmd/jxfake/main.go
+++ b/cmd/jxfake/main.go
@@ -1,4 +1,4 @@
-// Command jxfake runs one of the simulated systems that junctioncross works with: the key-value service, the platform's instance list,
+// Command jxfake runs a fake of one of the systems that junctioncross works with: the key-value service, the platform's instance list,
 // the weight store, model engines or a plain service.
 package main
 
