--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -9,35 +9,36 @@
 	"junctioncross/timer"
 )
 
-// Asker settles claims.
+// Asker decides claims.
 type Asker interface {
-	// Ask claims a key or records an outcome; it returns ErrUnavailable or ErrUnsure.
+	// Ask claims a key, or records the outcome of the request that holds it. Its errors are ErrUnavailable and ErrUnsure.
 	Ask(ctx context.Context, c Claim) (Verdict, error)
 }
 
-// Keeper writes the claims of every partition from this process.
+// Keeper decides claims in this process: it writes to the logs of all partitions, which it opens on first use.
 type Keeper struct {
-	store  kv.Store
-	clock  *timer.Service
-	stats  *metrics.Registry
-	writer string
-	count  int
+	store      kv.Store
+	clock      *timer.Service
+	stats      *metrics.Registry
+	writer     string
+	partitions int
 
 	mu   sync.Mutex
 	logs map[int]*Log
 }
 
-// NewKeeper returns a Keeper over that number of partitions; every process must use the same number.
-func NewKeeper(store kv.Store, clock *timer.Service, stats *metrics.Registry, writer string, count int) *Keeper {
-	return &Keeper{store: store, clock: clock, stats: stats, writer: writer, count: count, logs: map[int]*Log{}}
+// NewKeeper returns a Keeper for the given number of partitions, which must be the same in every process; writer names this
+// process and incarnation in the records.
+func NewKeeper(store kv.Store, clock *timer.Service, stats *metrics.Registry, writer string, partitions int) *Keeper {
+	return &Keeper{store: store, clock: clock, stats: stats, writer: writer, partitions: partitions, logs: map[int]*Log{}}
 }
 
 // Ask implements Asker.
 func (k *Keeper) Ask(ctx context.Context, c Claim) (Verdict, error) {
-	return k.log(Partition(c.Key, k.count)).Ask(ctx, c)
+	return k.partitionLog(Partition(c.Key, k.partitions)).Ask(ctx, c)
 }
 
-func (k *Keeper) log(partition int) *Log {
+func (k *Keeper) partitionLog(partition int) *Log {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := k.logs[partition]
--- a/forward/events.go
+++ b/forward/events.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxEvent bounds one event; a server that sends more without an end does not speak the protocol.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the size of one event; a server that sends more without ending the event does not speak the protocol.
+const maxEventBytes = 1 << 20
 
-// errEvent means that bytes are not an event or not the one that is due.
-var errEvent = errors.New("forward: not the event that is due")
+// errBadEvent means that bytes are not an event, or not the one that comes next.
+var errBadEvent = errors.New("forward: malformed or out-of-order event")
 
 var (
 	eventEnd = []byte("\n\n")
@@ -25,12 +25,12 @@
 	last int64
 }
 
-// feed takes bytes of the stream and returns the whole events that they complete. The returned bytes are valid until the
-// next call; events that the caller already has are left out.
+// feed takes bytes of the stream and returns the whole events that they complete, without those that the caller already has.
+// The returned bytes are valid until the next call.
 func (e *events) feed(p []byte) ([]byte, error) {
 	e.pending = append(e.pending, p...)
-	if len(e.pending) > maxEvent {
-		return nil, errEvent
+	if len(e.pending) > maxEventBytes {
+		return nil, errBadEvent
 	}
 	end := bytes.LastIndex(e.pending, eventEnd)
 	if end < 0 {
@@ -38,14 +38,14 @@
 	}
 	whole := e.pending[:end+len(eventEnd)]
 	rest := e.pending[end+len(eventEnd):]
-	out, err := e.check(whole)
-	// The rest moves to a new buffer, since the events still point into the old one.
+	out, err := e.newEvents(whole)
+	// The rest moves to a new buffer, since the returned events still point into the old one.
 	e.pending = append(make([]byte, 0, cap(e.pending)), rest...)
 	return out, err
 }
 
-// check returns the events with ids above the last one.
-func (e *events) check(whole []byte) ([]byte, error) {
+// newEvents returns the events with ids above the last one, which may follow events that the caller has but not precede them.
+func (e *events) newEvents(whole []byte) ([]byte, error) {
 	start := 0
 	for at := 0; at < len(whole); {
 		end := at + bytes.Index(whole[at:], eventEnd) + len(eventEnd)
@@ -55,7 +55,7 @@
 		}
 		if id <= e.last {
 			if start != at {
-				return whole[start:at], errEvent
+				return whole[start:at], errBadEvent
 			}
 			start = end
 		} else {
@@ -72,15 +72,16 @@
 		if value, ok := bytes.CutPrefix(line, idField); ok {
 			id, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 			if err != nil {
-				return 0, errEvent
+				return 0, errBadEvent
 			}
 			return id, nil
 		}
 	}
-	return 0, errEvent
+	return 0, errBadEvent
 }
 
-// resumeAfter returns what to tell a server that is to go on with the stream.
+// resumeAfter returns the event id to send to a server that is to resume the stream, or an empty string before the first
+// event.
 func (e *events) resumeAfter() string {
 	if e.last < 0 {
 		return ""
@@ -88,5 +89,5 @@
 	return strconv.FormatInt(e.last, 10)
 }
 
-// restart forgets the part of an event that a former server did not finish.
-func (e *events) restart() { e.pending = e.pending[:0] }
+// dropPartial drops the part of an event that a former server did not finish.
+func (e *events) dropPartial() { e.pending = e.pending[:0] }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -14,40 +14,43 @@
 )
 
 const (
-	// progressPeriod is how often stalled servers are looked for.
+	// progressPeriod is the interval between checks for stalled servers.
 	progressPeriod = 10 * time.Millisecond
-	// pathLength is the number of stages that a path has room for at first.
-	pathLength = 8
+	// initialPathCap is the number of stages for which a path is allocated.
+	initialPathCap = 8
 )
 
 // Spec describes a server that the pool should hold.
 type Spec struct {
-	Name   string
-	Addr   string
+	Name string
+	// Addr is the server's IP number and port.
+	Addr string
+	// Domain is the server's failure domain.
 	Domain string
 }
 
-// Pool holds the servers by index; indexes are never used again.
+// Pool holds the servers by index; an index is never reused for another server.
 type Pool struct {
-	caller *engine.Caller
+	client *engine.Caller
 	clock  *timer.Service
 	stats  *metrics.Registry
 	list   atomic.Pointer[[]*Server]
-	busy   chan struct{}
+	// busy receives an element when a frame begins at a server that had none in flight.
+	busy chan struct{}
 
 	mu     sync.Mutex
 	byName map[string]int
 }
 
-// New returns an empty Pool and starts the search for stalled servers.
-func New(caller *engine.Caller, clock *timer.Service, stats *metrics.Registry) *Pool {
-	p := &Pool{caller: caller, clock: clock, stats: stats, byName: map[string]int{}, busy: make(chan struct{}, 1)}
+// New returns an empty Pool and starts the checks for stalled servers.
+func New(client *engine.Caller, clock *timer.Service, stats *metrics.Registry) *Pool {
+	p := &Pool{client: client, clock: clock, stats: stats, byName: map[string]int{}, busy: make(chan struct{}, 1)}
 	p.list.Store(&[]*Server{})
 	go func() { p.watchProgress() }()
 	return p
 }
 
-// wake starts the search for stalled servers, which rests while no frame is under way.
+// wake resumes the checks for stalled servers, which pause while no frame is in flight.
 func (p *Pool) wake() {
 	select {
 	case p.busy <- struct{}{}:
@@ -63,12 +66,12 @@
 	}
 }
 
-// checkProgress looks for stalled servers and reports whether any frame is under way.
+// checkProgress checks all servers for a stall and reports whether any frame is in flight.
 func (p *Pool) checkProgress() bool {
 	now := p.clock.Now()
 	busy := false
 	for _, s := range *p.list.Load() {
-		if g := s.gatherer.Load(); g != nil {
+		if g := s.batcher.Load(); g != nil {
 			g.CheckProgress(now)
 			busy = busy || g.InFlight() > 0
 		}
@@ -76,7 +79,7 @@
 	return busy
 }
 
-// Ensure returns the index of the server of that name and address, adding it when it is new.
+// Ensure returns the index of the server with the name and address of spec, and adds the server when it is new.
 func (p *Pool) Ensure(spec Spec) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +89,7 @@
 	}
 	next := append(append([]*Server(nil), servers...), &Server{
 		name: spec.Name, addr: spec.Addr, domain: spec.Domain,
-		open: func() *engine.Gatherer { return engine.NewGatherer(p.caller, p.clock, spec.Addr, p.stats, p.wake) },
+		newBatcher: func() *engine.Batcher { return engine.NewBatcher(p.client, p.clock, spec.Addr, p.stats, p.wake) },
 	})
 	p.byName[spec.Name] = len(next) - 1
 	p.list.Store(&next)
@@ -96,55 +99,56 @@
 // Server returns the server at an index.
 func (p *Pool) Server(i int) *Server { return (*p.list.Load())[i] }
 
-// Caller returns the means of single calls to servers.
-func (p *Pool) Caller() *engine.Caller { return p.caller }
+// Client returns the client for single calls to servers.
+func (p *Pool) Client() *engine.Caller { return p.client }
 
-// Avoid names the servers that the next attempt at a request had better not pass.
+// Avoid lists the servers, by index, that the next attempt at a request should not use because they failed an earlier attempt.
 type Avoid struct {
-	// Lost gave no answer.
+	// Lost lists servers that gave no answer.
 	Lost []int
-	// Busy turned work away or were slow.
+	// Busy lists servers that refused work or were slow.
 	Busy []int
 }
 
-// Choose returns a path through the graph. It passes servers to be avoided, and those with open circuits, only where the other answer is a
-// refusal, and those that gave no answer last: one that turned work away a moment ago is there, while one that has ended uses up attempts.
+// Choose returns a path through the graph and reports whether there is one. It uses servers in avoid, and those with open circuits, only
+// when no other path exists, since the request would be refused otherwise. Servers that gave no answer are the last resort: a server that
+// refused work a moment ago is running, while one that has terminated would use up the request's attempts.
 func (p *Pool) Choose(g *route.Graph, avoid Avoid) ([]route.Node, bool) {
 	l := loads{servers: *p.list.Load(), now: p.clock.Now()}
-	for _, l.choice = range []choice{
-		{avoid: avoid}, {avoid: Avoid{Lost: avoid.Lost}}, {avoid: Avoid{Lost: avoid.Lost}, despite: true}, {}, {despite: true},
+	for _, l.filter = range []filter{
+		{avoid: avoid}, {avoid: Avoid{Lost: avoid.Lost}}, {avoid: Avoid{Lost: avoid.Lost}, ignoreCircuits: true}, {}, {ignoreCircuits: true},
 	} {
-		path, ok := route.Choose(g, l, random{}, make([]route.Node, 0, pathLength))
+		path, ok := route.Choose(g, l, random{}, make([]route.Node, 0, initialPathCap))
 		if !ok {
 			continue
 		}
 		for _, n := range path {
-			l.servers[n.Server].Chosen()
+			l.servers[n.Server].BeginAttempt()
 		}
 		return path, true
 	}
 	return nil, false
 }
 
-// HasPath reports whether there is a path of usable servers that passes none to be avoided.
+// HasPath reports whether there is a path of usable servers without those in avoid.
 func (p *Pool) HasPath(g *route.Graph, avoid Avoid) bool {
-	l := loads{servers: *p.list.Load(), now: p.clock.Now(), choice: choice{avoid: avoid}}
-	_, ok := route.Choose(g, l, random{}, make([]route.Node, 0, pathLength))
+	l := loads{servers: *p.list.Load(), now: p.clock.Now(), filter: filter{avoid: avoid}}
+	_, ok := route.Choose(g, l, random{}, make([]route.Node, 0, initialPathCap))
 	return ok
 }
 
-// choice says which servers may be passed.
-type choice struct {
+// filter restricts the servers that a path may use.
+type filter struct {
 	avoid Avoid
-	// despite counts servers with open circuits as usable.
-	despite bool
+	// ignoreCircuits admits servers with open circuits.
+	ignoreCircuits bool
 }
 
-// loads shows the servers at one moment to the choice of a route.
+// loads implements route.Loads: the state of the servers at one moment, restricted by a filter.
 type loads struct {
 	servers []*Server
 	now     time.Time
-	choice
+	filter
 }
 
 // Assigned implements route.Loads.
@@ -155,12 +159,13 @@
 	if slices.Contains(l.avoid.Lost, i) || slices.Contains(l.avoid.Busy, i) {
 		return false
 	}
-	if l.despite {
-		return !l.servers[i].Barred()
+	if l.ignoreCircuits {
+		return !l.servers[i].Excluded()
 	}
 	return l.servers[i].Usable(l.now)
 }
 
+// random implements route.Random.
 type random struct{}
 
 // Float64 implements route.Random.
--- a/relay/fleetstart_test.go
+++ b/relay/fleetstart_test.go
@@ -22,46 +22,49 @@
 )
 
 const (
-	// storeRate and strongRate are the bytes a second of the store's line and of a strong instance's, weakRate those of the others. All sizes
-	// and rates are a hundredth of the real ones, to compress less.
+	// storeRate is the bandwidth of the store's network link in bytes a second, strongRate that of a strong instance and
+	// weakRate that of the others. All sizes and rates are a hundredth of the real ones, so that less data has to be
+	// compressed.
 	storeRate  = 1.25e6
 	strongRate = 1.25e6
 	weakRate   = 25e3
-	// recordBytes and entryBytes are what a record and the entry of a server take on the wire, configBytes what a configuration does.
+	// recordBytes, entryBytes and configBytes are the sizes on the wire of a registration record, the entry of a server and a
+	// configuration.
 	recordBytes = 3
 	entryBytes  = 5
 	configBytes = 2_000
-	// smallBytes is what passes between the packets of larger answers.
+	// smallBytes is the size below which a message takes no time: it is sent between the packets of larger messages.
 	smallBytes = 100
-	// storeLag is how old a cheap reading of the store may be.
+	// storeLag is how old a cheap read of the store may be.
 	storeLag = 200 * time.Millisecond
 )
 
-// line carries bytes in turn; what was sent to one that has left takes its time all the same.
-type line struct {
+// netLink is a network link that transfers messages one after the other. A message to a receiver that has given up still
+// takes its time.
+type netLink struct {
 	rate float64
 
-	mu    sync.Mutex
-	free  time.Time
-	total float64
+	mu     sync.Mutex
+	freeAt time.Time
+	total  float64
 }
 
-func (l *line) carry(ctx context.Context, bytes float64) error {
-	l.mu.Lock()
+func (n *netLink) transfer(ctx context.Context, bytes float64) error {
+	n.mu.Lock()
 	if bytes < smallBytes {
-		l.total += bytes
-		l.mu.Unlock()
+		n.total += bytes
+		n.mu.Unlock()
 		return ctx.Err()
 	}
 	now := time.Now()
 	begin := now
-	if l.free.After(now) {
-		begin = l.free
+	if n.freeAt.After(now) {
+		begin = n.freeAt
 	}
-	l.free = begin.Add(time.Duration(bytes / l.rate * float64(time.Second)))
-	l.total += bytes
-	wait := l.free.Sub(now)
-	l.mu.Unlock()
+	n.freeAt = begin.Add(time.Duration(bytes / n.rate * float64(time.Second)))
+	n.total += bytes
+	wait := n.freeAt.Sub(now)
+	n.mu.Unlock()
 	select {
 	case <-time.After(wait):
 		return nil
@@ -70,41 +73,41 @@
 	}
 }
 
-// written is a record in the store with the time of its writing.
-type written struct {
+// storedRecord is a registration record in the store with the time at which it was written.
+type storedRecord struct {
 	census.Record
 	at time.Time
 }
 
-// beginning is a fleet that starts at once before an empty store.
+// beginning simulates a fleet whose instances all start at once while the store holds no registration records.
 type beginning struct {
 	members []census.Instance
 	index   map[string]int
-	// config and entries are what the feeds hold.
+	// config and entries are the contents of the configuration and servers feeds.
 	config, entries []byte
 	log             *logrus.Logger
 	begun           time.Time
-	store           *line
-	lines           []*line
-	// slowUntil is until when the store takes slowTime for each answer, and silentUntil until when it gives none.
+	store           *netLink
+	links           []*netLink
+	// The store takes slowStoreAnswer for each answer before slowUntil, and gives none before silentUntil.
 	slowUntil, silentUntil time.Duration
 
 	mu       sync.Mutex
-	records  map[string]written
+	records  map[string]storedRecord
 	key      []byte
 	revision int64
-	// calls counts the calls by their price.
+	// calls is the sum of the costs of the calls to the store.
 	calls   float64
 	boards  []*census.Board
 	sources []*Source
 	rolls   []*Rolls
 }
 
-// slowTime is what a store takes for an answer that is sixty times slower than usual.
-const slowTime = 60 * storeAnswer
+// slowStoreAnswer is how long a store takes for an answer that is sixty times slower than usual.
+const slowStoreAnswer = 60 * storeAnswer
 
-// textOf returns bytes that compress about as well as entries do.
-func textOf(size int) []byte {
+// compressibleBytes returns bytes that compress about as well as the entries of servers.
+func compressibleBytes(size int) []byte {
 	random := rand.New(rand.NewPCG(1, uint64(size)))
 	out := make([]byte, size)
 	for i := range out {
@@ -114,7 +117,7 @@
 }
 
 func newBeginning(domains, each, strong, servers int) *beginning {
-	b := &beginning{index: map[string]int{}, config: textOf(configBytes), entries: textOf(servers * entryBytes), log: logrus.New(), begun: time.Now(), store: &line{rate: storeRate}, records: map[string]written{}}
+	b := &beginning{index: map[string]int{}, config: compressibleBytes(configBytes), entries: compressibleBytes(servers * entryBytes), log: logrus.New(), begun: time.Now(), store: &netLink{rate: storeRate}, records: map[string]storedRecord{}}
 	b.log.SetOutput(io.Discard)
 	b.log.SetLevel(logrus.PanicLevel)
 	for d := range domains {
@@ -125,7 +128,7 @@
 				m.Power, rate = 0.8, strongRate
 			}
 			b.index[name] = len(b.members)
-			b.members, b.lines = append(b.members, m), append(b.lines, &line{rate: rate})
+			b.members, b.links = append(b.members, m), append(b.links, &netLink{rate: rate})
 		}
 	}
 	n := len(b.members)
@@ -133,17 +136,17 @@
 	return b
 }
 
-// start runs all instances with what is real of them but their connections.
+// start runs all instances with real code except for their connections.
 func (b *beginning) start(ctx context.Context) {
 	const whole = 24
 	clock, stats := timer.NewReal(), metrics.New()
 	for i, m := range b.members {
 		self := Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: whole, ApplyTime: promise}
 		b.boards[i] = census.NewBoard(whole)
-		b.sources[i] = New(self, feedsOf{b}, b.boards[i], follow.NewBoard(), noEnds{}, nil, clock, stats, b.log)
-		b.sources[i].peers = linesOf{b, i}
-		b.rolls[i] = NewRolls(self, registerOf{b}, b.boards[i], nil, clock)
-		b.rolls[i].peers = linesOf{b, i}
+		b.sources[i] = New(self, simStore{b}, b.boards[i], follow.NewBoard(), noEnds{}, nil, clock, stats, b.log)
+		b.sources[i].peers = simPeers{b, i}
+		b.rolls[i] = NewRolls(self, simRegister{b}, b.boards[i], nil, clock)
+		b.rolls[i].peers = simPeers{b, i}
 	}
 	for i, m := range b.members {
 		newKey := func() ([]byte, error) { return []byte(m.Name), nil }
@@ -152,8 +155,8 @@
 	}
 }
 
-// lacking returns the number of instances that do not know configuration and servers.
-func (b *beginning) lacking() int {
+// unready returns the number of instances that do not know both the configuration and the servers.
+func (b *beginning) unready() int {
 	n := 0
 	for _, s := range b.sources {
 		for _, feed := range []follow.Feed{follow.FeedConfig, follow.FeedServers} {
@@ -166,18 +169,18 @@
 	return n
 }
 
-// until returns when all know everything, or the limit.
-func (b *beginning) until(limit time.Duration) time.Duration {
-	for time.Since(b.begun) < limit && b.lacking() > 0 {
+// awaitReady waits until all instances know both feeds or the limit has passed, and returns the time since the start.
+func (b *beginning) awaitReady(limit time.Duration) time.Duration {
+	for time.Since(b.begun) < limit && b.unready() > 0 {
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(b.begun)
 }
 
-// call is one call to the store, whose answer has so many bytes.
-func (b *beginning) call(ctx context.Context, price, bytes float64) error {
+// call simulates a call to the store with an answer of so many bytes.
+func (b *beginning) call(ctx context.Context, cost, bytes float64) error {
 	b.mu.Lock()
-	b.calls += price
+	b.calls += cost
 	b.mu.Unlock()
 	if time.Since(b.begun) < b.silentUntil {
 		<-ctx.Done()
@@ -185,52 +188,54 @@
 	}
 	latency := storeAnswer
 	if time.Since(b.begun) < b.slowUntil {
-		latency = slowTime
+		latency = slowStoreAnswer
 	}
 	select {
 	case <-time.After(latency):
 	case <-ctx.Done():
 	}
-	if err := b.store.carry(ctx, bytes); err != nil {
+	if err := b.store.transfer(ctx, bytes); err != nil {
 		return errors.Wrap(follow.ErrUnavailable, err.Error())
 	}
 	return nil
 }
 
-// lowPrice is that of a cheap reading or a renewal.
-const lowPrice = 0.1
+// lowCost is the cost of a cheap read or a renewal.
+const lowCost = 0.1
 
-// fleetStart is a start of a fleet before a store that is slow or silent at first.
+// fleetStart describes the start of a fleet while the store is slow or silent at first.
 type fleetStart struct {
 	name                           string
 	domains, each, strong, servers int
 	slow, silent, within           time.Duration
 }
 
-// aim and recovery are how long a fleet may take to start, and one of twice its size; callsEach bounds the calls of an instance.
 const (
-	aim       = 6 * time.Second
-	recovery  = 18 * time.Second
-	callsEach = 3
+	// startLimit is how long a fleet may take to start, and doubleStartLimit a fleet of twice its size. maxCallsEach bounds
+	// the cost of the calls to the store for each instance.
+	startLimit       = 6 * time.Second
+	doubleStartLimit = 18 * time.Second
+	maxCallsEach     = 3
 )
 
-// TestAFleetStartsBeforeTheLineOfTheStore starts a whole fleet, and one of twice the size, before an empty store whose line carries what it
-// does, also while the store is slow at first: everyone knows configuration and servers in time, with a few calls each.
-func TestAFleetStartsBeforeTheLineOfTheStore(t *testing.T) {
+// TestAFleetStartsWithinTheStoreBandwidth starts a whole fleet, and one of twice the size, while the store has no
+// registration records and its network link has a limited bandwidth; in some cases the store is also slow at first. All
+// instances must know configuration and servers in time, with a few calls each.
+func TestAFleetStartsWithinTheStoreBandwidth(t *testing.T) {
 	startFleets(t, []fleetStart{
-		{name: "985 instances", domains: 5, each: 197, strong: 10, servers: 3005, within: aim},
-		{name: "985 instances of one kind", domains: 5, each: 197, strong: 197, servers: 3005, within: aim},
-		{name: "985 instances, slow store", domains: 5, each: 197, strong: 10, servers: 3005, slow: 5 * time.Second, within: aim},
-		{name: "2000 instances", domains: 5, each: 400, strong: 10, servers: 6000, within: recovery},
-		{name: "2000 instances, slow store", domains: 5, each: 400, strong: 10, servers: 6000, slow: 5 * time.Second, within: recovery},
+		{name: "985 instances", domains: 5, each: 197, strong: 10, servers: 3005, within: startLimit},
+		{name: "985 instances of one kind", domains: 5, each: 197, strong: 197, servers: 3005, within: startLimit},
+		{name: "985 instances, slow store", domains: 5, each: 197, strong: 10, servers: 3005, slow: 5 * time.Second, within: startLimit},
+		{name: "2000 instances", domains: 5, each: 400, strong: 10, servers: 6000, within: doubleStartLimit},
+		{name: "2000 instances, slow store", domains: 5, each: 400, strong: 10, servers: 6000, slow: 5 * time.Second, within: doubleStartLimit},
 	})
 }
 
-// TestAFleetStartsAfterASilentStore is the same before a store that does not answer for the first 9 s.
+// TestAFleetStartsAfterASilentStore makes the same starts while the store does not answer for the first 9 s.
 func TestAFleetStartsAfterASilentStore(t *testing.T) {
 	startFleets(t, []fleetStart{
-		{name: "985 instances", domains: 5, each: 197, strong: 10, servers: 3005, silent: 9 * time.Second, within: aim},
-		{name: "2000 instances", domains: 5, each: 400, strong: 10, servers: 6000, silent: 9 * time.Second, within: recovery},
+		{name: "985 instances", domains: 5, each: 197, strong: 10, servers: 3005, silent: 9 * time.Second, within: startLimit},
+		{name: "2000 instances", domains: 5, each: 400, strong: 10, servers: 6000, silent: 9 * time.Second, within: doubleStartLimit},
 	})
 }
 
@@ -245,14 +250,14 @@
 				b = newBeginning(c.domains, c.each, c.strong, c.servers)
 				b.slowUntil, b.silentUntil = c.slow, c.silent
 				b.start(ctx)
-				took = b.until(c.slow + c.silent + 2*c.within)
+				took = b.awaitReady(c.slow + c.silent + 2*c.within)
 				cancel()
 				time.Sleep(settled + readTime)
 			})
-			t.Logf("%s, %d without news, %.0f calls, %.2f MB from the store", took, b.lacking(), b.calls, b.store.total/1e6)
-			require.Zero(t, b.lacking())
+			t.Logf("%s, %d without both feeds, %.0f calls, %.2f MB from the store", took, b.unready(), b.calls, b.store.total/1e6)
+			require.Zero(t, b.unready())
 			require.LessOrEqual(t, took, c.slow+c.silent+c.within)
-			require.LessOrEqual(t, b.calls, float64(callsEach*len(b.members)))
+			require.LessOrEqual(t, b.calls, float64(maxCallsEach*len(b.members)))
 		})
 	}
 }
--- a/relay/source.go
+++ b/relay/source.go
@@ -18,59 +18,61 @@
 )
 
 const (
-	// readTime bounds the reading of a whole feed, of which each page has its own bound: a store that is slow is read to the end.
+	// readTime bounds the reading of a full feed. Each page has its own bound, so a store that is slow is read to the end.
 	readTime = 20 * time.Second
-	// settledTime is how long an instance must have followed the store itself to count as one that does, if it is not the
-	// relay of its domain: relays that were lost for a moment come back.
+	// settledTime is how long an instance that is not the relay of its domain must have followed the store itself to count as
+	// direct, since a relay that was lost for a moment may come back.
 	settledTime = 3 * time.Second
 )
 
-// lateTime is how long after its last answer a feed counts as late: longer than a relay holds a question.
-const lateTime = peerWait + 100*time.Millisecond
+// lateTime is how long after its last answer a feed counts as late: longer than a relay holds a poll.
+const lateTime = pollHold + 100*time.Millisecond
 
-// feeds is the number of feeds that are followed: configuration, servers and quarantine.
+// feeds is the number of feeds: configuration, servers and quarantine.
 const feeds = 3
 
-// Fleet tells what instances there are.
+// Fleet says which instances there are.
 type Fleet interface {
-	// Members returns the instances that have records; it is empty before the first count.
+	// Members returns the instances that have registration records; it is empty until the records were first read.
 	Members() []census.Instance
-	// Records returns the records.
+	// Records returns the registration records.
 	Records() []census.Record
 	// Empty reports whether the records were read and there were none.
 	Empty() bool
-	// Changed returns what is closed when the records or the key change.
+	// Changed returns a channel that is closed when the records or the key change.
 	Changed() <-chan struct{}
 	// Instances returns the number of instances.
 	Instances() int
-	// Counts returns the numbers of instances that the relays of the domains have counted, and NoteCounts keeps newer ones.
+	// Counts returns the number of instances of each domain that its relay has counted; NoteCounts records newer numbers.
 	Counts() map[string]int
 	NoteCounts(counts map[string]int)
-	// Key returns what the instances prove themselves with to each other; it is empty while it is not known.
+	// Key returns the fleet key, by which instances authenticate to each other; it is empty while it is not known.
 	Key() []byte
 }
 
-// Self says which instance this is and from how many instances on relays are used.
+// Self identifies this instance and says when relays are used.
 type Self struct {
 	Name   string
 	Domain string
-	// Addr is the address for calls of other instances; it is empty when there are none.
+	// Addr is the address for calls of other instances; it is empty if the instance accepts none.
 	Addr string
-	// From is the number of instances from which relays are used; with fewer, each watches the store itself.
+	// From is the number of instances from which relays are used; in a smaller fleet each instance follows the store itself.
 	From int
-	// ApplyTime is how long after its acceptance a configuration may not be in force yet.
+	// ApplyTime is how long after its acceptance a configuration may take to be in force.
 	ApplyTime time.Duration
 }
 
-// leastApply is the shortest ApplyTime that is kept through relays: one that falls silent says so after 2.6 s.
-const leastApply = 3 * time.Second
+// minApplyTime is the shortest ApplyTime that can be met through relays: a relay that no longer gets updates says so after up
+// to 2.6 s.
+const minApplyTime = 3 * time.Second
 
-// relays reports whether so many instances use relays, of whom so many have records.
+// relays reports whether the fleet uses relays; members is the number of instances with registration records, and instances
+// the number of all.
 func (s Self) relays(members, instances int) bool {
-	return members > 0 && max(members, instances) >= s.From && s.ApplyTime >= leastApply
+	return members > 0 && max(members, instances) >= s.From && s.ApplyTime >= minApplyTime
 }
 
-// Source follows the store, by itself or through a relay; it implements follow.Source.
+// Source follows the store, either itself or through a relay; it implements follow.Source.
 type Source struct {
 	self  Self
 	store Store
@@ -80,34 +82,36 @@
 	stats *metrics.Registry
 	log   *logrus.Logger
 	logs  [feeds]*feedLog
-	// stopped is true once the instance serves other instances no more.
+	// stopped is true once the instance no longer serves other instances.
 	stopped atomic.Bool
 	epoch   *epoch
 	tally   *tally
 	words   Words
 	ends    Ends
 	begun   time.Time
-	// worse is when a server last turned bad by the word of another instance, in nanoseconds since begun.
+	// worse is when another instance last reported that a server has turned bad, in nanoseconds since begun.
 	worse atomic.Int64
 
-	ranking ranking
+	upstreamCache upstreamCache
 
 	mu sync.Mutex
-	// sent is up to when the own words were passed on, and marks how far others have passed on theirs, by address.
-	sent  time.Time
+	// sent is the moment up to which this instance has passed on its own reports on servers.
+	sent time.Time
+	// marks holds the Mark of the last answer of each other instance, by address.
 	marks map[string]time.Duration
-	// sparing decides about the store while relays refuse.
-	sparing sparing
-	// left says until when ways that failed are left alone, by address.
-	left map[string]rest
-	// using holds the way that each feed uses, and since when.
-	using [feeds]way
-	since [feeds]time.Time
-	// answered is when each feed was last answered.
+	// breaker decides whether the store is asked while relays refuse.
+	breaker storeBreaker
+	// backoffs says until when upstreams that failed are not asked, by address.
+	backoffs map[string]backoff
+	// using holds the upstream that each feed uses, and usingSince since when.
+	using      [feeds]upstream
+	usingSince [feeds]time.Time
+	// answered is when each feed was last answered by an upstream.
 	answered [feeds]time.Time
-	// helpers are those to which others are referred, and helper is the one that this instance was referred to, by feed.
-	helpers helpers
-	helper  [feeds]way
+	// directPeers are the instances to which others are referred. referral is the instance to which this one was referred, by
+	// feed.
+	directPeers directPeers
+	referral    [feeds]upstream
 	// random returns numbers that are uniform in [0, 1).
 	random func() float64
 }
@@ -118,26 +122,26 @@
 ) *Source {
 	return &Source{
 		self: self, store: store, fleet: fleet, words: words, ends: ends, begun: clock.Now(), marks: map[string]time.Duration{}, peers: linked{client: links}, clock: clock, stats: stats, log: log,
-		logs: [feeds]*feedLog{newFeedLog(), newFeedLog(), newFeedLog()}, epoch: newEpoch(), tally: newTally(clock), left: map[string]rest{}, sparing: sparing{apply: self.ApplyTime},
+		logs: [feeds]*feedLog{newFeedLog(), newFeedLog(), newFeedLog()}, epoch: newEpoch(), tally: newTally(clock), backoffs: map[string]backoff{}, breaker: storeBreaker{apply: self.ApplyTime},
 		random: rand.Float64,
 	}
 }
 
-// Stop makes the instance refuse the questions of others, so that they ask elsewhere at once.
+// Stop makes the instance refuse the polls of others, so that they ask elsewhere at once.
 func (s *Source) Stop() {
 	s.stopped.Store(true)
-	s.refuse()
+	s.stopServing()
 }
 
-// refuse ends the service to other instances until the feeds are heard from the store again.
-func (s *Source) refuse() {
+// stopServing makes the instance refuse the polls of others until it follows the feeds in the store again.
+func (s *Source) stopServing() {
 	for _, l := range s.logs {
 		l.lose()
 	}
 }
 
 // Direct reports whether the instance follows the store itself: as the relay of its domain, because there are no relays, or
-// because it has found none for a while. It is false until the instances were counted.
+// because it has found none for a while. It is false until the member list is known.
 func (s *Source) Direct() bool {
 	switch {
 	case s.ways() == nil:
@@ -147,16 +151,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	since := s.since[follow.FeedConfig]
-	// Before the first news it is not known whom the instance follows; in a start of many they would all ask for the right to give orders.
+	since := s.usingSince[follow.FeedConfig]
+	// Before the first update it is not known which upstream the instance follows. If instances counted as direct until then,
+	// all that start together would ask for the right to give orders.
 	return !since.IsZero() && s.using[follow.FeedConfig].direct() && s.clock.Since(since) >= settledTime
 }
 
-// Read implements follow.Source. An instance that starts asks a relay; afterwards whole feeds are read from the store only,
-// since what another instance has may be older than what is known here.
+// Read implements follow.Source. An instance that starts asks a relay. Later, full feeds are read from the store only, since
+// what another instance has may be older than what is known here.
 func (s *Source) Read(ctx context.Context, feed follow.Feed) (follow.News, error) {
 	if at, _ := s.logs[feed].reached(); at == 0 {
-		if h, ok := s.readRelay(ctx, feed); ok {
+		if h, ok := s.readFromRelay(ctx, feed); ok {
 			s.logs[feed].restart(h, false)
 			return s.news(h), nil
 		}
@@ -166,7 +171,7 @@
 	defer cancel()
 	records, at, err := s.store.ReadFeed(ctx, feed)
 	if err != nil {
-		s.lost()
+		s.storeLost()
 		return follow.News{}, err
 	}
 	h := heard{records: records, at: at, known: asked}
@@ -175,7 +180,7 @@
 			"feed": feed.String(), "at": at.Revision(), "held": held.Revision(), "era": at.Era(), "held_era": held.Era(),
 		}).Warn("feed read at an earlier position")
 	}
-	s.epoch.sound()
+	s.epoch.markHealthy()
 	s.logs[feed].restart(h, true)
 	return s.news(h), nil
 }
@@ -183,63 +188,65 @@
 // Next implements follow.Source.
 func (s *Source) Next(ctx context.Context, feed follow.Feed, after follow.Position) (follow.News, error) {
 	var last error
-	ways := s.usable(feed)
-	for i := 0; i < len(ways); i++ {
-		w := ways[i]
-		if w.direct() && !s.asksStore(feed) {
+	upstreams := s.usableUpstreams(feed)
+	for i := 0; i < len(upstreams); i++ {
+		u := upstreams[i]
+		if u.direct() && !s.mayAskStore(feed) {
 			continue
 		}
 		asked := s.clock.Now()
-		h, err := s.from(ctx, w, feed, after, i > 0 && s.late(feed))
+		h, err := s.pollUpstream(ctx, u, feed, after, i > 0 && s.late(feed))
 		switch {
 		case err == nil:
-			s.note(feed, w, asked, nil)
-			s.logs[feed].extend(h, w.direct())
+			s.noteResult(feed, u, asked, nil)
+			s.logs[feed].extend(h, u.direct())
 			return s.news(h), nil
 		case errors.Is(err, follow.ErrHistoryGone) || ctx.Err() != nil:
 			return follow.News{}, err
-		case errors.Is(err, errInDoubt):
+		case errors.Is(err, errStoreSuspect):
 			last = err
 			continue
 		}
-		s.note(feed, w, asked, err)
-		ways = s.referred(ways, i+1, feed, err)
+		s.noteResult(feed, u, asked, err)
+		upstreams = s.insertReferral(upstreams, i+1, feed, err)
 		last = err
 	}
 	if last == nil {
-		last = errors.Wrap(follow.ErrUnavailable, "no relay hears the store")
+		last = errors.Wrap(follow.ErrUnavailable, "no relay can reach the store")
 	}
 	return follow.News{}, last
 }
 
-// late reports whether a feed has brought nothing for so long that the next place is asked for what there is, and not to wait. While it is
-// not, places that have failed are passed over at the pace of those that answer: a relay that the store turned away would ask it without a
-// pause otherwise.
+// late reports whether a feed has had no answer for so long that the next upstream is asked for what it has at once, without
+// a wait for updates. While the feed is not late, the next upstream may hold the poll, which limits how often the upstreams
+// that failed are asked again: otherwise a relay that the store rejects would ask it without a pause.
 func (s *Source) late(feed follow.Feed) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.clock.Since(s.answered[feed]) > lateTime
 }
 
-func (s *Source) from(ctx context.Context, w way, feed follow.Feed, after follow.Position, hurry bool) (heard, error) {
-	if !w.direct() {
-		h, err := s.ask(ctx, w.addr, poll{Feed: feed, After: after, Hurry: hurry})
+// pollUpstream asks one upstream for updates of a feed.
+func (s *Source) pollUpstream(ctx context.Context, u upstream, feed follow.Feed, after follow.Position, noWait bool) (heard, error) {
+	if !u.direct() {
+		h, err := s.ask(ctx, u.addr, poll{Feed: feed, After: after, NoWait: noWait})
 		if errors.Is(err, errBehind) {
-			return s.catchUp(ctx, w, feed, after)
+			return s.catchUp(ctx, u, feed, after)
 		}
 		return h, err
 	}
-	h, err := s.watch(ctx, feed, after, hurry)
-	if err != nil && ctx.Err() == nil && !errors.Is(err, follow.ErrHistoryGone) && !errors.Is(err, errInDoubt) {
-		s.lost()
+	h, err := s.watchStore(ctx, feed, after, noWait)
+	if err != nil && ctx.Err() == nil && !errors.Is(err, follow.ErrHistoryGone) && !errors.Is(err, errStoreSuspect) {
+		s.storeLost()
 	}
 	return h, err
 }
 
-// catchUp has the whole feed from a relay whose history does not reach back to a position, and returns what is new of it: instances that start
-// together read the feeds at different moments, and all whose relay had read a feed last asked the store otherwise.
-func (s *Source) catchUp(ctx context.Context, w way, feed follow.Feed, after follow.Position) (heard, error) {
-	h, err := s.ask(ctx, w.addr, poll{Feed: feed, Whole: true})
+// catchUp gets the full feed from a relay whose history does not reach back to a position, and returns what changed since.
+// Instances that start together read the feeds at different moments; without catchUp, all instances whose relay read a feed
+// after they did would ask the store.
+func (s *Source) catchUp(ctx context.Context, u upstream, feed follow.Feed, after follow.Position) (heard, error) {
+	h, err := s.ask(ctx, u.addr, poll{Feed: feed, Whole: true})
 	if err != nil {
 		return heard{}, err
 	}
@@ -250,6 +257,7 @@
 	return h, nil
 }
 
+// news converts a result to follow.News.
 func (s *Source) news(h heard) follow.News {
 	return follow.News{Changes: s.store.Decode(h.records), At: h.at, Known: h.known}
 }
