--- a/admit/gate.go
+++ b/admit/gate.go
@@ -76,13 +76,13 @@
 	g.admitWaiting()
 }
 
-// Offered returns the offered load: the number of slots that would serve all requests that arrive here, refused ones
+// OfferedLoad returns the offered load: the number of slots that would serve all requests that arrive here, refused ones
 // included. It is the mean arrival rate times the mean run time, and at least the number of running requests. It must be
 // called at regular intervals, because each call ends an interval of the arrival rate.
 //
 // The number of running and queued requests is no measure of the load, because it depends on the limit: an instance with a
 // higher limit would ask for still more.
-func (g *Gate) Offered() float64 {
+func (g *Gate) OfferedLoad() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
@@ -208,8 +208,8 @@
 	g.recent[t.owner] += cost
 }
 
-// Leave releases the slot; further calls do nothing.
-func (t *Ticket) Leave() {
+// Release releases the slot; further calls do nothing.
+func (t *Ticket) Release() {
 	t.releaseOnce.Do(func() {
 		g := t.gate
 		g.mu.Lock()
--- a/app/checks.go
+++ b/app/checks.go
@@ -20,7 +20,7 @@
 // checks answers the balancer's checks and the scrapes of metrics and profiles of a hosted instance.
 type checks struct {
 	set     *config.Hosted
-	board   *follow.Board
+	board   *follow.FleetView
 	front   *front.Server
 	handler *forward.Handler
 	clock   *timer.Service
@@ -32,7 +32,7 @@
 }
 
 func newChecks(
-	set *config.Hosted, board *follow.Board, server *front.Server, handler *forward.Handler,
+	set *config.Hosted, board *follow.FleetView, server *front.Server, handler *forward.Handler,
 	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *checks {
 	return &checks{set: set, board: board, front: server, handler: handler, clock: clock, stats: stats, log: log}
@@ -83,7 +83,7 @@
 	if c.front.Full() {
 		return "no room for connections", false
 	}
-	if service := c.handler.Pathless(); service != "" {
+	if service := c.handler.ServiceWithoutPath(); service != "" {
 		return "no whole path for " + service, false
 	}
 	return "ready", true
--- a/app/claims.go
+++ b/app/claims.go
@@ -15,12 +15,12 @@
 	"junctioncross/timer"
 )
 
-func newKeeper(set *config.Settings, self control.Self, store kv.Store, clock *timer.Service, stats *metrics.Registry) *claim.Keeper {
-	return claim.NewKeeper(store, clock, stats, self.Process(), set.Limits.ClaimPartitions)
+func newKeeper(set *config.Settings, self control.Self, store kv.Store, clock *timer.Service, stats *metrics.Registry) *claim.Logs {
+	return claim.NewLogs(store, clock, stats, self.Process(), set.Limits.ClaimPartitions)
 }
 
 // newClaims settles claims on the instances that write them, over the links between instances.
-func newClaims(keeper *claim.Keeper, loop *control.Loop, links *link.Client, mux *link.Mux, stats *metrics.Registry) claim.Asker {
+func newClaims(keeper *claim.Logs, loop *control.Loop, links *link.Client, mux *link.Mux, stats *metrics.Registry) claim.Claimer {
 	link.Handle(mux, link.KindClaim, func(ctx context.Context, _ keys.Identity, c claim.Claim) (claim.Answer, error) {
 		v, err := keeper.Ask(ctx, c)
 		return claim.ToAnswer(v), err
--- a/app/health.go
+++ b/app/health.go
@@ -14,13 +14,13 @@
 
 // health answers the balancer's checks, the scrapes of metrics and profiles.
 type health struct {
-	board   *view.Board
+	board   *view.SnapshotHolder
 	entry   *entry.Handler
 	stats   *metrics.Registry
 	leaving atomic.Bool
 }
 
-func newHealth(board *view.Board, handler *entry.Handler, stats *metrics.Registry) *health {
+func newHealth(board *view.SnapshotHolder, handler *entry.Handler, stats *metrics.Registry) *health {
 	return &health{board: board, entry: handler, stats: stats}
 }
 
--- a/app/hosted.go
+++ b/app/hosted.go
@@ -60,7 +60,7 @@
 	Loop    *follow.Loop
 	Leader  *leader.Leader
 	Census  *census.Census
-	Rolls   *relay.Rolls
+	Rolls   *relay.Registry
 	Relay   *relay.Source
 	Links   *link.Client
 	Trust   link.Trust
@@ -111,17 +111,17 @@
 		func() call.Codec { return platform.Codec{} },
 		func(s *platform.Store) relay.Store { return platform.NewFeeds(s) },
 		func(s *relay.Source) follow.Source { return s },
-		func(s *relay.Source) leader.Place { return s },
-		func(s *platform.Store) leader.Claim { return platform.NewClaims(s) },
-		func(b *census.Board) forward.Instances { return b },
-		func(b *census.Board) relay.Fleet { return b },
-		func(b *follow.Board) relay.Words { return b },
-		func(t *quarantine.Teller) relay.Ends { return t },
-		func(t *quarantine.Teller) forward.Teller { return t },
-		newBook, newQuarantineRegister, quarantine.NewTeller,
-		func(b *census.Board) link.Trust { return keys.NewFleetKeyFrom(b.Key) },
-		func(clock *timer.Service) backend.Caller { return platform.NewEngines(clock) },
-		timer.NewSuspendable, metrics.New, follow.NewBoard, follow.New, newQueue, newHostedLog, decision.NewRecorder, hostedTerms,
+		func(s *relay.Source) leader.Upstream { return s },
+		func(s *platform.Store) leader.Lock { return platform.NewLeaderLock(s) },
+		func(b *census.View) forward.Instances { return b },
+		func(b *census.View) relay.Fleet { return b },
+		func(b *follow.FleetView) relay.SharedReports { return b },
+		func(t *quarantine.Publisher) relay.Ends { return t },
+		func(t *quarantine.Publisher) forward.EndPublisher { return t },
+		newBook, newQuarantineRegister, quarantine.NewPublisher,
+		func(b *census.View) link.Trust { return keys.NewFleetKeyFrom(b.Key) },
+		func(clock *timer.Service) backend.EngineClient { return platform.NewEngineClient(clock) },
+		timer.NewSuspendable, metrics.New, follow.NewFleetView, follow.New, newQueue, newHostedLog, decision.NewRecorder, hostedTerms,
 		forward.New, newFront, newOrderLeader, newChecks, newCensusBoard, newRolls, newCensus, relaySelf, relay.New, link.NewClient,
 	)
 }
@@ -134,8 +134,8 @@
 	return newLogger(queue, set.Log, instanceHook{name: set.Instance.Name, domain: set.Instance.Domain})
 }
 
-func hostedTerms(set *config.Hosted) forward.Terms {
-	terms := forward.Terms{
+func hostedTerms(set *config.Hosted) forward.Settings {
+	terms := forward.Settings{
 		Domain: set.Instance.Domain, StallTime: set.Engines.StallTime,
 		Repeats:   retry.Limit{Window: set.Repeats.Window, Share: repeatsShare * set.Repeats.Share, Fixed: repeatsShare * set.Repeats.Slack},
 		DrainTime: set.Engines.DrainTime, LongestBackOff: set.Servers.LongestBackOff,
@@ -148,14 +148,14 @@
 
 func newBook(set *config.Hosted) *quarantine.Book {
 	q := set.Quarantine
-	return quarantine.NewBook(quarantine.Terms{Ends: q.Ends, EndsOfOne: q.EndsOfOne, Keep: q.Keep, Most: q.Most})
+	return quarantine.NewBook(quarantine.Settings{Ends: q.Ends, EndsOfOne: q.EndsOfOne, Keep: q.Keep, MaxRequests: q.Most})
 }
 
-func newQuarantineRegister(set *config.Hosted, store *platform.Store, clock *timer.Service) quarantine.Register {
-	return platform.NewQuarantines(store, clock, set.Quarantine.Keep)
+func newQuarantineRegister(set *config.Hosted, store *platform.Store, clock *timer.Service) quarantine.EndStore {
+	return platform.NewEndStore(store, clock, set.Quarantine.Keep)
 }
 
-func newFront(codec call.Codec, handler *forward.Handler, board *follow.Board, clock *timer.Service, stats *metrics.Registry) *front.Server {
+func newFront(codec call.Codec, handler *forward.Handler, board *follow.FleetView, clock *timer.Service, stats *metrics.Registry) *front.Server {
 	limits := func() catalog.Limits {
 		if c := board.Current().Catalog(); c != nil {
 			return c.Limits()
@@ -165,10 +165,10 @@
 	return front.New(codec, handler, limits, mostConnections, clock, stats)
 }
 
-func newCensusBoard(set *config.Hosted) *census.Board { return census.NewBoard(set.Relays.From) }
+func newCensusBoard(set *config.Hosted) *census.View { return census.NewView(set.Relays.From) }
 
 func newCensus(
-	ctx context.Context, set *config.Hosted, board *census.Board, rolls *relay.Rolls, clock *timer.Service, stats *metrics.Registry,
+	ctx context.Context, set *config.Hosted, board *census.View, rolls *relay.Registry, clock *timer.Service, stats *metrics.Registry,
 	log *logrus.Logger,
 ) *census.Census {
 	self := census.Instance{
@@ -180,18 +180,18 @@
 
 func relaySelf(set *config.Hosted) relay.Self {
 	return relay.Self{
-		Name: set.Instance.Name, Domain: set.Instance.Domain, Addr: set.Listen.Peers, From: set.Relays.From, ApplyTime: set.Relays.ApplyTime,
+		Name: set.Instance.Name, Domain: set.Instance.Domain, Addr: set.Listen.Peers, RelaysFrom: set.Relays.From, ApplyTime: set.Relays.ApplyTime,
 	}
 }
 
 func newRolls(
 	self relay.Self, store *platform.Store, fleet relay.Fleet, links *link.Client, clock *timer.Service,
-) *relay.Rolls {
-	return relay.NewRolls(self, platform.NewRegisters(store), fleet, links, clock)
+) *relay.Registry {
+	return relay.NewRegistry(self, platform.NewInstanceRegistry(store), fleet, links, clock)
 }
 
 func newOrderLeader(
-	ctx context.Context, set *config.Hosted, claim leader.Claim, place leader.Place, board *follow.Board, caller backend.Caller,
+	ctx context.Context, set *config.Hosted, claim leader.Lock, place leader.Upstream, board *follow.FleetView, caller backend.EngineClient,
 	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *leader.Leader {
 	holder := set.Instance.Name + "/" + strconv.FormatInt(clock.Now().UnixNano(), 36)
@@ -208,7 +208,7 @@
 	defer i.Front.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { i.Clock.Watch(ctx, i.tellGap) }()
+	go func() { i.Clock.WatchSuspension(ctx, i.tellGap) }()
 	if err := i.Checks.listen(); err != nil {
 		return err
 	}
@@ -262,7 +262,7 @@
 		return
 	}
 	restart := r.Settings.Listen != i.Set.Listen || r.Settings.Store != i.Set.Store || r.Settings.Instance != i.Set.Instance
-	i.Handler.SetTerms(hostedTerms(r.Settings))
+	i.Handler.ApplySettings(hostedTerms(r.Settings))
 	i.Log.WithField("needs_restart", restart).Info("settings reloaded")
 }
 
--- a/app/provide.go
+++ b/app/provide.go
@@ -34,8 +34,8 @@
 	return provide(
 		func() context.Context { return ctx },
 		func() *config.Settings { return set },
-		timer.NewReal, metrics.New, newErrorQueue, newLog, decision.NewRecorder, newRing, func(r *keys.Ring) link.Trust { return r }, newStore, newSelf, newGates, newKeeper, newClaims, newEntry, newCluster, newLeader, newLoop,
-		revision.NewStore, revision.NewKeeper, view.NewBoard, engine.NewCaller, pool.New, pipeline.New,
+		timer.NewReal, metrics.New, newErrorQueue, newLog, decision.NewRecorder, newRing, func(r *keys.CertReloader) link.Trust { return r }, newStore, newSelf, newGates, newKeeper, newClaims, newEntry, newCluster, newLeader, newLoop,
+		revision.NewStore, revision.NewKeeper, view.NewSnapshotHolder, engine.NewClient, pool.New, pipeline.New,
 		service.New, link.NewMux, link.NewClient, operator.New,
 	)
 }
@@ -89,8 +89,8 @@
 	return nil
 }
 
-func newRing(set *config.Settings) (*keys.Ring, error) {
-	return keys.NewRing(keys.Files{Authority: set.Keys.Authority, Certificate: set.Keys.Certificate, Key: set.Keys.Key})
+func newRing(set *config.Settings) (*keys.CertReloader, error) {
+	return keys.NewCertReloader(keys.Files{Authority: set.Keys.Authority, Certificate: set.Keys.Certificate, Key: set.Keys.Key})
 }
 
 func newStore(set *config.Settings, stats *metrics.Registry) kv.Store {
@@ -116,11 +116,11 @@
 type entryParts struct {
 	dig.In
 
-	Board   *view.Board
+	Board   *view.SnapshotHolder
 	Gates   *admit.Gates
 	Runner  *pipeline.Runner
 	Forward *service.Forwarder
-	Claims  claim.Asker
+	Claims  claim.Claimer
 	Clock   *timer.Service
 	Stats   *metrics.Registry
 	Record  *decision.Recorder
@@ -136,10 +136,10 @@
 
 	Store  *revision.Store
 	Keeper *revision.Keeper
-	Board  *view.Board
+	Board  *view.SnapshotHolder
 	Gates  *admit.Gates
 	Pool   *pool.Pool
-	Caller *engine.Caller
+	Caller *engine.Client
 	Links  *link.Client
 	Clock  *timer.Service
 	Stats  *metrics.Registry
@@ -148,7 +148,7 @@
 
 func newLoop(ctx context.Context, self control.Self, mux *link.Mux, p loopParts) *control.Loop {
 	loop := control.New(ctx, self, control.Deps{
-		Store: p.Store, Keeper: p.Keeper, Board: p.Board, Gates: p.Gates, Pool: p.Pool, Caller: p.Caller,
+		Store: p.Store, Keeper: p.Keeper, Board: p.Board, Gates: p.Gates, Pool: p.Pool, Engines: p.Caller,
 		Links: p.Links, Clock: p.Clock, Stats: p.Stats, Log: p.Log,
 	})
 	loop.Register(mux)
@@ -160,7 +160,7 @@
 }
 
 func newLeader(
-	ctx context.Context, loop *control.Loop, store kv.Store, self control.Self, caller *engine.Caller,
+	ctx context.Context, loop *control.Loop, store kv.Store, self control.Self, caller *engine.Client,
 	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *order.Leader {
 	return order.New(ctx, loop, order.NewLease(store, clock, self.Domain, self.Process()), caller, clock, stats, log)
--- a/app/run.go
+++ b/app/run.go
@@ -43,8 +43,8 @@
 	Loop   *control.Loop
 	Leader *order.Leader
 	Mux    *link.Mux
-	Ring   *keys.Ring
-	Board  *view.Board
+	Ring   *keys.CertReloader
+	Board  *view.SnapshotHolder
 	Clock  *timer.Service
 	Stats  *metrics.Registry
 	Queue  *decision.Queue
@@ -137,7 +137,7 @@
 // listen opens the callers', operators' and health listeners.
 func (i *instance) listen(health *health) ([]*fasthttp.Server, error) {
 	callers := &fasthttp.Server{
-		Handler: i.Entry.Routes(), ErrorHandler: i.Entry.Broken, MaxRequestBodySize: i.Set.Limits.BodyBytes,
+		Handler: i.Entry.Routes(), ErrorHandler: i.Entry.HandleReadError, MaxRequestBodySize: i.Set.Limits.BodyBytes,
 		ReadTimeout: i.Set.Limits.IdleTime, WriteTimeout: writeTimeout, IdleTimeout: i.Set.Limits.IdleTime,
 		Concurrency: i.Set.Limits.Connections, NoDefaultServerHeader: true, ReduceMemoryUsage: true,
 		Logger: quiet{}, StreamRequestBody: false,
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -60,7 +60,7 @@
 			return c, nil
 		}
 	}
-	dialer := once.AliveDialer(dialTimeout, unacknowledgedTimeout)
+	dialer := once.KeepAliveDialer(dialTimeout, unacknowledgedTimeout)
 	c, err := dialer.DialContext(ctx, "tcp4", s.addr)
 	if err != nil {
 		return nil, errors.Wrap(ErrDial, err.Error())
--- a/backend/limit.go
+++ b/backend/limit.go
@@ -18,10 +18,10 @@
 	pacer   retry.Pacer
 }
 
-// NameLimit applies what an answer says of the server's rate limit, and reports whether that changed the limit; sent is when the
+// UpdateLimit applies what an answer says of the server's rate limit, and reports whether that changed the limit; sent is when the
 // answered request was sent. A limit that cannot be parsed changes nothing. An answer without a limit ends the limit only if its
 // request was sent after the last answer that named one, since answers on different connections overtake each other.
-func (s *Server) NameLimit(l call.Limit, sent, now time.Time) bool {
+func (s *Server) UpdateLimit(l call.Limit, sent, now time.Time) bool {
 	k := &s.limiter
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -48,8 +48,8 @@
 	return k.readyLocked(instances, now)
 }
 
-// TakeTurn is like WithinLimit, but uses up the permit: if it returns true, the caller must send a request.
-func (s *Server) TakeTurn(instances int, now time.Time) bool {
+// TakePermit is like WithinLimit, but uses up the permit: if it returns true, the caller must send a request.
+func (s *Server) TakePermit(instances int, now time.Time) bool {
 	k := &s.limiter
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -60,9 +60,9 @@
 	return true
 }
 
-// NextTurn returns when the server's rate limit lets this instance send the next request, and the time between two requests;
+// NextPermit returns when the server's rate limit lets this instance send the next request, and the time between two requests;
 // instances is the number of instances that share the limit. False means that the server names no limit.
-func (s *Server) NextTurn(instances int) (next time.Time, period time.Duration, limited bool) {
+func (s *Server) NextPermit(instances int) (next time.Time, period time.Duration, limited bool) {
 	k := &s.limiter
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/backend/memory.go
+++ b/backend/memory.go
@@ -28,9 +28,9 @@
 	s.reportSource = reportSource{queriedAt: now, learnedAt: now, own: true}
 }
 
-// NoRoom records that the server refused work for lack of memory. It counts as full for fullBackOff, so that there is time for
+// NoteMemoryFull records that the server refused work for lack of memory. It counts as full for fullBackOff, so that there is time for
 // its report to show which requests have ended since.
-func (s *Server) NoRoom(now time.Time) {
+func (s *Server) NoteMemoryFull(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.memory.refusedAt = now
@@ -56,9 +56,9 @@
 	return max(m.used+change, 0) / m.total, true
 }
 
-// Crowded reports whether requests waited on the server at its last report, if that is no older than age. Requests that have not
+// HasQueue reports whether requests waited on the server at its last report, if that is no older than age. Requests that have not
 // begun may be among the waiting ones.
-func (s *Server) Crowded(now time.Time, age time.Duration) bool {
+func (s *Server) HasQueue(now time.Time, age time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.memory.waiting > 0 && now.Sub(s.memory.at) <= age
--- a/backend/memory_test.go
+++ b/backend/memory_test.go
@@ -41,7 +41,7 @@
 	now := time.Unix(100, 0)
 	s := backend.NewServer(backend.Entry{ID: "s"})
 	s.SetMemory(100, 1000, 0, now)
-	s.NoRoom(now)
+	s.NoteMemoryFull(now)
 	filled, known := s.Filled(now, maxReportAge, 1)
 	require.True(t, known)
 	require.InDelta(t, 1, filled, 1e-9)
--- a/backend/report.go
+++ b/backend/report.go
@@ -13,12 +13,12 @@
 var (
 	// ErrNoAnswer means that no answer came. The server may have carried out the call, or may do so later.
 	ErrNoAnswer = errors.New("backend: no answer")
-	// ErrNotThere means that nothing listens at the address. An error that is ErrNotThere is also ErrNoAnswer.
-	ErrNotThere = errors.New("backend: nothing listens at the address")
+	// ErrNotListening means that nothing listens at the address. An error that is ErrNotListening is also ErrNoAnswer.
+	ErrNotListening = errors.New("backend: nothing listens at the address")
 	// ErrStale means that the server's state has changed since the one that the order was decided on.
 	ErrStale = errors.New("backend: order does not fit the server's state")
-	// ErrUnknown means that the server does not know the request.
-	ErrUnknown = errors.New("backend: no such request")
+	// ErrUnknownRequest means that the server does not know the request.
+	ErrUnknownRequest = errors.New("backend: no such request")
 	// ErrGarbled means that the server's answer cannot be parsed as a report.
 	ErrGarbled = errors.New("backend: not a report")
 	// ErrRefused means that the server refused the call for any other reason.
@@ -53,14 +53,14 @@
 // notListening is an error that is both ErrNoAnswer and ErrNotThere.
 type notListening struct{ cause error }
 
-// NotThere returns the error of a call whose connection was refused.
-func NotThere(cause error) error { return notListening{cause: cause} }
+// NotListening returns the error of a call whose connection was refused.
+func NotListening(cause error) error { return notListening{cause: cause} }
 
 // Error implements error.
-func (e notListening) Error() string { return ErrNotThere.Error() + ": " + e.cause.Error() }
+func (e notListening) Error() string { return ErrNotListening.Error() + ": " + e.cause.Error() }
 
 // Is implements the interface that errors.Is uses.
-func (notListening) Is(target error) bool { return target == ErrNoAnswer || target == ErrNotThere }
+func (notListening) Is(target error) bool { return target == ErrNoAnswer || target == ErrNotListening }
 
 // Suspect is a server that seems to be stalled, according to another server on the path that waits for it.
 type Suspect struct {
@@ -90,13 +90,13 @@
 	return "backend: new path refused because of the server " + e.Addr
 }
 
-// Caller makes the calls to servers of chained engines that are not requests of callers.
-type Caller interface {
+// EngineClient makes the calls to servers of chained engines that are not requests of callers.
+type EngineClient interface {
 	// Report queries a server's state; it returns ErrNoAnswer, ErrGarbled or ErrRefused.
 	Report(ctx context.Context, addr string) (Report, error)
 	// Place orders a server to hold a range of layers; it returns ErrStale, ErrNoAnswer or ErrRefused.
 	Place(ctx context.Context, addr, id string, order PlaceOrder) error
 	// Repair gives a running request a new path with the same first server; it returns a *RepairError, ErrUnknown, ErrNoAnswer
 	// or ErrRefused.
-	Repair(ctx context.Context, addr, requestID string, path []call.Part) error
+	Repair(ctx context.Context, addr, requestID string, path []call.Stage) error
 }
--- a/backend/server.go
+++ b/backend/server.go
@@ -68,7 +68,7 @@
 	// reserved is the memory that the running requests will need, in tokens times layers.
 	reserved atomic.Int64
 
-	circuit retry.Guard
+	circuit retry.SyncCircuit
 
 	mu sync.Mutex
 	// asideUntil is when a server that was set aside may get work again.
@@ -125,14 +125,14 @@
 // Incarnation returns the server's incarnation.
 func (s *Server) Incarnation() Incarnation { return s.incarnation }
 
-// Over returns a context that ends once another incarnation of the server is known.
-func (s *Server) Over() context.Context { return s.ctx }
+// Context returns a context that ends once another incarnation of the server is known.
+func (s *Server) Context() context.Context { return s.ctx }
 
-// Finish records that another incarnation of the server is known: everything that this one was running is lost, and so are its
+// MarkReplaced records that another incarnation of the server is known: everything that this one was running is lost, and so are its
 // connections.
-func (s *Server) Finish() {
-	s.End()
-	s.Lapse()
+func (s *Server) MarkReplaced() {
+	s.MarkEnded()
+	s.MarkGone()
 	s.cancel()
 }
 
@@ -180,8 +180,8 @@
 	return now.Sub(since)
 }
 
-// End records that the server has terminated, so that it no longer runs anything.
-func (s *Server) End() { s.ended.Store(true) }
+// MarkEnded records that the server has terminated, so that it no longer runs anything.
+func (s *Server) MarkEnded() { s.ended.Store(true) }
 
 // Ended reports whether the server is known to have terminated.
 func (s *Server) Ended() bool { return s.ended.Load() }
@@ -190,23 +190,23 @@
 // that it leaves has terminated by then. One that leaves without saying so in its entry is assumed to go on serving.
 func (s *Server) Remove() {
 	if s.leaving.Load() {
-		s.End()
+		s.MarkEnded()
 	}
-	s.Lapse()
+	s.MarkGone()
 }
 
-// Lapse marks the server as gone like Remove, where its entry may have expired because the server could not renew it in the store:
+// MarkGone marks the server as gone like Remove, where its entry may have expired because the server could not renew it in the store:
 // whether it has terminated is not known.
-func (s *Server) Lapse() {
+func (s *Server) MarkGone() {
 	s.gone.Store(true)
 	s.closeIdle()
 }
 
-// Doubt sets whether the server is possibly leaving; new work is kept away from it while that is so.
-func (s *Server) Doubt(possibly bool) { s.possiblyLeaving.Store(possibly) }
+// SetPossiblyLeaving sets whether the server is possibly leaving; new work is kept away from it while that is so.
+func (s *Server) SetPossiblyLeaving(possibly bool) { s.possiblyLeaving.Store(possibly) }
 
-// Departs reports whether the server leaves or is possibly leaving.
-func (s *Server) Departs() bool { return s.Leaving() || s.possiblyLeaving.Load() }
+// PossiblyLeaving reports whether the server leaves or is possibly leaving.
+func (s *Server) PossiblyLeaving() bool { return s.Leaving() || s.possiblyLeaving.Load() }
 
 // Gone reports whether the server's entry was removed.
 func (s *Server) Gone() bool { return s.gone.Load() }
@@ -229,8 +229,8 @@
 	s.reserved.Add(-int64(memory))
 }
 
-// Start adds n to the number of requests for which the server runs the first stage; n is 1 or -1.
-func (s *Server) Start(n int) { s.firstStage.Add(int64(n)) }
+// AddFirstStage adds n to the number of requests for which the server runs the first stage; n is 1 or -1.
+func (s *Server) AddFirstStage(n int) { s.firstStage.Add(int64(n)) }
 
 // Node returns the server as a node of the graph that paths are chosen in; index identifies it there.
 func (s *Server) Node(index int, e *catalog.Engine) chain.Node {
--- a/backend/sharedreport.go
+++ b/backend/sharedreport.go
@@ -13,9 +13,9 @@
 	slowPace = 1.5
 )
 
-// Word is a shared report: what one instance knows of the state of a chained engine's server, as it passes it on to other
+// SharedReport is a shared report: what one instance knows of the state of a chained engine's server, as it passes it on to other
 // instances.
-type Word struct {
+type SharedReport struct {
 	// ID is the server's name.
 	ID string `cbor:"1,keyasint"`
 	// Born is the start time of the server's incarnation, in milliseconds since 1970; 0 means that the server did not say.
@@ -45,7 +45,7 @@
 }
 
 // bad reports whether the server that w describes should get no new work if other servers can take it.
-func (w Word) bad() bool { return w.Silent || w.Pace >= slowPace }
+func (w SharedReport) bad() bool { return w.Silent || w.Pace >= slowPace }
 
 // NoteAnswer records that the server answered a state query of this instance.
 func (s *Server) NoteAnswer(now time.Time) {
@@ -76,36 +76,36 @@
 	s.reportSource = reportSource{queriedAt: now, learnedAt: now, own: true, silent: true}
 }
 
-// Word returns the latest report on the server, if the instance learned of it after the given time; ownOnly leaves out reports
+// SharedReport returns the latest report on the server, if the instance learned of it after the given time; ownOnly leaves out reports
 // from other instances.
-func (s *Server) Word(after, now time.Time, ownOnly bool) (Word, bool) {
+func (s *Server) SharedReport(after, now time.Time, ownOnly bool) (SharedReport, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.reportSource.learnedAt.After(after) || ownOnly && !s.reportSource.own {
-		return Word{}, false
+		return SharedReport{}, false
 	}
 	return s.reportLocked(now), true
 }
 
 // reportLocked returns the latest report on the server; the caller holds the lock.
-func (s *Server) reportLocked(now time.Time) Word {
-	w := Word{ID: s.incarnation.ID, Born: s.incarnation.Born, Age: now.Sub(s.reportSource.queriedAt), Silent: s.reportSource.silent}
+func (s *Server) reportLocked(now time.Time) SharedReport {
+	w := SharedReport{ID: s.incarnation.ID, Born: s.incarnation.Born, Age: now.Sub(s.reportSource.queriedAt), Silent: s.reportSource.silent}
 	if !w.Silent {
 		w.Pace, w.Used, w.Total, w.Waiting = s.pace, s.memory.used, s.memory.total, s.memory.waiting
 	}
 	return w
 }
 
-// WordAge returns the age of the latest report on the server, whichever instance queried it.
-func (s *Server) WordAge(now time.Time) time.Duration {
+// ReportAge returns the age of the latest report on the server, whichever instance queried it.
+func (s *Server) ReportAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Sub(s.reportSource.queriedAt)
 }
 
-// Hear applies a report from another instance, if it is newer than the latest one. It reports whether the server was good by the
+// ApplySharedReport applies a report from another instance, if it is newer than the latest one. It reports whether the server was good by the
 // former report and is bad by this one: silent or slow.
-func (s *Server) Hear(w Word, now time.Time) bool {
+func (s *Server) ApplySharedReport(w SharedReport, now time.Time) bool {
 	at := now.Add(-w.Age)
 	s.mu.Lock()
 	if at.Sub(s.reportSource.queriedAt) < minNewer {
--- a/backend/stale_test.go
+++ b/backend/stale_test.go
@@ -19,7 +19,7 @@
 func TestAStaleServerGetsWorkOnceItsEntryNamesOtherLayers(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := backend.NewServer(holding(0, 3))
-	s.WasStale(now)
+	s.NoteStaleLayers(now)
 	require.False(t, s.Usable(now))
 	s.Update(holding(0, 3))
 	require.False(t, s.Usable(now), "the entry says nothing new")
@@ -30,7 +30,7 @@
 func TestAStaleServerGetsWorkAfterAWhileWithoutANewEntry(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := backend.NewServer(holding(0, 3))
-	s.WasStale(now)
+	s.NoteStaleLayers(now)
 	require.False(t, s.Usable(now.Add(999*time.Millisecond)))
 	require.True(t, s.Usable(now.Add(time.Second)))
 }
--- a/backend/status.go
+++ b/backend/status.go
@@ -38,11 +38,11 @@
 	}
 }
 
-// WasFull keeps new work away from a server that had no room. The time doubles with each call until TookWork is called; calls
+// NoteFull keeps new work away from a server that had no room. The time doubles with each call until TookWork is called; calls
 // while the server is set aside do not count.
-func (s *Server) WasFull(now time.Time) {
+func (s *Server) NoteFull(now time.Time) {
 	s.mu.Lock()
-	pause := retry.Doubled(fullBackOff, maxFullBackOff, s.refusals)
+	pause := retry.Backoff(fullBackOff, maxFullBackOff, s.refusals)
 	if !now.Before(s.asideUntil) {
 		s.refusals++
 	}
@@ -50,15 +50,15 @@
 	s.SetAside(now.Add(pause))
 }
 
-// TookWork records that the server accepted work, so that its earlier refusals no longer count.
-func (s *Server) TookWork() {
+// NoteAccepted records that the server accepted work, so that its earlier refusals no longer count.
+func (s *Server) NoteAccepted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusals = 0
 }
 
-// MayAsk reports whether the server's state may be queried now. If so, it records a query: the caller must make it.
-func (s *Server) MayAsk(now time.Time) bool {
+// TryQuery reports whether the server's state may be queried now. If so, it records a query: the caller must make it.
+func (s *Server) TryQuery(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.mayQueryLocked(now) {
@@ -68,8 +68,8 @@
 	return true
 }
 
-// Askable reports whether the server's state may be queried now. It records nothing.
-func (s *Server) Askable(now time.Time) bool {
+// MayQuery reports whether the server's state may be queried now. It records nothing.
+func (s *Server) MayQuery(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.mayQueryLocked(now)
@@ -94,9 +94,9 @@
 	return s.pace
 }
 
-// WasStale keeps new work away from a server that does not hold the layers of its entry, until the entry names other layers or
+// NoteStaleLayers keeps new work away from a server that does not hold the layers of its entry, until the entry names other layers or
 // maxStaleTime is over.
-func (s *Server) WasStale(now time.Time) {
+func (s *Server) NoteStaleLayers(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.staleUntil = now.Add(maxStaleTime)
@@ -121,7 +121,7 @@
 }
 
 // Chosen records for the circuit breaker that work is sent to the server.
-func (s *Server) Chosen() { s.circuit.Admit() }
+func (s *Server) Chosen() { s.circuit.StartTrial() }
 
 // Failed records for the circuit breaker that a request failed.
 func (s *Server) Failed(now time.Time) { s.circuit.Failed(now) }
@@ -129,8 +129,8 @@
 // Succeeded records for the circuit breaker that a request was answered.
 func (s *Server) Succeeded() { s.circuit.Succeeded() }
 
-// Settled records for the circuit breaker that the outcome of a request says nothing about the server.
-func (s *Server) Settled() { s.circuit.Settled() }
+// ReleaseTrial records for the circuit breaker that the outcome of a request says nothing about the server.
+func (s *Server) ReleaseTrial() { s.circuit.ReleaseTrial() }
 
 // Observe adds the outcome of a request to the failure rate.
 func (s *Server) Observe(ok bool) {
--- a/bench/config.go
+++ b/bench/config.go
@@ -27,7 +27,7 @@
 
 // controlSpec describes a fleet without requests: domains of alike size and engines that share one process a domain.
 func controlSpec(domains, entries, engines int) fleet.Spec {
-	spec := fleet.Users()
+	spec := fleet.DefaultSpec()
 	spec.Domains, spec.Entries, spec.Engines, spec.Services = nil, nil, nil, nil
 	for d := range domains {
 		spec.Domains = append(spec.Domains, fmt.Sprint("d", d))
@@ -141,8 +141,8 @@
 // cutFromService cuts the last domain from the key-value service and list, but not from other instances.
 func (b *configBench) cutFromService() error {
 	domain := b.lastDomain()
-	b.fleet.Faults().KV(domain).Cut()
-	b.fleet.Faults().List(domain).Cut()
+	b.fleet.Proxies().KV(domain).Cut()
+	b.fleet.Proxies().List(domain).Cut()
 	time.Sleep(time.Second)
 	all, err := b.changes(configChanges / 3)
 	if err != nil {
@@ -154,18 +154,18 @@
 // cutFromAll cuts the last domain from everything outside it for a while; the revisions made meanwhile must arrive after.
 func (b *configBench) cutFromAll() error {
 	domain := b.lastDomain()
-	b.eachPeerOutside(domain, func(name string) { b.fleet.Faults().Peer(name).Cut() })
+	b.eachPeerOutside(domain, func(name string) { b.fleet.Proxies().Peer(name).Cut() })
 	start := time.Now()
 	a, err := b.change()
 	if err != nil {
 		return err
 	}
 	time.Sleep(configCut - time.Since(start))
-	b.eachPeerOutside(domain, func(name string) { b.fleet.Faults().Peer(name).Heal() })
-	if err := b.fleet.Faults().KV(domain).Heal(); err != nil {
+	b.eachPeerOutside(domain, func(name string) { b.fleet.Proxies().Peer(name).Heal() })
+	if err := b.fleet.Proxies().KV(domain).Heal(); err != nil {
 		return err
 	}
-	if err := b.fleet.Faults().List(domain).Heal(); err != nil {
+	if err := b.fleet.Proxies().List(domain).Heal(); err != nil {
 		return err
 	}
 	healed := time.Now()
--- a/bench/pool.go
+++ b/bench/pool.go
@@ -17,7 +17,7 @@
 // poolSpec describes one domain with ten engines of five kinds on links from 20 microseconds to 2 milliseconds, slow
 // enough that eight cores carry the stand-ins, the instances and the callers.
 func poolSpec(entries int) fleet.Spec {
-	spec := fleet.Users()
+	spec := fleet.DefaultSpec()
 	spec.Domains, spec.Entries = []string{"d"}, []int{entries}
 	spec.Models = []intent.Model{{Name: fleet.ModelCounter, Layers: benchLayers, Version: "v1"}}
 	spec.Groups = []intent.Group{{Name: "counter", Weight: 1, Models: []string{fleet.ModelCounter}}}
@@ -52,7 +52,7 @@
 			d.Backends = append(d.Backends, intent.Backend{Kind: kind, Model: spec.Models[0].Name})
 		}
 	}
-	return plan.Bound(d, spec.Models[0].Name)
+	return plan.ThroughputBound(d, spec.Models[0].Name)
 }
 
 // checker compares answers with those computed apart.
--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -124,7 +124,7 @@
 	const pause = 300 * time.Millisecond
 	for ctx.Err() == nil {
 		e := f.Engines()[random.IntN(len(f.Engines()))]
-		proxy := f.Faults().Engine(e.Name)
+		proxy := f.Proxies().Engine(e.Name)
 		switch random.IntN(5) {
 		case 0:
 			e.Process.Kill()
--- a/call/request.go
+++ b/call/request.go
@@ -26,15 +26,15 @@
 	HintTokens int
 }
 
-// Part is one server of a path with the layers that it runs.
-type Part struct {
+// Stage is one server of a path with the layers that it runs.
+type Stage struct {
 	// Addr is the server's IP number and port.
 	Addr   string
 	Layers models.Layers
 }
 
-// Send holds what is added to the head of a request when it is sent to a server.
-type Send struct {
+// SendParams holds what is added to the head of a request when it is sent to a server.
+type SendParams struct {
 	// Target is the id of the server that is to run the request; a server with another id must refuse it.
 	Target string
 	// Account is the name of the client account; it is empty when no key was needed.
@@ -42,7 +42,7 @@
 	// Remaining is how long the caller will still wait.
 	Remaining time.Duration
 	// Path lists the servers that run the model's layers, in order; it is empty for plain services.
-	Path []Part
+	Path []Stage
 	// ResumeAfter is the id of the last event that was passed on to the caller.
 	ResumeAfter string
 	// BodyBytes is the length of the body, or -1 for a request without one.
@@ -106,7 +106,7 @@
 	// ReadRequest returns the contents of the head of a caller's request; a required field that is missing or malformed is an error.
 	ReadRequest(h *fasthttp.RequestHeader) (Meta, error)
 	// AppendRequest appends the head of a request for a server: the caller's head h with the values of send added or replaced.
-	AppendRequest(dst []byte, h *fasthttp.RequestHeader, send *Send) []byte
+	AppendRequest(dst []byte, h *fasthttp.RequestHeader, send *SendParams) []byte
 	// ReadAnswer returns the contents of the head of a server's answer.
 	ReadAnswer(h *fasthttp.ResponseHeader) Answer
 	// AppendAnswer appends the head of the answer for the caller, without the headers that frame the body and without the final blank line.
--- a/catalog/route.go
+++ b/catalog/route.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Repeat is the retry policy of a route: whether a request that may have run may be retried.
-type Repeat int
+// RetryPolicy is the retry policy of a route: whether a request that may have run may be retried.
+type RetryPolicy int
 
 // The retry policies of routes.
 const (
-	// RepeatNever is for requests that may run at most once.
-	RepeatNever Repeat = iota
-	// RepeatAlways is for requests that may run any number of times.
-	RepeatAlways
-	// RepeatResume is for streams that another server may resume after the last event that was delivered.
-	RepeatResume
+	// RetryNever is for requests that may run at most once.
+	RetryNever RetryPolicy = iota
+	// RetryAlways is for requests that may run any number of times.
+	RetryAlways
+	// RetryResume is for streams that another server may resume after the last event that was delivered.
+	RetryResume
 )
 
 // Target is a service with its weight in the division of a route's requests.
@@ -30,8 +30,8 @@
 	Host   string
 	Prefix string
 	// Targets has at least one entry; the weights add up to more than zero.
-	Targets []Target
-	Repeat  Repeat
+	Targets     []Target
+	RetryPolicy RetryPolicy
 	// Stream is true if the answers are event streams.
 	Stream bool
 	// MaxAttempts is the maximum number of backend servers that one request may run on.
@@ -66,7 +66,7 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// MayRepeat reports whether a request that may have run may be retried.
-func (r *Route) MayRepeat() bool { return r.Repeat != RepeatNever }
+// MayRetry reports whether a request that may have run may be retried.
+func (r *Route) MayRetry() bool { return r.RetryPolicy != RetryNever }
 
 func (r *Route) matches(path string) bool { return strings.HasPrefix(path, r.Prefix) }
--- a/catalog/service.go
+++ b/catalog/service.go
@@ -23,9 +23,9 @@
 	TokenBytes float64
 	// ActivationBytes is the data that one token sends from one stage of its path to the next.
 	ActivationBytes float64
-	// PipeMbps is the bandwidth of the link between two failure domains in megabits a second, shared by all paths; 0 means no
+	// LinkMbps is the bandwidth of the link between two failure domains in megabits a second, shared by all paths; 0 means no
 	// limit.
-	PipeMbps float64
+	LinkMbps float64
 	// BatchSize is the number of requests that a server runs at once as the first server of their paths.
 	BatchSize int
 	// Step is the time of one token step over all layers at pace 1; a pace of 2 doubles it.
--- a/census/census.go
+++ b/census/census.go
@@ -60,8 +60,8 @@
 
 // Errors of a registry.
 var (
-	// ErrOver means that the record of an instance has expired.
-	ErrOver = errors.New("census: record has ended")
+	// ErrExpired means that the record of an instance has expired.
+	ErrExpired = errors.New("census: record has ended")
 	// ErrTaken means that another instance has written to the slot in the meantime.
 	ErrTaken = errors.New("census: slot is taken")
 )
@@ -78,8 +78,8 @@
 	Power float64
 }
 
-// Roll is a snapshot of the registration records: what one read of them returned.
-type Roll struct {
+// Snapshot is a snapshot of the registration records: what one read of them returned.
+type Snapshot struct {
 	Records []Record
 	// Key is the fleet key, by which instances authenticate to each other; it is empty before the first instance has written
 	// one.
@@ -88,30 +88,30 @@
 	Era int64
 }
 
-// Register stores the registration records of the instances.
-type Register interface {
+// Registry stores the registration records of the instances.
+type Registry interface {
 	// Join writes a record that expires after ttl to a slot of the instance's domain and returns the lease that the record is
 	// bound to; it returns ErrTaken if the slot has changed in the meantime.
 	Join(ctx context.Context, self Instance, slot Slot, ttl time.Duration) (lease int64, err error)
 	// Renew extends the record by another ttl; it returns ErrOver if it has expired.
 	Renew(ctx context.Context, lease int64) error
 	// List returns the records and the fleet key; they may be some seconds old.
-	List(ctx context.Context) (Roll, error)
+	List(ctx context.Context) (Snapshot, error)
 	// Found writes the fleet key unless there is one, and returns the stored key.
 	Found(ctx context.Context, key []byte) ([]byte, error)
 }
 
 // Census counts the instances of the fleet and maintains the registration record of its own instance.
 type Census struct {
-	*Board
-	registry Register
+	*View
+	registry Registry
 	self     Instance
 	clock    *timer.Service
 	stats    *metrics.Registry
 	log      *logrus.Logger
 	newKey   func() ([]byte, error)
 	// snapshot is the result of the last read.
-	snapshot Roll
+	snapshot Snapshot
 	lease    int64
 	// renewedAt is when the record was last written or renewed for its full TTL.
 	renewedAt time.Time
@@ -125,10 +125,10 @@
 // New starts a Census that publishes what it reads to board; it stops when ctx ends. NewKey generates a key for a fleet that
 // has none.
 func New(
-	ctx context.Context, board *Board, registry Register, self Instance, newKey func() ([]byte, error), clock *timer.Service,
+	ctx context.Context, board *View, registry Registry, self Instance, newKey func() ([]byte, error), clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
 ) *Census {
-	c := &Census{Board: board, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
+	c := &Census{View: board, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
 	go func() {
 		c.startUp(ctx)
 		for ctx.Err() == nil {
@@ -260,7 +260,7 @@
 func (c *Census) renew(ctx context.Context) (time.Duration, bool) {
 	err := c.registry.Renew(ctx, c.lease)
 	switch {
-	case errors.Is(err, ErrOver):
+	case errors.Is(err, ErrExpired):
 		c.lease = 0
 		c.log.Warn("record of the instance has ended")
 		return 0, false
--- a/census/census_test.go
+++ b/census/census_test.go
@@ -79,7 +79,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, ok := r.members[lease]; !ok {
-		return census.ErrOver
+		return census.ErrExpired
 	}
 	if r.renewed == nil {
 		r.renewed = map[int64]int{}
@@ -89,13 +89,13 @@
 }
 
 // List implements census.Register.
-func (r *fakeRegistry) List(context.Context) (census.Roll, error) {
+func (r *fakeRegistry) List(context.Context) (census.Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
-		return census.Roll{}, errors.New("down")
+		return census.Snapshot{}, errors.New("down")
 	}
-	roll := census.Roll{Key: r.key}
+	roll := census.Snapshot{Key: r.key}
 	for lease, m := range r.members {
 		slot := census.Slot{Number: r.slots[lease], Revision: lease}
 		roll.Records = append(roll.Records, census.Record{Instance: m, Slot: slot, Lease: lease})
@@ -125,7 +125,7 @@
 	for i := range out {
 		self := census.Instance{Name: fmt.Sprint("i-", i), Domain: "east", Addr: fmt.Sprint("addr-", i)}
 		newKey := func() ([]byte, error) { return []byte(self.Name), nil }
-		out[i] = census.New(t.Context(), census.NewBoard(relayThreshold), r, self, newKey, clock, metrics.New(), log)
+		out[i] = census.New(t.Context(), census.NewView(relayThreshold), r, self, newKey, clock, metrics.New(), log)
 	}
 	return out
 }
--- a/census/slot_test.go
+++ b/census/slot_test.go
@@ -59,8 +59,8 @@
 // only some instances have records has counted them. With a number that is too low, the instances' shares add up to more
 // than the shared limit.
 func TestInstanceCountIsUnknownUntilRelaysHaveCounted(t *testing.T) {
-	b := NewBoard(relayThreshold)
-	b.setSnapshot(&Roll{Records: append(recordsIn("east", relayCandidates, 1), recordsIn("west", relayThreshold, 1)...)})
+	b := NewView(relayThreshold)
+	b.setSnapshot(&Snapshot{Records: append(recordsIn("east", relayCandidates, 1), recordsIn("west", relayThreshold, 1)...)})
 	require.Equal(t, AssumedInstances, b.Instances())
 	b.NoteCounts(map[string]int{"east": 200})
 	require.Equal(t, AssumedInstances, b.Instances())
--- a/census/view.go
+++ b/census/view.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 )
 
-// Board is this instance's view of the fleet: the registration records that were read last, and the number of instances that
+// View is this instance's view of the fleet: the registration records that were read last, and the number of instances that
 // the relay of each domain has counted.
-type Board struct {
+type View struct {
 	// relayThreshold is the number of records from which a fleet uses relays; in a smaller fleet every instance has a record.
 	relayThreshold int
-	snapshot       atomic.Pointer[Roll]
+	snapshot       atomic.Pointer[Snapshot]
 	members        atomic.Pointer[[]Instance]
 	empty          atomic.Bool
 	// instances caches the number of instances, which every request and every poll of a relay needs.
@@ -24,16 +24,16 @@
 	counts map[string]int
 }
 
-// NewBoard returns an empty view. Fleets with fewer than relayThreshold records use no relays, and every instance has a
+// NewView returns an empty view. Fleets with fewer than relayThreshold records use no relays, and every instance has a
 // record.
-func NewBoard(relayThreshold int) *Board {
-	b := &Board{relayThreshold: relayThreshold, counts: map[string]int{}, changed: make(chan struct{})}
-	b.setSnapshot(&Roll{})
+func NewView(relayThreshold int) *View {
+	b := &View{relayThreshold: relayThreshold, counts: map[string]int{}, changed: make(chan struct{})}
+	b.setSnapshot(&Snapshot{})
 	return b
 }
 
 // setSnapshot replaces the snapshot and returns the number of records before and after.
-func (b *Board) setSnapshot(snapshot *Roll) (before, after int) {
+func (b *View) setSnapshot(snapshot *Snapshot) (before, after int) {
 	members := make([]Instance, len(snapshot.Records))
 	for i, r := range snapshot.Records {
 		members[i] = r.Instance
@@ -50,33 +50,33 @@
 }
 
 // notify wakes the goroutines that wait on Changed.
-func (b *Board) notify() {
+func (b *View) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.notifyLocked()
 }
 
-func (b *Board) notifyLocked() {
+func (b *View) notifyLocked() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
 // Changed returns a channel that is closed when the records or the fleet key change.
-func (b *Board) Changed() <-chan struct{} {
+func (b *View) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
 // setEmpty notes whether the last successful read found no records.
-func (b *Board) setEmpty(empty bool) {
+func (b *View) setEmpty(empty bool) {
 	if b.empty.Swap(empty) != empty {
 		b.notify()
 	}
 }
 
 // setKey stores the fleet key in the current snapshot.
-func (b *Board) setKey(key []byte) {
+func (b *View) setKey(key []byte) {
 	snapshot := *b.snapshot.Load()
 	snapshot.Key = key
 	b.snapshot.Store(&snapshot)
@@ -85,10 +85,10 @@
 
 // Instances returns the number of instances. It is Unknown before the first read of the records, and while the relay of a
 // domain in which some instances have no record has not counted its instances.
-func (b *Board) Instances() int { return int(b.instances.Load()) }
+func (b *View) Instances() int { return int(b.instances.Load()) }
 
 // totalLocked computes the number of instances; the caller holds the lock.
-func (b *Board) totalLocked() int {
+func (b *View) totalLocked() int {
 	records := b.snapshot.Load().Records
 	if len(records) == 0 {
 		return AssumedInstances
@@ -104,17 +104,17 @@
 }
 
 // Empty reports whether the last successful read found no records.
-func (b *Board) Empty() bool { return b.empty.Load() }
+func (b *View) Empty() bool { return b.empty.Load() }
 
 // Counts returns the number of instances of each domain, as its relay has counted them.
-func (b *Board) Counts() map[string]int {
+func (b *View) Counts() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.counts)
 }
 
 // NoteCounts stores newer counts by domain; counts of 0 are ignored.
-func (b *Board) NoteCounts(counts map[string]int) {
+func (b *View) NoteCounts(counts map[string]int) {
 	if len(counts) == 0 {
 		return
 	}
@@ -130,10 +130,10 @@
 
 // Members returns the instances that have records; it is empty before the first read. In a large fleet only some instances
 // of each domain have one.
-func (b *Board) Members() []Instance { return *b.members.Load() }
+func (b *View) Members() []Instance { return *b.members.Load() }
 
 // Records returns the records that were read last; the caller must not modify them.
-func (b *Board) Records() []Record { return b.snapshot.Load().Records }
+func (b *View) Records() []Record { return b.snapshot.Load().Records }
 
 // Key returns the fleet key, by which instances authenticate to each other; it is empty until it is known.
-func (b *Board) Key() []byte { return b.snapshot.Load().Key }
+func (b *View) Key() []byte { return b.snapshot.Load().Key }
--- a/chain/graph.go
+++ b/chain/graph.go
@@ -73,8 +73,8 @@
 // Engine returns the cost model of the graph's servers.
 func (g *Graph) Engine() *catalog.Engine { return g.engine }
 
-// Whole reports whether every layer has a holder.
-func (g *Graph) Whole() bool {
+// CoversAllLayers reports whether every layer has a holder.
+func (g *Graph) CoversAllLayers() bool {
 	for _, h := range g.holders {
 		if len(h) == 0 {
 			return false
--- a/chain/lanes.go
+++ b/chain/lanes.go
@@ -86,10 +86,10 @@
 
 // usableBandwidth returns the bytes a second that all lanes together may send between two domains.
 func usableBandwidth(g *Graph) float64 {
-	if g.engine.PipeMbps == 0 {
+	if g.engine.LinkMbps == 0 {
 		return math.Inf(1)
 	}
-	return bandwidthShare * g.engine.PipeMbps * megabit
+	return bandwidthShare * g.engine.LinkMbps * megabit
 }
 
 // crossingRate returns the bytes a second that one sequence sends over each crossing, as the mean over its lifetime.
--- a/chain/lanes_test.go
+++ b/chain/lanes_test.go
@@ -14,7 +14,7 @@
 
 func engine() *catalog.Engine {
 	return &catalog.Engine{
-		Layers: 16, LayerMB: 100, TokenBytes: 16 * 7000, ActivationBytes: 29500, PipeMbps: 9000, BatchSize: 192,
+		Layers: 16, LayerMB: 100, TokenBytes: 16 * 7000, ActivationBytes: 29500, LinkMbps: 9000, BatchSize: 192,
 		Step: time.Millisecond, StepPerSequence: 4 * time.Microsecond, ReadPerSecond: 196000, UsualPrompt: 700, UsualAnswer: 200,
 		Kinds: []catalog.Kind{{Name: "fast", MemoryMB: 4000, StepPace: 1, ReadPace: 1}, {Name: "slow", MemoryMB: 2000, StepPace: 10, ReadPace: 8}},
 	}
@@ -88,7 +88,7 @@
 			}
 		}
 		for pair, rate := range rates {
-			require.LessOrEqual(t, rate*8/1e6, e.PipeMbps, "%v", pair)
+			require.LessOrEqual(t, rate*8/1e6, e.LinkMbps, "%v", pair)
 		}
 	})
 }
--- a/chain/lanesearch.go
+++ b/chain/lanesearch.go
@@ -86,8 +86,8 @@
 	return lane
 }
 
-// Narrowest returns the server of a path that has memory for the fewest sequences, or -1 if none of them is in the graph.
-func Narrowest(g *Graph, hops []Hop) int {
+// Bottleneck returns the server of a path that has memory for the fewest sequences, or -1 if none of them is in the graph.
+func Bottleneck(g *Graph, hops []Hop) int {
 	smallest, server := math.Inf(1), -1
 	for _, h := range hops {
 		n, ok := g.nodeOf[h.Server]
--- a/chain/repair.go
+++ b/chain/repair.go
@@ -12,22 +12,22 @@
 	crossingContention = 4.0
 )
 
-// Repair describes a path that has lost servers and what is needed to repair it.
-type Repair struct {
+// RepairRequest describes a path that has lost servers and what is needed to repair it.
+type RepairRequest struct {
 	// Hops is the path before the repair.
 	Hops []Hop
 	// Lost reports whether a server of the path must be replaced.
 	Lost func(server int) bool
 	// Tokens is the number of tokens of the stream so far, which each new server has to read.
 	Tokens int
-	// Spread returns a random factor near 1 for the cost of a server, so that instances that repair paths at the same time do not
+	// Jitter returns a random factor near 1 for the cost of a server, so that instances that repair paths at the same time do not
 	// all choose the same server.
-	Spread func() float64
+	Jitter func() float64
 }
 
-// Mend returns the path with other servers in place of the lost ones only. The servers that are kept still hold the stream in
+// RepairPath returns the path with other servers in place of the lost ones only. The servers that are kept still hold the stream in
 // memory, while each new one has to read every token so far. False means that no usable servers can replace the lost ones.
-func Mend(g *Graph, state State, r Repair) ([]Hop, bool) {
+func RepairPath(g *Graph, state State, r RepairRequest) ([]Hop, bool) {
 	used := make(map[int]bool, len(r.Hops))
 	for _, h := range r.Hops {
 		used[h.Server] = true
@@ -67,7 +67,7 @@
 type gapFiller struct {
 	graph  *Graph
 	state  State
-	repair Repair
+	repair RepairRequest
 	used   map[int]bool
 	gap    models.Layers
 	// domainBefore and domainAfter are the domains of the hops next to the gap, or -1 where there is none.
@@ -118,7 +118,7 @@
 		return
 	}
 	read := ReadTime(f.graph.engine, node.Kind, end-at, f.repair.Tokens) + hopDelay
-	cost := time.Duration(float64(read) * f.state.Penalty(node.Server) * f.repair.Spread())
+	cost := time.Duration(float64(read) * f.state.Penalty(node.Server) * f.repair.Jitter())
 	to := f.graph.domain[n]
 	target := &f.row(end)[to]
 	for d, from := range f.row(at) {
@@ -142,8 +142,8 @@
 	}
 	e := f.graph.engine
 	cost := f.graph.delay[from][to] + crossingPenalty
-	if e.PipeMbps > 0 {
-		seconds := crossingContention * float64(f.repair.Tokens) * e.ActivationBytes / (e.PipeMbps * megabit)
+	if e.LinkMbps > 0 {
+		seconds := crossingContention * float64(f.repair.Tokens) * e.ActivationBytes / (e.LinkMbps * megabit)
 		cost += time.Duration(seconds * float64(time.Second))
 	}
 	return cost
--- a/chain/repair_test.go
+++ b/chain/repair_test.go
@@ -28,7 +28,7 @@
 func mendEngine() *catalog.Engine {
 	return &catalog.Engine{
 		Layers: 12, LayerMB: 100, TokenBytes: 8000, Step: time.Millisecond, ReadPerSecond: 1e5, UsualPrompt: 100, UsualAnswer: 40,
-		ActivationBytes: 29500, PipeMbps: 4000, Kinds: []catalog.Kind{{Name: "k", MemoryMB: 1000, StepPace: 1, ReadPace: 1}},
+		ActivationBytes: 29500, LinkMbps: 4000, Kinds: []catalog.Kind{{Name: "k", MemoryMB: 1000, StepPace: 1, ReadPace: 1}},
 	}
 }
 
@@ -52,19 +52,19 @@
 	g := chain.NewGraph(e, []chain.Node{
 		node(e, 0, "a", 0, 4), node(e, 1, "a", 4, 8), node(e, 2, "a", 8, 12), node(e, 3, "a", 3, 9), fast,
 	})
-	r := chain.Repair{
+	r := chain.RepairRequest{
 		Hops: []chain.Hop{hop(0, 0, 4), hop(1, 4, 8), hop(2, 8, 12)}, Lost: func(s int) bool { return s == 1 }, Tokens: 500,
-		Spread: noJitter,
+		Jitter: noJitter,
 	}
-	hops, ok := chain.Mend(g, stubState{}, r)
+	hops, ok := chain.RepairPath(g, stubState{}, r)
 	require.True(t, ok)
 	require.Equal(t, []chain.Hop{hop(0, 0, 4), hop(3, 4, 8), hop(2, 8, 12)}, hops)
 
-	hops, ok = chain.Mend(g, stubState{full: map[int]bool{3: true}}, r)
+	hops, ok = chain.RepairPath(g, stubState{full: map[int]bool{3: true}}, r)
 	require.True(t, ok)
 	require.Equal(t, []chain.Hop{hop(0, 0, 4), hop(4, 4, 8), hop(2, 8, 12)}, hops, "another domain when the own domain has no room")
 
-	_, ok = chain.Mend(g, stubState{full: map[int]bool{3: true, 4: true}}, r)
+	_, ok = chain.RepairPath(g, stubState{full: map[int]bool{3: true, 4: true}}, r)
 	require.False(t, ok)
 }
 
@@ -88,8 +88,8 @@
 		for _, s := range rapid.SliceOf(rapid.IntRange(0, len(nodes)-1)).Draw(t, "lost") {
 			lost[s] = true
 		}
-		r := chain.Repair{Hops: path.Hops, Lost: func(s int) bool { return lost[s] }, Tokens: 100, Spread: noJitter}
-		hops, ok := chain.Mend(g, stubState{}, r)
+		r := chain.RepairRequest{Hops: path.Hops, Lost: func(s int) bool { return lost[s] }, Tokens: 100, Jitter: noJitter}
+		hops, ok := chain.RepairPath(g, stubState{}, r)
 		if !ok {
 			return
 		}
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -67,9 +67,9 @@
 		keys := standin.NewKeys(time.Now)
 		faulty := standin.NewLocal(keys, seed, 0.15, 0.25)
 		const writers, perWriter = 4, 25
-		keepers := make([]*claim.Keeper, writers)
+		keepers := make([]*claim.Logs, writers)
 		for w := range keepers {
-			keepers[w] = claim.NewKeeper(faulty, timer.NewReal(), metrics.New(), fmt.Sprint("w", w), 2)
+			keepers[w] = claim.NewLogs(faulty, timer.NewReal(), metrics.New(), fmt.Sprint("w", w), 2)
 		}
 		history := claimConcurrently(keepers, perWriter)
 		faulty.Heal()
@@ -78,7 +78,7 @@
 	}
 }
 
-func claimConcurrently(keepers []*claim.Keeper, perWriter int) []porcupine.Operation {
+func claimConcurrently(keepers []*claim.Logs, perWriter int) []porcupine.Operation {
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	var wg sync.WaitGroup
@@ -123,7 +123,7 @@
 	return out
 }
 
-func requireOneHolder(t *testing.T, keepers []*claim.Keeper, history []porcupine.Operation) {
+func requireOneHolder(t *testing.T, keepers []*claim.Logs, history []porcupine.Operation) {
 	holders := map[string]string{}
 	for _, op := range history {
 		in := op.Input.(input)
@@ -142,11 +142,11 @@
 	}
 }
 
-func newKeeper(keys *standin.Keys, writer string) *claim.Keeper {
-	return claim.NewKeeper(standin.NewLocal(keys, 1, 0, 0), timer.NewReal(), metrics.New(), writer, 1)
+func newKeeper(keys *standin.Keys, writer string) *claim.Logs {
+	return claim.NewLogs(standin.NewLocal(keys, 1, 0, 0), timer.NewReal(), metrics.New(), writer, 1)
 }
 
-func ask(t *testing.T, k *claim.Keeper, c claim.Claim) claim.Verdict {
+func ask(t *testing.T, k *claim.Logs, c claim.Claim) claim.Verdict {
 	v, err := k.Ask(t.Context(), c)
 	require.NoError(t, err)
 	return v
@@ -155,14 +155,14 @@
 func TestRetriesOnOtherInstancesLearnTheOutcome(t *testing.T) {
 	keys := standin.NewKeys(time.Now)
 	a := newKeeper(keys, "a")
-	first := claim.Claim{Key: "k", Body: 7, Request: "r1"}
+	first := claim.Claim{Key: "k", BodyHash: 7, Request: "r1"}
 	require.Equal(t, claim.Granted{}, ask(t, a, first))
 	require.Equal(t, claim.Granted{}, ask(t, a, first), "the same request asks again")
-	require.Equal(t, claim.Reused{}, ask(t, newKeeper(keys, "b"), claim.Claim{Key: "k", Body: 8, Request: "r2"}))
-	require.Equal(t, claim.Duplicate{}, ask(t, newKeeper(keys, "c"), claim.Claim{Key: "k", Body: 7, Request: "r3"}))
+	require.Equal(t, claim.Reused{}, ask(t, newKeeper(keys, "b"), claim.Claim{Key: "k", BodyHash: 8, Request: "r2"}))
+	require.Equal(t, claim.Duplicate{}, ask(t, newKeeper(keys, "c"), claim.Claim{Key: "k", BodyHash: 7, Request: "r3"}))
 	first.Status = 200
 	ask(t, a, first)
-	require.Equal(t, claim.Duplicate{Status: 200}, ask(t, newKeeper(keys, "d"), claim.Claim{Key: "k", Body: 7, Request: "r4"}))
+	require.Equal(t, claim.Duplicate{Status: 200}, ask(t, newKeeper(keys, "d"), claim.Claim{Key: "k", BodyHash: 7, Request: "r4"}))
 }
 
 func TestAKeyWhoseRequestWasNeverSentIsFreeAgain(t *testing.T) {
@@ -175,7 +175,7 @@
 
 func TestClaimsFailWhileTheServiceIsDown(t *testing.T) {
 	down := standin.NewLocal(standin.NewKeys(time.Now), 1, 1, 0)
-	k := claim.NewKeeper(down, timer.NewReal(), metrics.New(), "a", 1)
+	k := claim.NewLogs(down, timer.NewReal(), metrics.New(), "a", 1)
 	_, err := k.Ask(t.Context(), claim.Claim{Key: "k", Request: "r"})
 	require.ErrorIs(t, err, claim.ErrUnavailable)
 }
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -9,14 +9,14 @@
 	"junctioncross/timer"
 )
 
-// Asker decides claims.
-type Asker interface {
+// Claimer decides claims.
+type Claimer interface {
 	// Ask claims a key, or records the outcome of the request that holds it. Its errors are ErrUnavailable and ErrUnsure.
 	Ask(ctx context.Context, c Claim) (Verdict, error)
 }
 
-// Keeper decides claims in this process: it writes to the logs of all partitions, which it opens on first use.
-type Keeper struct {
+// Logs decides claims in this process: it writes to the logs of all partitions, which it opens on first use.
+type Logs struct {
 	store      kv.Store
 	clock      *timer.Service
 	stats      *metrics.Registry
@@ -27,18 +27,18 @@
 	logs map[int]*Log
 }
 
-// NewKeeper returns a Keeper for the given number of partitions, which must be the same in every process; writer names this
+// NewLogs returns a Keeper for the given number of partitions, which must be the same in every process; writer names this
 // process and incarnation in the records.
-func NewKeeper(store kv.Store, clock *timer.Service, stats *metrics.Registry, writer string, partitions int) *Keeper {
-	return &Keeper{store: store, clock: clock, stats: stats, writer: writer, partitions: partitions, logs: map[int]*Log{}}
+func NewLogs(store kv.Store, clock *timer.Service, stats *metrics.Registry, writer string, partitions int) *Logs {
+	return &Logs{store: store, clock: clock, stats: stats, writer: writer, partitions: partitions, logs: map[int]*Log{}}
 }
 
 // Ask implements Asker.
-func (k *Keeper) Ask(ctx context.Context, c Claim) (Verdict, error) {
+func (k *Logs) Ask(ctx context.Context, c Claim) (Verdict, error) {
 	return k.partitionLog(Partition(c.Key, k.partitions)).Ask(ctx, c)
 }
 
-func (k *Keeper) partitionLog(partition int) *Log {
+func (k *Logs) partitionLog(partition int) *Log {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := k.logs[partition]
--- a/claim/log.go
+++ b/claim/log.go
@@ -80,7 +80,7 @@
 	case got := <-a.result:
 		return got.verdict, got.err
 	case <-ctx.Done():
-		return nil, ErrUnsure
+		return nil, ErrOutcomeUnknown
 	}
 }
 
@@ -143,7 +143,7 @@
 		stale = err != nil
 		switch {
 		case err == nil, errors.Is(err, kv.ErrConflict):
-		case errors.Is(err, kv.ErrUnsure):
+		case errors.Is(err, kv.ErrOutcomeUnknown):
 			unsure = true
 		default:
 			failAll(batch, batchError(unsure, err))
@@ -155,7 +155,7 @@
 
 func batchError(unsure bool, cause error) error {
 	if unsure {
-		return errors.Wrap(ErrUnsure, cause.Error())
+		return errors.Wrap(ErrOutcomeUnknown, cause.Error())
 	}
 	return errors.Wrap(ErrUnavailable, cause.Error())
 }
--- a/claim/router.go
+++ b/claim/router.go
@@ -25,14 +25,14 @@
 // Router sends claims to the writers of their partitions. If a writer gives no answer, the claim is decided in this process: two
 // writers to one partition are slow but safe.
 type Router struct {
-	local   *Keeper
+	local   *Logs
 	writers Writers
 	forward Forward
 	stats   *metrics.Registry
 }
 
 // NewRouter returns a Router that falls back to the local keeper.
-func NewRouter(local *Keeper, writers Writers, forward Forward, stats *metrics.Registry) *Router {
+func NewRouter(local *Logs, writers Writers, forward Forward, stats *metrics.Registry) *Router {
 	return &Router{local: local, writers: writers, forward: forward, stats: stats}
 }
 
@@ -53,7 +53,7 @@
 	r.stats.Counter("claim_forwards_failed_total").Inc(1)
 	v, localErr := r.local.Ask(ctx, c)
 	if errors.Is(localErr, ErrUnavailable) && sent {
-		return nil, errors.Wrap(ErrUnsure, err.Error())
+		return nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	return v, localErr
 }
--- a/claim/table.go
+++ b/claim/table.go
@@ -27,7 +27,7 @@
 	switch {
 	case !held:
 		return nil
-	case holder.Body != c.Body:
+	case holder.BodyHash != c.BodyHash:
 		return Reused{}
 	case holder.Request == c.Request:
 		return Granted{}
--- a/claim/types.go
+++ b/claim/types.go
@@ -11,16 +11,16 @@
 var (
 	// ErrUnavailable means that the claim was not recorded; the request must not be sent.
 	ErrUnavailable = errors.New("claim: key-value service unavailable")
-	// ErrUnsure means that the claim may have been recorded; the request must not be sent.
-	ErrUnsure = errors.New("claim: outcome unsure")
+	// ErrOutcomeUnknown means that the claim may have been recorded; the request must not be sent.
+	ErrOutcomeUnknown = errors.New("claim: outcome unsure")
 )
 
 // Claim asks that of all requests with Key only Request, a request ID, may run. With Status or Void set it records the outcome of
 // that request. Body is a hash of what the client sent, which tells when a key is reused for another request.
 type Claim struct {
-	Key     string `json:"k" cbor:"1,keyasint"`
-	Body    uint64 `json:"b" cbor:"2,keyasint"`
-	Request string `json:"r" cbor:"3,keyasint"`
+	Key      string `json:"k" cbor:"1,keyasint"`
+	BodyHash uint64 `json:"b" cbor:"2,keyasint"`
+	Request  string `json:"r" cbor:"3,keyasint"`
 	// Status is the HTTP status with which the request finished, zero while it has not.
 	Status int `json:"s,omitempty" cbor:"4,keyasint"`
 	// Void is true if the request was never sent, so that the key is free again.
--- a/cmd/jxctl/main.go
+++ b/cmd/jxctl/main.go
@@ -29,7 +29,7 @@
 
 // client returns a client of the operators' listener that authenticates with the operator's certificate.
 func (c *commands) client() (*operator.Client, error) {
-	ring, err := keys.NewRing(keys.Files{
+	ring, err := keys.NewCertReloader(keys.Files{
 		Authority:   filepath.Join(c.Keys, keys.FileAuthority),
 		Certificate: filepath.Join(c.Keys, c.As+".pem"),
 		Key:         filepath.Join(c.Keys, c.As+"-key.pem"),
--- a/cmd/jxload/run.go
+++ b/cmd/jxload/run.go
@@ -15,7 +15,7 @@
 func (*runCommand) Run(c *commands) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	f, err := fleet.Start(fleet.Users(), c.Bin)
+	f, err := fleet.Start(fleet.DefaultSpec(), c.Bin)
 	if err != nil {
 		return err
 	}
--- a/control/backends.go
+++ b/control/backends.go
@@ -58,7 +58,7 @@
 	}
 	for name, b := range l.backends {
 		if !keep[name] {
-			l.deps.Pool.Server(b.index).Bar(true)
+			l.deps.Pool.Server(b.index).SetExcluded(true)
 			delete(l.backends, name)
 		}
 	}
@@ -76,7 +76,7 @@
 				l.keepNewest(newest, name, o, e.Key)
 			}
 		})
-		if o.Silent < silentLimit {
+		if o.SinceUpdate < silentLimit {
 			l.addNames(movingNow, o, entryMoving)
 			l.addNames(listedLeaving, o, entryLeaving)
 		}
@@ -89,7 +89,7 @@
 		}
 		changed = b.update(newest[name], listedLeaving[name]) || changed
 		barred := b.spec.Retiring || movingNow[name] || b.chart.State() == "leaving" || b.chart.State() == "suspect"
-		l.deps.Pool.Server(b.index).Bar(barred)
+		l.deps.Pool.Server(b.index).SetExcluded(barred)
 		if b.chart.State() == "serving" && !barred {
 			serving++
 		}
--- a/control/cache.go
+++ b/control/cache.go
@@ -10,7 +10,7 @@
 
 // decoded is the decoded body of one version of an entry; ok is false if it could not be decoded.
 type decoded[T any] struct {
-	version gossip.Known
+	version gossip.Progress
 	value   T
 	ok      bool
 }
@@ -30,7 +30,7 @@
 		return zero, false
 	}
 	at := entryKey{origin: o.Name, key: key}
-	version := gossip.Known{Incarnation: o.Incarnation, Version: e.Version}
+	version := gossip.Progress{Incarnation: o.Incarnation, Version: e.Version}
 	if d, ok := c.bodies[at]; ok && d.version == version {
 		return d.value, d.ok
 	}
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -29,7 +29,7 @@
 	link.Handle(m, link.KindExchange, l.serveExchange)
 	link.Handle(m, link.KindUpdates, l.serveUpdates)
 	link.Handle(m, link.KindHead, l.serveHead)
-	link.Handle(m, link.KindNews, l.serveNewerHead)
+	link.Handle(m, link.KindNewerHead, l.serveNewerHead)
 	link.Handle(m, link.KindSegment, l.serveSegment)
 	link.Handle(m, link.KindStatus, func(context.Context, keys.Identity, empty) ([]InstanceStatus, error) {
 		return l.Statuses(), nil
--- a/control/loop.go
+++ b/control/loop.go
@@ -57,16 +57,16 @@
 
 // Deps are the dependencies of the control loop.
 type Deps struct {
-	Store  *revision.Store
-	Keeper *revision.Keeper
-	Board  *view.Board
-	Gates  *admit.Gates
-	Pool   *pool.Pool
-	Caller *engine.Caller
-	Links  *link.Client
-	Clock  *timer.Service
-	Stats  *metrics.Registry
-	Log    *logrus.Logger
+	Store   *revision.Store
+	Keeper  *revision.Keeper
+	Board   *view.SnapshotHolder
+	Gates   *admit.Gates
+	Pool    *pool.Pool
+	Engines *engine.Client
+	Links   *link.Client
+	Clock   *timer.Service
+	Stats   *metrics.Registry
+	Log     *logrus.Logger
 }
 
 // Loop is the control goroutine and its helper goroutines.
@@ -225,7 +225,7 @@
 	now := l.deps.Clock.Now()
 	l.slowTicks++
 	if l.slowTicks%heartbeatTicks == 0 {
-		l.table.Beat(now)
+		l.table.Heartbeat(now)
 	}
 	l.table.Forget(now, forgetAfter)
 	l.refreshMembers()
--- a/control/members.go
+++ b/control/members.go
@@ -54,9 +54,9 @@
 		if !ok {
 			continue
 		}
-		s.SilentMS = o.Silent.Milliseconds()
+		s.SilentMS = o.SinceUpdate.Milliseconds()
 		m.statuses[o.Name] = s
-		if !s.Leaving && o.Silent < silentLimit {
+		if !s.Leaving && o.SinceUpdate < silentLimit {
 			m.live = append(m.live, o.Name)
 		}
 	}
@@ -96,7 +96,7 @@
 func (l *Loop) publishDemand() {
 	l.demand = map[string]float64{}
 	l.deps.Gates.Each(func(model string, g gate) {
-		if d := math.Round(g.Offered()); d > 0 {
+		if d := math.Round(g.OfferedLoad()); d > 0 {
 			l.demand[model] = d
 		}
 	})
--- a/control/others.go
+++ b/control/others.go
@@ -48,7 +48,7 @@
 	call, cancel := context.WithTimeout(ctx, otherDomainTimeout)
 	defer cancel()
 	request := newerHeadRequest{Above: l.deps.Keeper.Revision()}
-	a, err := link.Call[newerHeadRequest, newerHeadResponse](call, l.deps.Links, addr, link.KindNews, request)
+	a, err := link.Call[newerHeadRequest, newerHeadResponse](call, l.deps.Links, addr, link.KindNewerHead, request)
 	if err != nil || a.Head == nil {
 		return
 	}
--- a/control/poll.go
+++ b/control/poll.go
@@ -71,7 +71,7 @@
 		p.due = now.Add(pollPeriod)
 		addr := l.backends[name].spec.Addr
 		go func() {
-			report, err := l.deps.Caller.Report(addr, pollTimeout)
+			report, err := l.deps.Engines.Report(addr, pollTimeout)
 			l.post(reportArrived{name: name, report: report, err: err})
 		}()
 	}
--- a/control/relay.go
+++ b/control/relay.go
@@ -56,7 +56,7 @@
 		*at = written
 		l.offerHead(ctx, head)
 	}
-	if err == nil || errors.Is(err, revision.ErrNoNews) {
+	if err == nil || errors.Is(err, revision.ErrNoUpdate) {
 		l.kvReachable.Store(true)
 		l.post(kvAnswered{})
 		return 0
@@ -87,7 +87,7 @@
 }
 
 func retryDelay(failures int) time.Duration {
-	return jittered(retry.Doubled(minRetryDelay, maxRetryDelay, failures))
+	return jittered(retry.Backoff(minRetryDelay, maxRetryDelay, failures))
 }
 
 func jittered(d time.Duration) time.Duration {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -39,7 +39,7 @@
 
 // Run starts the users' fleet, prints one line for each check and reports whether all were ok.
 func Run(bin string, out io.Writer) (bool, error) {
-	f, err := fleet.Start(fleet.Users(), bin)
+	f, err := fleet.Start(fleet.DefaultSpec(), bin)
 	if err != nil {
 		return false, err
 	}
--- a/engine/batcher.go
+++ b/engine/batcher.go
@@ -46,7 +46,7 @@
 
 // Batcher sends frames to one backend server, several in one call.
 type Batcher struct {
-	client   *Caller
+	client   *Client
 	clock    *timer.Service
 	addr     string
 	stats    *metrics.Registry
@@ -69,7 +69,7 @@
 
 // NewBatcher returns a Batcher for the backend server at addr and starts its sending goroutine; onBusy is called whenever a frame
 // begins while none is in flight.
-func NewBatcher(client *Caller, clock *timer.Service, addr string, stats *metrics.Registry, onBusy func()) *Batcher {
+func NewBatcher(client *Client, clock *timer.Service, addr string, stats *metrics.Registry, onBusy func()) *Batcher {
 	b := &Batcher{
 		client:      client,
 		clock:       clock,
--- a/engine/client.go
+++ b/engine/client.go
@@ -20,54 +20,54 @@
 	contentTypeBinary = "application/cbor"
 )
 
-// Caller makes single HTTP calls to engines. A connection whose answer is late or incomplete is closed and never reused.
-type Caller struct {
+// Client makes single HTTP calls to engines. A connection whose answer is late or incomplete is closed and never reused.
+type Client struct {
 	http *fasthttp.Client
 }
 
-// NewCaller returns a Caller with its own pool of connections.
-func NewCaller() *Caller {
+// NewClient returns a Caller with its own pool of connections.
+func NewClient() *Client {
 	client := once.NewClient(dialTimeout)
 	client.MaxConnsPerHost = maxConnections
 	client.MaxIdleConnDuration = idleConnection
 	client.MaxResponseBodySize = maxReplySize
-	return &Caller{http: client}
+	return &Client{http: client}
 }
 
 // Step runs a batch of frames on the server at addr.
-func (c *Caller) Step(addr string, call StepCall, timeout time.Duration) (StepReply, error) {
+func (c *Client) Step(addr string, call StepCall, timeout time.Duration) (StepReply, error) {
 	return exchange[StepCall, StepReply](c, addr, PathStep, call, timeout)
 }
 
 // Cancel makes the server delete what it holds for the attempts.
-func (c *Caller) Cancel(addr string, cancel Cancel, timeout time.Duration) error {
+func (c *Client) Cancel(addr string, cancel Cancel, timeout time.Duration) error {
 	_, err := exchange[Cancel, bool](c, addr, PathCancel, cancel, timeout)
 	return err
 }
 
 // Report returns the state that the server reports.
-func (c *Caller) Report(addr string, timeout time.Duration) (Report, error) {
+func (c *Client) Report(addr string, timeout time.Duration) (Report, error) {
 	return exchange[bool, Report](c, addr, PathReport, true, timeout)
 }
 
 // Order tells the server which layers to hold; ErrFenced means that it has accepted an order of a later leader.
-func (c *Caller) Order(addr string, order Order, timeout time.Duration) error {
+func (c *Client) Order(addr string, order Order, timeout time.Duration) error {
 	_, err := exchange[Order, bool](c, addr, PathOrder, order, timeout)
 	return err
 }
 
 // Export returns the KV cache of an attempt.
-func (c *Caller) Export(addr string, id AttemptID, timeout time.Duration) (Snapshot, error) {
+func (c *Client) Export(addr string, id AttemptID, timeout time.Duration) (Snapshot, error) {
 	return exchange[AttemptID, Snapshot](c, addr, PathExport, id, timeout)
 }
 
 // Import copies the KV cache of an attempt to the server.
-func (c *Caller) Import(addr string, snapshot Snapshot, timeout time.Duration) error {
+func (c *Client) Import(addr string, snapshot Snapshot, timeout time.Duration) error {
 	_, err := exchange[Snapshot, bool](c, addr, PathImport, snapshot, timeout)
 	return err
 }
 
-func exchange[Q, A any](c *Caller, addr, path string, request Q, timeout time.Duration) (A, error) {
+func exchange[Q, A any](c *Client, addr, path string, request Q, timeout time.Duration) (A, error) {
 	var zero A
 	body, err := Encode(request)
 	if err != nil {
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -51,7 +51,7 @@
 	go func() {
 		defer h.active.Done()
 		defer cancel()
-		defer ticket.Leave()
+		defer ticket.Release()
 		s.finish(h.runPipeline(runCtx, c, p, ticket, s))
 	}()
 	if first := s.first(); first != nil {
@@ -75,7 +75,7 @@
 
 func (h *Handler) runPipeline(ctx context.Context, c *call, p completionParams, ticket *admit.Ticket, s *stream) error {
 	q := &pipeline.Request{
-		ID: c.id, Account: c.account.Name(), Model: p.model, Prompt: p.prompt, Limit: p.maxTokens,
+		ID: c.id, Account: c.account.Name(), Model: p.model, Prompt: p.prompt, MaxTokens: p.maxTokens,
 		Graph: func() *route.Graph { return h.board.Current().Graph(p.model) },
 	}
 	charged := false
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -50,10 +50,10 @@
 	}
 }
 
-func newHandler(t *testing.T, claims claim.Asker) (*entry.Handler, *metrics.Registry) {
+func newHandler(t *testing.T, claims claim.Claimer) (*entry.Handler, *metrics.Registry) {
 	clock, stats, log := timer.NewReal(), metrics.New(), logrus.New()
 	log.SetOutput(io.Discard)
-	board := view.NewBoard()
+	board := view.NewSnapshotHolder()
 	segments, err := revision.Split(document())
 	require.NoError(t, err)
 	head := revision.Head{Revision: 1, Segments: map[string]string{}}
@@ -66,14 +66,14 @@
 	_, err = keeper.Offer(head, func(hash string) ([]byte, error) { return bodies[hash], nil })
 	require.NoError(t, err)
 	board.Publish(view.NewSnapshot(view.NewIndex(keeper.InForce()), nil))
-	p := pool.New(engine.NewCaller(), clock, stats)
+	p := pool.New(engine.NewClient(), clock, stats)
 	return entry.New(board, admit.NewGates(clock, time.Second), pipeline.New(p, clock, stats, log), service.New(stats), claims, clock, stats, decision.NewRecorder(log, clock, stats), 5*time.Second), stats
 }
 
 // serve runs the handler on an in-memory listener and returns a client that connects to it.
 func serve(t *testing.T, h *entry.Handler) *fasthttp.Client {
 	listener := fasthttputil.NewInmemoryListener()
-	server := &fasthttp.Server{Handler: h.Routes(), ErrorHandler: h.Broken, MaxRequestBodySize: 4096, ReadTimeout: time.Second}
+	server := &fasthttp.Server{Handler: h.Routes(), ErrorHandler: h.HandleReadError, MaxRequestBodySize: 4096, ReadTimeout: time.Second}
 	go func() { _ = server.Serve(entry.Lingering(listener)) }()
 	t.Cleanup(func() { _ = listener.Close() })
 	return &fasthttp.Client{Dial: func(string) (net.Conn, error) { return listener.Dial() }}
@@ -160,7 +160,7 @@
 		fate   models.Fate
 	}{
 		{"claim log is unavailable", stubClaims{err: claim.ErrUnavailable}, 503, models.FateNotRun},
-		{"outcome of the claim is unknown", stubClaims{err: claim.ErrUnsure}, 503, models.FateNotRun},
+		{"outcome of the claim is unknown", stubClaims{err: claim.ErrOutcomeUnknown}, 503, models.FateNotRun},
 		{"key of another request", stubClaims{verdict: claim.Reused{}}, 422, models.FateNotRun},
 		{"repeat of a request that ran", stubClaims{verdict: claim.Duplicate{Status: 200}}, 409, models.FateRan},
 		{"repeat of a request without an outcome", stubClaims{verdict: claim.Duplicate{}}, 409, models.FateUnknown},
@@ -178,7 +178,7 @@
 func TestIncompleteRequestDoesNotBlockOthers(t *testing.T) {
 	listener := fasthttputil.NewInmemoryListener()
 	h, _ := newHandler(t, stubClaims{})
-	server := &fasthttp.Server{Handler: h.Routes(), ErrorHandler: h.Broken, ReadTimeout: 200 * time.Millisecond}
+	server := &fasthttp.Server{Handler: h.Routes(), ErrorHandler: h.HandleReadError, ReadTimeout: 200 * time.Millisecond}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = listener.Close() })
 	conn, err := listener.Dial()
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -27,11 +27,11 @@
 
 // Handler answers the requests of callers.
 type Handler struct {
-	board          *view.Board
+	board          *view.SnapshotHolder
 	gates          *admit.Gates
 	runner         *pipeline.Runner
 	forward        *service.Forwarder
-	claims         claim.Asker
+	claims         claim.Claimer
 	clock          *timer.Service
 	stats          *metrics.Registry
 	record         *decision.Recorder
@@ -44,7 +44,7 @@
 
 // New returns a Handler; requestTimeout bounds the time of one request.
 func New(
-	board *view.Board, gates *admit.Gates, runner *pipeline.Runner, forward *service.Forwarder, claims claim.Asker,
+	board *view.SnapshotHolder, gates *admit.Gates, runner *pipeline.Runner, forward *service.Forwarder, claims claim.Claimer,
 	clock *timer.Service, stats *metrics.Registry, record *decision.Recorder, requestTimeout time.Duration,
 ) *Handler {
 	return &Handler{
@@ -173,8 +173,8 @@
 	return notRun(fasthttp.StatusNotFound, models.ReasonNotFound, "no such method and path: "+string(ctx.Method())+" "+string(ctx.Path()))
 }
 
-// Broken answers a request that could not be read as HTTP.
-func (h *Handler) Broken(ctx *fasthttp.RequestCtx, err error) {
+// HandleReadError answers a request that could not be read as HTTP.
+func (h *Handler) HandleReadError(ctx *fasthttp.RequestCtx, err error) {
 	c := &call{id: newRequestID(), snapshot: h.board.Current(), start: h.clock.Now()}
 	r := notRun(fasthttp.StatusBadRequest, models.ReasonBadRequest, "the request could not be read")
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
--- a/entry/linger_test.go
+++ b/entry/linger_test.go
@@ -20,7 +20,7 @@
 	h, _ := newHandler(t, stubClaims{})
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	server := &fasthttp.Server{Handler: h.Routes(), ErrorHandler: h.Broken, MaxRequestBodySize: 4096, ReadTimeout: time.Second}
+	server := &fasthttp.Server{Handler: h.Routes(), ErrorHandler: h.HandleReadError, MaxRequestBodySize: 4096, ReadTimeout: time.Second}
 	go func() { _ = server.Serve(entry.Lingering(listener)) }()
 	t.Cleanup(func() { _ = listener.Close() })
 	for n := range 20 {
--- a/entry/service.go
+++ b/entry/service.go
@@ -28,7 +28,7 @@
 	if repeatable || key == "" {
 		return h.forwardCall(runCtx, ctx, c, s, path, repeatable)
 	}
-	keyClaim := claim.Claim{Key: c.account.Name() + "/" + name + "/" + key, Body: bodyHash(ctx, path), Request: c.id}
+	keyClaim := claim.Claim{Key: c.account.Name() + "/" + name + "/" + key, BodyHash: bodyHash(ctx, path), Request: c.id}
 	if r := h.claimKey(runCtx, keyClaim); r != nil {
 		return r
 	}
@@ -49,7 +49,7 @@
 // claimKey claims the idempotency key, so that no other request runs under it; it returns a refusal if this request may not run.
 func (h *Handler) claimKey(ctx context.Context, c claim.Claim) *refusal {
 	verdict, err := h.claims.Ask(ctx, c)
-	if errors.Is(err, claim.ErrUnsure) {
+	if errors.Is(err, claim.ErrOutcomeUnknown) {
 		return notRun(fasthttp.StatusServiceUnavailable, models.ReasonClaimUnsure, "it is not known whether the key was claimed; the request was not sent")
 	}
 	if err != nil {
--- a/fleet/engines.go
+++ b/fleet/engines.go
@@ -7,7 +7,7 @@
 	"junctioncross/standin"
 )
 
-var caller = engine.NewCaller()
+var caller = engine.NewClient()
 
 // EngineReport asks an engine for its load report.
 func EngineReport(addr string) (engine.Report, error) {
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -6,8 +6,8 @@
 	"junctioncross/fault"
 )
 
-// Faults holds the proxies between the processes of a fleet; without proxies every method returns the address itself.
-type Faults struct {
+// Proxies holds the proxies between the processes of a fleet; without proxies every method returns the address itself.
+type Proxies struct {
 	proxied bool
 
 	mu      sync.Mutex
@@ -17,28 +17,28 @@
 	peers   map[string]*fault.UDP
 }
 
-func newFaults(proxied bool) *Faults {
-	return &Faults{
+func newFaults(proxied bool) *Proxies {
+	return &Proxies{
 		proxied: proxied, kv: map[string]*fault.TCP{}, list: map[string]*fault.TCP{},
 		engines: map[string]*fault.TCP{}, peers: map[string]*fault.UDP{},
 	}
 }
 
 // KV returns the proxy between a domain and the key-value service.
-func (f *Faults) KV(domain string) *fault.TCP { return f.kv[domain] }
+func (f *Proxies) KV(domain string) *fault.TCP { return f.kv[domain] }
 
 // List returns the proxy between a domain and the instance list.
-func (f *Faults) List(domain string) *fault.TCP { return f.list[domain] }
+func (f *Proxies) List(domain string) *fault.TCP { return f.list[domain] }
 
 // Engine returns the proxy in front of an engine.
-func (f *Faults) Engine(name string) *fault.TCP { return f.engines[name] }
+func (f *Proxies) Engine(name string) *fault.TCP { return f.engines[name] }
 
 // Peer returns the proxy in front of an entry instance's peers' listener.
-func (f *Faults) Peer(name string) *fault.UDP { return f.peers[name] }
+func (f *Proxies) Peer(name string) *fault.UDP { return f.peers[name] }
 
-func (f *Faults) engine(e *Engine) (string, error) { return f.tcp(f.engines, e.Name, e.Addr) }
+func (f *Proxies) engine(e *Engine) (string, error) { return f.tcp(f.engines, e.Name, e.Addr) }
 
-func (f *Faults) platform(domain, kv, list string) (kvAddr, listAddr string, err error) {
+func (f *Proxies) platform(domain, kv, list string) (kvAddr, listAddr string, err error) {
 	if kvAddr, err = f.tcp(f.kv, domain, kv); err != nil {
 		return "", "", err
 	}
@@ -46,7 +46,7 @@
 	return kvAddr, listAddr, err
 }
 
-func (f *Faults) tcp(all map[string]*fault.TCP, name, upstream string) (string, error) {
+func (f *Proxies) tcp(all map[string]*fault.TCP, name, upstream string) (string, error) {
 	if !f.proxied {
 		return upstream, nil
 	}
@@ -63,7 +63,7 @@
 	return p.Addr(), nil
 }
 
-func (f *Faults) entry(e *Entry) (string, error) {
+func (f *Proxies) entry(e *Entry) (string, error) {
 	if !f.proxied {
 		return e.Peers, nil
 	}
@@ -75,7 +75,7 @@
 	return p.Addr(), nil
 }
 
-func (f *Faults) close() {
+func (f *Proxies) close() {
 	for _, all := range []map[string]*fault.TCP{f.kv, f.list, f.engines} {
 		for _, p := range all {
 			p.Close()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -58,7 +58,7 @@
 	bin      string
 	dir      string
 	starter  *starter
-	faults   *Faults
+	faults   *Proxies
 	kv       string
 	list     string
 	weights  string
@@ -108,8 +108,8 @@
 // KVAddr returns the address of the key-value service.
 func (f *Fleet) KVAddr() string { return f.kv }
 
-// Faults returns the proxies between the fleet's processes.
-func (f *Fleet) Faults() *Faults { return f.faults }
+// Proxies returns the proxies between the fleet's processes.
+func (f *Fleet) Proxies() *Proxies { return f.faults }
 
 // Spec returns the description the fleet was started from.
 func (f *Fleet) Spec() Spec { return f.spec }
@@ -312,7 +312,7 @@
 
 // Operator returns an operator's client of an entry instance.
 func (f *Fleet) Operator(e *Entry) (*operator.Client, error) {
-	ring, err := keys.NewRing(keys.Files{
+	ring, err := keys.NewCertReloader(keys.Files{
 		Authority:   filepath.Join(f.keyDir(), keys.FileAuthority),
 		Certificate: filepath.Join(f.keyDir(), OperatorName+".pem"),
 		Key:         filepath.Join(f.keyDir(), OperatorName+"-key.pem"),
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -52,7 +52,7 @@
 
 // small is a fleet of one domain.
 func small(entries int, engines ...string) fleet.Spec {
-	spec := fleet.Users()
+	spec := fleet.DefaultSpec()
 	spec.Domains = []string{"d"}
 	spec.Entries = []int{entries}
 	spec.Engines = engines
@@ -113,13 +113,13 @@
 		},
 		{
 			"cut",
-			func(e *fleet.Engine) error { f.Faults().Engine(e.Name).Cut(); return nil },
-			func(e *fleet.Engine) error { return f.Faults().Engine(e.Name).Heal() },
+			func(e *fleet.Engine) error { f.Proxies().Engine(e.Name).Cut(); return nil },
+			func(e *fleet.Engine) error { return f.Proxies().Engine(e.Name).Heal() },
 		},
 		{
 			"resets",
-			func(e *fleet.Engine) error { return f.Faults().Engine(e.Name).Add(fault.Reset(1, 300)) },
-			func(e *fleet.Engine) error { return f.Faults().Engine(e.Name).Remove("reset") },
+			func(e *fleet.Engine) error { return f.Proxies().Engine(e.Name).Add(fault.Reset(1, 300)) },
+			func(e *fleet.Engine) error { return f.Proxies().Engine(e.Name).Remove("reset") },
 		},
 	}
 	for i, tt := range faults {
@@ -190,8 +190,8 @@
 	spec.Entries = []int{2, 2}
 	spec.Proxied = true
 	f := start(t, spec)
-	f.Faults().KV("e").Cut()
-	f.Faults().List("e").Cut()
+	f.Proxies().KV("e").Cut()
+	f.Proxies().List("e").Cut()
 	entry, err := f.Apply("test", fleet.ShareChange("counter", 5))
 	require.NoError(t, err)
 	require.NoError(t, fleet.Eventually(patience, func() error {
--- a/fleet/spec.go
+++ b/fleet/spec.go
@@ -47,7 +47,7 @@
 type ServiceSpec struct {
 	Name  string
 	Count int
-	Calls []intent.Call
+	Calls []intent.CallRule
 }
 
 // Names of the shape that Users returns.
@@ -62,9 +62,9 @@
 	ServiceBooking = "bookings"
 )
 
-// Users returns the shape of the two users of today: three failure domains, eight entry instances, engines of five kinds
+// DefaultSpec returns the shape of the two users of today: three failure domains, eight entry instances, engines of five kinds
 // and plain services.
-func Users() Spec {
+func DefaultSpec() Spec {
 	return Spec{
 		Domains: []string{"fukuoka", "kumamoto", "kagoshima"},
 		Entries: []int{3, 3, 2},
@@ -112,8 +112,8 @@
 
 func services() []ServiceSpec {
 	return []ServiceSpec{
-		{Name: ServiceCards, Count: 2, Calls: []intent.Call{{Method: "GET", Path: "/", Repeatable: true}}},
-		{Name: ServiceBooking, Count: 2, Calls: []intent.Call{
+		{Name: ServiceCards, Count: 2, Calls: []intent.CallRule{{Method: "GET", Path: "/", Repeatable: true}}},
+		{Name: ServiceBooking, Count: 2, Calls: []intent.CallRule{
 			{Method: "GET", Path: "/rates", Repeatable: true},
 			{Method: "POST", Path: "/confirm", Repeatable: false},
 		}},
--- a/follow/doubt.go
+++ b/follow/doubt.go
@@ -15,7 +15,7 @@
 		n := missing[service]
 		few := n < all[service] && float64(n) <= max(1, maxLeavingShare*float64(all[service]))
 		possiblyLeaving := few && !k.missingSince.IsZero()
-		k.server.Doubt(possiblyLeaving)
+		k.server.SetPossiblyLeaving(possiblyLeaving)
 		switch {
 		case possiblyLeaving:
 			k.server.NoteLeaving(k.missingSince)
--- a/follow/ends.go
+++ b/follow/ends.go
@@ -8,7 +8,7 @@
 
 // addEnd adds an end of a server under a request that was read from the store.
 func (l *Loop) addEnd(e quarantine.End) {
-	if !l.ends.Hear(e, l.clock.Now()) {
+	if !l.ends.AddListed(e, l.clock.Now()) {
 		return
 	}
 	l.log.WithFields(logrus.Fields{"fingerprint": e.Request.String(), "ends": l.ends.Ends(e.Request)}).Info("end under a request heard")
--- a/follow/era.go
+++ b/follow/era.go
@@ -17,7 +17,7 @@
 		"feed": feed.String(), "era": at.Era(), "was": was.Era(), "at": at.Revision(), "held": was.Revision(),
 	}).Warn("store has lost writes")
 	if feed == FeedQuarantine {
-		l.ends.TellAgain()
+		l.ends.Republish()
 	}
 	return true
 }
--- a/follow/era_test.go
+++ b/follow/era_test.go
@@ -108,8 +108,8 @@
 // TestEndsThatTheStoreLostStillCount has the store lose the record of an end in a loss of writes, which is no removal,
 // and then removes the end.
 func TestEndsThatTheStoreLostStillCount(t *testing.T) {
-	s, b := newSource(), follow.NewBoard()
-	ends := quarantine.NewBook(quarantine.Terms{Ends: 2, EndsOfOne: 3, Keep: time.Hour, Most: 10})
+	s, b := newSource(), follow.NewFleetView()
+	ends := quarantine.NewBook(quarantine.Settings{Ends: 2, EndsOfOne: 3, Keep: time.Hour, MaxRequests: 10})
 	follow.New(t.Context(), s, b, ends, timer.NewReal(), metrics.New(), testlog.New(t))
 	request := quarantine.FingerprintOf([]byte("h"), []byte("/"), "a", nil)
 	end := quarantine.NewEnd(request, "server", "attempt")
--- a/follow/feed.go
+++ b/follow/feed.go
@@ -28,13 +28,13 @@
 // fullFeed carries the complete content of a feed.
 type fullFeed struct {
 	feed Feed
-	News
+	Updates
 }
 
 // feedUpdates carries what has changed since the last message of the feed.
 type feedUpdates struct {
 	feed Feed
-	News
+	Updates
 }
 
 // feedFailure reports that a call to the source failed.
@@ -97,7 +97,7 @@
 		return feedFailure{feed: p.feed, err: err}
 	}
 	p.position = max(p.position, updates.At)
-	return feedUpdates{feed: p.feed, News: updates}
+	return feedUpdates{feed: p.feed, Updates: updates}
 }
 
 func (p *poller) readFull(ctx context.Context) FeedEvent {
@@ -106,11 +106,11 @@
 		return feedFailure{feed: p.feed, err: err}
 	}
 	p.position = updates.At
-	return fullFeed{feed: p.feed, News: updates}
+	return fullFeed{feed: p.feed, Updates: updates}
 }
 
 func (p *poller) backOff(ctx context.Context) {
-	full := retry.Doubled(minBackoff, maxBackoff, p.failures)
+	full := retry.Backoff(minBackoff, maxBackoff, p.failures)
 	p.failures++
 	// Half of the pause is random, so that instances that failed together do not retry together.
 	pause := full/2 + time.Duration(rand.Float64()*float64(full/2))
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -67,11 +67,11 @@
 }
 
 // Read implements follow.Source.
-func (s *source) Read(_ context.Context, feed follow.Feed) (follow.News, error) {
+func (s *source) Read(_ context.Context, feed follow.Feed) (follow.Updates, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		return follow.News{}, follow.ErrUnavailable
+		return follow.Updates{}, follow.ErrUnavailable
 	}
 	s.pending[feed] = nil
 	if feed == follow.FeedConfig {
@@ -88,15 +88,15 @@
 }
 
 // updates returns News with the changes as of now; the caller holds the lock.
-func (s *source) updates(changes ...follow.Change) follow.News {
-	return follow.News{Changes: changes, At: s.at, Known: time.Now()}
+func (s *source) updates(changes ...follow.Change) follow.Updates {
+	return follow.Updates{Changes: changes, At: s.at, AsOf: time.Now()}
 }
 
 // pollTime is how long Next waits for changes.
 const pollTime = time.Second
 
 // Next implements follow.Source.
-func (s *source) Next(ctx context.Context, feed follow.Feed, _ follow.Position) (follow.News, error) {
+func (s *source) Next(ctx context.Context, feed follow.Feed, _ follow.Position) (follow.Updates, error) {
 	end := time.After(pollTime)
 	for {
 		s.mu.Lock()
@@ -107,9 +107,9 @@
 		s.mu.Unlock()
 		switch {
 		case historyGone:
-			return follow.News{}, follow.ErrHistoryGone
+			return follow.Updates{}, follow.ErrHistoryGone
 		case down:
-			return follow.News{}, errors.Wrap(follow.ErrUnavailable, "down")
+			return follow.Updates{}, errors.Wrap(follow.ErrUnavailable, "down")
 		case len(updates.Changes) > 0:
 			return updates, nil
 		}
@@ -118,22 +118,22 @@
 		case <-end:
 			return updates, nil
 		case <-ctx.Done():
-			return follow.News{}, follow.ErrUnavailable
+			return follow.Updates{}, follow.ErrUnavailable
 		}
 	}
 }
 
-func start(t *testing.T, s *source) *follow.Board {
+func start(t *testing.T, s *source) *follow.FleetView {
 	board, _ := startLogged(t, s)
 	return board
 }
 
 // startLogged starts a Loop and collects its log lines.
-func startLogged(t *testing.T, s *source) (*follow.Board, *logtest.Hook) {
+func startLogged(t *testing.T, s *source) (*follow.FleetView, *logtest.Hook) {
 	log := testlog.New(t)
 	lines := logtest.NewLocal(log)
-	board := follow.NewBoard()
-	follow.New(t.Context(), s, board, quarantine.NewBook(quarantine.Terms{}), timer.NewReal(), metrics.New(), log)
+	board := follow.NewFleetView()
+	follow.New(t.Context(), s, board, quarantine.NewBook(quarantine.Settings{}), timer.NewReal(), metrics.New(), log)
 	return board, lines
 }
 
@@ -147,14 +147,14 @@
 	return follow.ServerSeen{Entry: backend.Entry{ID: id, Service: "s", Addr: "127.0.0.1:1", Leaving: leaving}}
 }
 
-func version(b *follow.Board) int64 {
+func version(b *follow.FleetView) int64 {
 	if c := b.Current().Catalog(); c != nil {
 		return c.Version()
 	}
 	return 0
 }
 
-func servers(b *follow.Board) int {
+func servers(b *follow.FleetView) int {
 	if g := b.Current().Group("s"); g != nil {
 		return len(g.Servers())
 	}
@@ -257,7 +257,7 @@
 }
 
 // usable counts the servers of service s that may get new work.
-func usable(b *follow.Board) int {
+func usable(b *follow.FleetView) int {
 	group := b.Current().Group("s")
 	if group == nil {
 		return 0
@@ -311,7 +311,7 @@
 
 func TestServersAgeIsKnownAfterTheFirstRead(t *testing.T) {
 	const day = 24 * time.Hour
-	require.Greater(t, follow.NewBoard().ServersAge(time.Now()), day)
+	require.Greater(t, follow.NewFleetView().ServersAge(time.Now()), day)
 	b := start(t, newSource())
 	eventually(t, func() bool { return b.ServersAge(time.Now()) < day })
 }
--- a/follow/former.go
+++ b/follow/former.go
@@ -56,7 +56,7 @@
 // announced nothing yet.
 func (l *Loop) rememberFormer(k *trackedServer, hasLeft bool) {
 	s := k.server
-	if s.Incarnation().Born == 0 || !hasLeft && !s.Remembers(l.clock.Now()) || len(l.former) >= maxFormer {
+	if s.Incarnation().Born == 0 || !hasLeft && !s.HasNotices(l.clock.Now()) || len(l.former) >= maxFormer {
 		return
 	}
 	l.former[s.Incarnation()] = formerServer{server: s, entry: k.entry, hasLeft: hasLeft}
--- a/follow/former_test.go
+++ b/follow/former_test.go
@@ -29,7 +29,7 @@
 			s.add(follow.FeedServers, serverEntry("a", c.before, 1, false))
 			eventually(t, func() bool { return onlyServer(b) != nil })
 			former := onlyServer(b)
-			former.SayFarewell(time.Now())
+			former.NoteLeaveNotice(time.Now())
 			former.BackOff(time.Now().Add(time.Hour))
 			s.add(follow.FeedServers, follow.ServerGone{ID: "a"})
 			eventually(t, func() bool { return onlyServer(b) == nil })
--- a/follow/incarnation_test.go
+++ b/follow/incarnation_test.go
@@ -26,7 +26,7 @@
 }
 
 // onlyServer returns the only server of service s, or nil.
-func onlyServer(b *follow.Board) *backend.Server {
+func onlyServer(b *follow.FleetView) *backend.Server {
 	if group := b.Current().Group("s"); group != nil && len(group.Servers()) == 1 {
 		return group.Servers()[0]
 	}
@@ -52,8 +52,8 @@
 	require.True(t, present.Usable(time.Now()))
 	require.Zero(t, present.FailRate())
 	require.True(t, former.Ended())
-	require.Error(t, former.Over().Err(), "what it ran is lost")
-	require.NoError(t, present.Over().Err())
+	require.Error(t, former.Context().Err(), "what it ran is lost")
+	require.NoError(t, present.Context().Err())
 }
 
 // TestLateEntriesAndReportsOfAnEarlierIncarnationAreIgnored sends a leave notice and a report of the previous
@@ -70,9 +70,9 @@
 	eventually(t, func() bool { return servers(b) == 2 })
 	require.Contains(t, b.Current().Group("s").Servers(), present)
 	require.False(t, present.Leaving())
-	b.Hear([]backend.Word{{ID: "a", Born: 1000, Silent: true}}, time.Now().Add(time.Second))
+	b.Hear([]backend.SharedReport{{ID: "a", Born: 1000, Silent: true}}, time.Now().Add(time.Second))
 	require.True(t, present.Usable(time.Now()))
-	b.Hear([]backend.Word{{ID: "a", Born: 2000, Silent: true}}, time.Now().Add(time.Second))
+	b.Hear([]backend.SharedReport{{ID: "a", Born: 2000, Silent: true}}, time.Now().Add(time.Second))
 	require.False(t, present.Usable(time.Now()))
 }
 
@@ -91,7 +91,7 @@
 	eventually(t, func() bool { return servers(b) == 1 })
 	require.Equal(t, "b", onlyServer(b).ID())
 	for _, one := range known {
-		require.NoError(t, one.Over().Err(), "the requests that it runs go on")
+		require.NoError(t, one.Context().Err(), "the requests that it runs go on")
 		require.False(t, one.Gone())
 	}
 	s.add(follow.FeedServers, follow.EntryUnusable{ID: "never known", Field: "record", Err: fmt.Errorf("bad")})
@@ -120,7 +120,7 @@
 	other.Entry.Service = "nonsense"
 	s.add(follow.FeedServers, other)
 	eventually(t, func() bool { return servers(b) == 0 })
-	require.NoError(t, known.Over().Err(), "the requests that it runs go on")
+	require.NoError(t, known.Context().Err(), "the requests that it runs go on")
 	s.add(follow.FeedServers, serverEntry("a", 1000, 3, false))
 	eventually(t, func() bool { return onlyServer(b) == known })
 }
@@ -151,8 +151,8 @@
 // an empty string.
 func runSteps(t *testing.T, steps []step) string {
 	ctx, stop := context.WithCancel(context.Background())
-	s, b := newSource(), follow.NewBoard()
-	follow.New(ctx, s, b, quarantine.NewBook(quarantine.Terms{}), timer.NewReal(), metrics.New(), testlog.New(t))
+	s, b := newSource(), follow.NewFleetView()
+	follow.New(ctx, s, b, quarantine.NewBook(quarantine.Settings{}), timer.NewReal(), metrics.New(), testlog.New(t))
 	s.add(follow.FeedConfig, config(t, 1))
 	newestBorn, want, wrong := int64(0), false, ""
 	for n, one := range steps {
@@ -169,7 +169,7 @@
 			s.add(follow.FeedServers, follow.ServerGone{ID: "a"})
 			newestBorn, want = 0, false
 		case "word":
-			b.Hear([]backend.Word{{ID: "a", Born: one.born, Silent: true}}, time.Now())
+			b.Hear([]backend.SharedReport{{ID: "a", Born: one.born, Silent: true}}, time.Now())
 			if server := onlyServer(b); server != nil && server.Usable(time.Now()) != (server.Incarnation().Born != one.born) {
 				wrong = fmt.Sprintf("a report on incarnation %d was applied to incarnation %d, or not to its own", one.born, server.Incarnation().Born)
 			}
--- a/follow/loop.go
+++ b/follow/loop.go
@@ -31,7 +31,7 @@
 
 // Loop owns the control state of an instance: it applies the events of the feeds and publishes snapshots.
 type Loop struct {
-	board  *Board
+	board  *FleetView
 	ends   *quarantine.Book
 	clock  *timer.Service
 	stats  *metrics.Registry
@@ -68,7 +68,7 @@
 
 // New returns a Loop and starts it; it stops when ctx ends.
 func New(
-	ctx context.Context, source Source, board *Board, ends *quarantine.Book, clock *timer.Service, stats *metrics.Registry,
+	ctx context.Context, source Source, board *FleetView, ends *quarantine.Book, clock *timer.Service, stats *metrics.Registry,
 	log *logrus.Logger,
 ) *Loop {
 	l := &Loop{
@@ -107,7 +107,7 @@
 			l.dropUnlistedEnds(h.Changes)
 		}
 		l.markPossiblyLeaving()
-		l.confirm(h.feed, h.Known)
+		l.confirm(h.feed, h.AsOf)
 	case feedUpdates:
 		l.noteRegained(h.feed)
 		if l.notePosition(h.feed, h.At) && h.feed == FeedQuarantine {
@@ -115,7 +115,7 @@
 		}
 		l.publish(l.apply(h.Changes))
 		l.markPossiblyLeaving()
-		l.confirm(h.feed, h.Known)
+		l.confirm(h.feed, h.AsOf)
 	case feedFailure:
 		l.handleFailure(h)
 	}
@@ -221,7 +221,7 @@
 	if e.Service != k.entry.Service && !l.hasService(e.Service) {
 		return l.markUnusable(EntryUnusable{ID: e.ID, Field: "service", Value: e.Service, Err: errUnknownService})
 	}
-	if !k.entry.SameStart(e) {
+	if !k.entry.SameIncarnation(e) {
 		l.noteRestart(k.server)
 		return l.addServer(e)
 	}
@@ -279,7 +279,7 @@
 
 // noteRestart records that a server has restarted under its id: whatever ran on its former incarnation is lost.
 func (l *Loop) noteRestart(s *backend.Server) {
-	s.Finish()
+	s.MarkReplaced()
 	l.log.WithFields(logrus.Fields{"server": s.ID(), "address": s.Addr(), "born": s.Incarnation().Born}).Info("server started again")
 }
 
--- a/follow/missing.go
+++ b/follow/missing.go
@@ -52,7 +52,7 @@
 	if hasLeft {
 		k.server.Remove()
 	} else {
-		k.server.Lapse()
+		k.server.MarkGone()
 	}
 	l.rememberFormer(k, hasLeft)
 	l.log.WithFields(logrus.Fields{"server": id, "address": k.server.Addr()}).Info("server gone")
@@ -98,6 +98,6 @@
 		k.server.CloseExpired(now)
 	}
 	l.forgetFormer(now)
-	l.ends.Tidy(now)
+	l.ends.Expire(now)
 	l.stats.Gauge("quarantine_requests").Update(int64(l.ends.Size()))
 }
--- a/follow/reports.go
+++ b/follow/reports.go
@@ -12,17 +12,21 @@
 
 // OwnWords returns the reports on servers that this instance obtained itself after a moment; a server that did not
 // answer counts too.
-func (b *Board) OwnWords(after, now time.Time) []backend.Word { return b.reports(after, now, true) }
+func (b *FleetView) OwnWords(after, now time.Time) []backend.SharedReport {
+	return b.reports(after, now, true)
+}
 
 // Words returns the reports on servers that this instance obtained itself or received from other instances after a
 // moment.
-func (b *Board) Words(after, now time.Time) []backend.Word { return b.reports(after, now, false) }
+func (b *FleetView) Words(after, now time.Time) []backend.SharedReport {
+	return b.reports(after, now, false)
+}
 
-func (b *Board) reports(after, now time.Time, ownOnly bool) []backend.Word {
-	var out []backend.Word
+func (b *FleetView) reports(after, now time.Time, ownOnly bool) []backend.SharedReport {
+	var out []backend.SharedReport
 	for _, group := range b.Current().Groups() {
 		for _, s := range group.Servers() {
-			if w, ok := s.Word(after, now, ownOnly); ok {
+			if w, ok := s.SharedReport(after, now, ownOnly); ok {
 				out = append(out, w)
 			}
 		}
@@ -32,7 +36,7 @@
 
 // Hear applies reports that other instances share, and reports whether they show that a server has become silent or
 // slow.
-func (b *Board) Hear(reports []backend.Word, now time.Time) bool {
+func (b *FleetView) Hear(reports []backend.SharedReport, now time.Time) bool {
 	if len(reports) == 0 {
 		return false
 	}
@@ -41,11 +45,13 @@
 	for _, w := range reports {
 		// A report on another incarnation of the server does not apply to this one.
 		if s := b.Current().server(w.ID); s != nil && s.Incarnation().Born == w.Born {
-			worse = s.Hear(w, now) || worse
+			worse = s.ApplySharedReport(w, now) || worse
 		}
 	}
 	return worse
 }
 
-// Shared reports whether instances share their reports on servers at present.
-func (b *Board) Shared(now time.Time) bool { return now.Sub(*b.lastShared.Load()) < sharingWindow }
+// ReportsShared reports whether instances share their reports on servers at present.
+func (b *FleetView) ReportsShared(now time.Time) bool {
+	return now.Sub(*b.lastShared.Load()) < sharingWindow
+}
--- a/follow/snapshot.go
+++ b/follow/snapshot.go
@@ -27,8 +27,8 @@
 // server returns a server by its id, or nil.
 func (s *Snapshot) server(id string) *backend.Server { return s.byID[id] }
 
-// Board holds the newest Snapshot for the request path, and up to when the feeds are known.
-type Board struct {
+// FleetView holds the newest Snapshot for the request path, and up to when the feeds are known.
+type FleetView struct {
 	current atomic.Pointer[Snapshot]
 	// confirmed is the last moment at which the configuration in force is known to have been the newest.
 	confirmed atomic.Pointer[time.Time]
@@ -38,9 +38,9 @@
 	lastShared atomic.Pointer[time.Time]
 }
 
-// NewBoard returns a Board with an empty Snapshot.
-func NewBoard() *Board {
-	b := &Board{}
+// NewFleetView returns a Board with an empty Snapshot.
+func NewFleetView() *FleetView {
+	b := &FleetView{}
 	b.current.Store(&Snapshot{})
 	b.confirmed.Store(&time.Time{})
 	b.listed.Store(&time.Time{})
@@ -49,16 +49,16 @@
 }
 
 // Current returns the newest Snapshot; it is never nil.
-func (b *Board) Current() *Snapshot { return b.current.Load() }
+func (b *FleetView) Current() *Snapshot { return b.current.Load() }
 
 // Confirmed returns the last moment at which the configuration in force is known to have been the newest.
-func (b *Board) Confirmed() time.Time { return *b.confirmed.Load() }
+func (b *FleetView) Confirmed() time.Time { return *b.confirmed.Load() }
 
 // KeysAge returns for how long keys may have been revoked without the instance knowing.
-func (b *Board) KeysAge(now time.Time) time.Duration { return now.Sub(b.Confirmed()) }
+func (b *FleetView) KeysAge(now time.Time) time.Duration { return now.Sub(b.Confirmed()) }
 
 // Listed reports whether the list of servers has been read since the start.
-func (b *Board) Listed() bool { return !b.listed.Load().IsZero() }
+func (b *FleetView) Listed() bool { return !b.listed.Load().IsZero() }
 
 // ServersAge returns for how long entries of servers may have changed without the instance knowing.
-func (b *Board) ServersAge(now time.Time) time.Duration { return now.Sub(*b.listed.Load()) }
+func (b *FleetView) ServersAge(now time.Time) time.Duration { return now.Sub(*b.listed.Load()) }
--- a/follow/source.go
+++ b/follow/source.go
@@ -87,21 +87,21 @@
 func (EndGone) change()       {}
 func (Unreadable) change()    {}
 
-// News is what one request to a Source returned.
-type News struct {
+// Updates is what one request to a Source returned.
+type Updates struct {
 	// Changes are in the order in which they happened.
 	Changes []Change
 	// At is the position up to which the feed is known; the next request goes on from there.
 	At Position
-	// Known is the moment up to which the feed is known not to have changed otherwise.
-	Known time.Time
+	// AsOf is the moment up to which the feed is known not to have changed otherwise.
+	AsOf time.Time
 }
 
 // Source provides the state of the fleet, and its changes, by feed.
 type Source interface {
 	// Read returns the complete content of a feed; it returns ErrUnavailable.
-	Read(ctx context.Context, feed Feed) (News, error)
+	Read(ctx context.Context, feed Feed) (Updates, error)
 	// Next waits for changes after a position and returns them, or no changes after a while without any; it returns
 	// ErrHistoryGone or ErrUnavailable.
-	Next(ctx context.Context, feed Feed, after Position) (News, error)
+	Next(ctx context.Context, feed Feed, after Position) (Updates, error)
 }
--- a/forward/choice.go
+++ b/forward/choice.go
@@ -30,9 +30,9 @@
 	// speedExponent is the power of the relative speed by which fast lanes are preferred. A stream holds memory for as long as
 	// it lasts, so the same memory carries more streams on a fast lane.
 	speedExponent = 2.0
-	// wordAge is the greatest age at which a server's report on its load is used; after that only this instance's own streams
+	// maxReportAge is the greatest age at which a server's report on its load is used; after that only this instance's own streams
 	// count.
-	wordAge = 5 * time.Second
+	maxReportAge = 5 * time.Second
 )
 
 // laneChoice draws a lane for one request at random, by weight.
@@ -61,7 +61,7 @@
 			c.load[i] = 1
 			continue
 		}
-		own := group.Servers()[l.Hops[0].Server].Sequences(now, wordAge) / width[l.Hops[0].Server]
+		own := group.Servers()[l.Hops[0].Server].Sequences(now, maxReportAge) / width[l.Hops[0].Server]
 		if filled, known := highestFilled(group, l, instances, now); known {
 			c.load[i] = max(own, filled)
 			continue
@@ -78,7 +78,7 @@
 func highestFilled(group *backend.Group, l *chain.Lane, instances int, now time.Time) (float64, bool) {
 	highest, reported := 0.0, false
 	for _, hop := range l.Hops {
-		filled, known := group.Servers()[hop.Server].Filled(now, wordAge, min(float64(instances), maxAddingInstances))
+		filled, known := group.Servers()[hop.Server].Filled(now, maxReportAge, min(float64(instances), maxAddingInstances))
 		if known {
 			highest, reported = max(highest, filled), true
 		}
--- a/forward/choice_test.go
+++ b/forward/choice_test.go
@@ -42,11 +42,11 @@
 // TestALaneCountsAsFullAfterItsServerRefusedWork has two lanes, and one server refuses work for want of memory.
 func TestALaneCountsAsFullAfterItsServerRefusedWork(t *testing.T) {
 	g := twoCopies()
-	var b laneBook
+	var b laneCache
 	now := time.Unix(100, 0)
 	lanes, _ := b.get(g, now)
 	require.Len(t, lanes, 2)
-	g.Servers()[1].NoRoom(now)
+	g.Servers()[1].NoteMemoryFull(now)
 	lanes, changed := b.get(g, now)
 	require.False(t, changed)
 	require.Len(t, lanes, 2)
@@ -60,7 +60,7 @@
 // report, the work of other instances would not show.
 func TestALaneIsAsFullAsItsFullestServer(t *testing.T) {
 	g := twoCopies()
-	var b laneBook
+	var b laneCache
 	now := time.Unix(100, 0)
 	lanes, _ := b.get(g, now)
 	g.Servers()[lanes[0].Hops[1].Server].SetMemory(990, 1000, 0, now)
@@ -72,7 +72,7 @@
 
 func TestAServerThatIsCrowdedOnlyByOthersIsAskedForItsMemory(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g)
+	e := newFakeEngineClient(g)
 	h, clock := testHandler(t, e)
 	clock.Advance(time.Minute)
 	p := &prober{handler: h, allowed: 1}
--- a/forward/cold.go
+++ b/forward/cold.go
@@ -6,9 +6,9 @@
 	"junctioncross/backend"
 )
 
-// coldSpread is the greatest random part of the Retry-After time of a cold service; it keeps refused callers from coming back
+// coldRetryJitter is the greatest random part of the Retry-After time of a cold service; it keeps refused callers from coming back
 // all at once.
-const coldSpread = 2 * time.Second
+const coldRetryJitter = 2 * time.Second
 
 // coldService returns how much longer the request's service is expected to have no path at all, if that is known. Waiting for a
 // first path takes seconds and would be too late for most callers. A returning caller waits all the same, since it hardly has
@@ -27,9 +27,9 @@
 func (h *Handler) coldTimeLeft(group *backend.Group) (time.Duration, bool) {
 	now := h.clock.Now()
 	left := firstPathTime - now.Sub(h.watch.start)
-	if left <= 0 || len(group.Servers()) == 0 || group.Graph().Whole() {
+	if left <= 0 || len(group.Servers()) == 0 || group.Graph().CoversAllLayers() {
 		return 0, false
 	}
-	_, had := h.laneBook(group.Service().Name).outage(group, now)
+	_, had := h.laneCacheOf(group.Service().Name).outage(group, now)
 	return left, !had
 }
--- a/forward/cold_test.go
+++ b/forward/cold_test.go
@@ -35,7 +35,7 @@
 func TestAServiceThatHadAPathIsNotCold(t *testing.T) {
 	h, clock := testHandler(t, nil)
 	g := twoCopies()
-	h.laneBook(g.Service().Name).outage(g, clock.Now())
+	h.laneCacheOf(g.Service().Name).outage(g, clock.Now())
 	_, isCold := h.coldTimeLeft(backend.NewGroup(g.Service(), g.Servers()[:1]))
 	require.False(t, isCold)
 }
--- a/forward/conclude.go
+++ b/forward/conclude.go
@@ -12,14 +12,14 @@
 // maxRefusals is how many servers, beyond the attempts that its route allows, may refuse a request before its caller is told.
 const maxRefusals = 3
 
-// again reports whether another attempt may follow one with this outcome.
-func (h *Handler) again(r *request, last outcome, sends int) bool {
+// mayRetry reports whether another attempt may follow one with this outcome.
+func (h *Handler) mayRetry(r *request, last outcome, sends int) bool {
 	switch o := last.(type) {
 	case notRun:
 		h.stats.Retried(o.reason)
 		return sends < maxRefusals+r.route.MaxAttempts
 	case failed:
-		if !r.route.MayRepeat() || r.standing() >= r.route.MaxAttempts {
+		if !r.route.MayRetry() || r.activeRuns() >= r.route.MaxAttempts {
 			return false
 		}
 		h.stats.Retried(o.reason)
@@ -52,9 +52,9 @@
 			h.giveUp(r, fasthttp.StatusBadGateway, o.reason, nil)
 			return
 		}
-		h.refuse(r, o.reason, h.comeBack(r))
-	case kept:
-		h.refuseKept(r, o)
+		h.refuse(r, o.reason, h.retryAfter(r))
+	case quarantined:
+		h.refuseQuarantined(r, o)
 	case failed:
 		if o.answer != nil {
 			h.record.Last(r.meta.ID, "failure passed on", h.fields(r, decision.Fields{"reason": o.reason}))
--- a/forward/demand.go
+++ b/forward/demand.go
@@ -83,7 +83,7 @@
 func (h *Handler) measureDemand(name string, group *backend.Group, now time.Time) {
 	d := h.queueOf(name).demand(now)
 	own, others, _ := h.sequences(h.lanesOf(group, now))
-	room := float64(own+others) / float64(max(h.census.Instances(), 1))
+	room := float64(own+others) / float64(max(h.instances.Instances(), 1))
 	h.gauge("streams_under_way", "service", name, int64(d.underWay))
 	h.gauge("returned_under_way", "service", name, int64(d.returnedUnderWay))
 	h.gauge("streams_waiting", "service", name, int64(d.waiting))
--- a/forward/demand_test.go
+++ b/forward/demand_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestOldEventsAreNoLongerCounted(t *testing.T) {
-	c := retry.NewTally(recentSlots, slotTime)
+	c := retry.NewWindowCounter(recentSlots, slotTime)
 	now := time.Unix(1000, 0)
 	for n := range 30 {
 		c.Add(now.Add(time.Duration(n) * slotTime))
@@ -26,7 +26,7 @@
 // TestOverloadThatOutlastsItsCauseIsAGauge refuses some first tries while returning callers take up the room.
 func TestOverloadThatOutlastsItsCauseIsAGauge(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	q := h.queueOf("s")
 	stream := func(returned bool) *inflight {
 		return &inflight{r: &request{group: g, route: &catalog.Route{}, meta: call.Meta{}}, returned: returned}
--- a/forward/evacuate.go
+++ b/forward/evacuate.go
@@ -26,8 +26,8 @@
 	// maxBacklogRounds bounds the backlog that gathers while there is no other path, in rounds: streams that are moved
 	// together are also read together by their new servers.
 	maxBacklogRounds = 4
-	// mostTries bounds the streams for which one round searches for another path: each search goes through all servers.
-	mostTries = 16
+	// maxEvacuationTries bounds the streams for which one round searches for another path: each search goes through all servers.
+	maxEvacuationTries = 16
 )
 
 // departures holds, for each server that leaves, how many streams should have been moved off it by now and have not.
@@ -52,7 +52,7 @@
 		pace := w.pace(s, len(streams))
 		backlog[s] = min(backlog[s]+pace, max(maxBacklogRounds*pace, 1))
 		for _, f := range streams {
-			if backlog[s] < 1 || tries == mostTries {
+			if backlog[s] < 1 || tries == maxEvacuationTries {
 				break
 			}
 			tries++
@@ -73,7 +73,7 @@
 	since := s.LeavingFor(w.handler.clock.Now())
 	left := evacuationTime - since
 	if left < 0 {
-		left = w.handler.terms.Load().DrainTime - minTimeLeft - since
+		left = w.handler.settings.Load().DrainTime - minTimeLeft - since
 	}
 	return max(float64(streams)/max(left, minTimeLeft).Seconds(), minPace) * watchPeriod.Seconds()
 }
@@ -84,7 +84,7 @@
 	h := w.handler
 	out := map[*backend.Server][]*inflight{}
 	for _, f := range w.active() {
-		if s := h.partToLeave(f); s != nil {
+		if s := h.serverToLeave(f); s != nil {
 			out[s] = append(out[s], f)
 		}
 	}
@@ -102,24 +102,24 @@
 	}
 	priorities := make(map[*inflight]priority, len(streams))
 	for _, f := range streams {
-		priorities[f] = priority{failedMoves: f.failedMoves.Load(), left: f.left(h)}
+		priorities[f] = priority{failedMoves: f.failedMoves.Load(), left: f.expectedLeft(h)}
 	}
 	slices.SortFunc(streams, func(a, b *inflight) int {
 		return cmp.Or(cmp.Compare(priorities[a].failedMoves, priorities[b].failedMoves), cmp.Compare(priorities[b].left, priorities[a].left))
 	})
 }
 
-// partToLeave returns the server that a stream is to be moved off, or nil: of the servers on its path that will not last as
+// serverToLeave returns the server that a stream is to be moved off, or nil: of the servers on its path that will not last as
 // long as the stream, the one that has been leaving for longest. Streams without an event in the present attempt stay: their
 // tokens are being read.
-func (h *Handler) partToLeave(f *inflight) *backend.Server {
-	if !f.moved.Load() {
+func (h *Handler) serverToLeave(f *inflight) *backend.Server {
+	if !f.progressed.Load() {
 		return nil
 	}
 	var out *backend.Server
 	longest := time.Duration(-1)
 	now := h.clock.Now()
-	c := f.course()
+	c := f.path()
 	for i, s := range c.servers {
 		if !h.outlasts(f, s, c.hops[i].Layers) {
 			continue
@@ -133,15 +133,15 @@
 
 // outlasts reports whether a stream is expected to need some layers for longer than the server on its path runs them.
 func (h *Handler) outlasts(f *inflight, s *backend.Server, layers models.Layers) bool {
-	if s.Departs() {
-		return f.left(h) > h.terms.Load().DrainTime-propagationTime-s.LeavingFor(h.clock.Now())
+	if s.PossiblyLeaving() {
+		return f.expectedLeft(h) > h.settings.Load().DrainTime-propagationTime-s.LeavingFor(h.clock.Now())
 	}
 	return droppedStage(s, layers)
 }
 
 // hasLeavingStage reports whether a server of the stream's path, other than the first, is leaving.
 func (f *inflight) hasLeavingStage() bool {
-	for i, s := range f.course().servers {
+	for i, s := range f.path().servers {
 		if i > 0 && s.Leaving() {
 			return true
 		}
@@ -156,7 +156,7 @@
 
 // leaveStages moves a stream off the servers that will not last as long as it does, and reports whether it can.
 func (w *watcher) leaveStages(ctx context.Context, f *inflight, group *backend.Group) bool {
-	c := f.course()
+	c := f.path()
 	if len(c.servers) == 0 {
 		return false
 	}
@@ -169,7 +169,7 @@
 // evacuateOne starts to replace the servers behind the first one on a stream's path that leave, and reports whether there is
 // such a path.
 func (w *watcher) evacuateOne(ctx context.Context, f *inflight, group *backend.Group) bool {
-	old := f.course()
+	old := f.path()
 	next, ok := w.withoutLeaving(f, group, old)
 	if !ok || slices.Equal(old.servers, next.servers) || !f.startRepair() {
 		return false
@@ -191,8 +191,10 @@
 	if len(oldHops) == 0 {
 		return resolvedPath{}, false
 	}
-	r := f.repairRequest(oldHops, func(i int) bool { return old.servers[i].Departs() || droppedStage(old.servers[i], oldHops[i].Layers) })
-	hops, ok := chain.Mend(group.Graph(), h.chainState(group, h.clock.Now()), r)
+	r := f.repairRequest(oldHops, func(i int) bool {
+		return old.servers[i].PossiblyLeaving() || droppedStage(old.servers[i], oldHops[i].Layers)
+	})
+	hops, ok := chain.RepairPath(group.Graph(), h.chainState(group, h.clock.Now()), r)
 	if !ok {
 		return resolvedPath{}, false
 	}
--- a/forward/evacuate_test.go
+++ b/forward/evacuate_test.go
@@ -10,27 +10,27 @@
 	"junctioncross/models"
 )
 
-// leave has a server announce in its entry that it leaves.
-func leave(s *backend.Server) {
+// announceLeaving has a server announce in its entry that it leaves.
+func announceLeaving(s *backend.Server) {
 	s.Update(backend.Entry{ID: s.ID(), Leaving: true, Layers: s.Layers()})
 }
 
 // TestAStreamIsEvacuatedFromALeavingServer has the second server of a path leave while another one holds its layers.
 func TestAStreamIsEvacuatedFromALeavingServer(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g)
+	e := newFakeEngineClient(g)
 	h, _ := testHandler(t, e)
-	f := flying(h, g, "one", 0, 0, 1)
-	require.Nil(t, h.partToLeave(f), "no server leaves yet")
-	leave(g.Servers()[1])
-	require.Equal(t, g.Servers()[1], h.partToLeave(f))
+	f := newActiveStream(h, g, "one", 0, 0, 1)
+	require.Nil(t, h.serverToLeave(f), "no server leaves yet")
+	announceLeaving(g.Servers()[1])
+	require.Equal(t, g.Servers()[1], h.serverToLeave(f))
 	require.True(t, h.watch.evacuateOne(t.Context(), f, g))
 	require.Eventually(t, func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return len(e.repairs["one"]) == 2 && e.repairs["one"][1].Addr == g.Servers()[3].Addr()
 	}, 10*time.Second, time.Millisecond)
-	require.Nil(t, h.partToLeave(f))
+	require.Nil(t, h.serverToLeave(f))
 }
 
 // TestAStreamIsNotEvacuatedToAnotherDomain has no other holder of the layers in the domain.
@@ -44,9 +44,9 @@
 	g := backend.NewGroup(service, []*backend.Server{
 		backend.NewServer(entry("1", "a", 0)), backend.NewServer(entry("2", "a", 4)), backend.NewServer(entry("3", "b", 4)),
 	})
-	h, _ := testHandler(t, newEngines(g))
-	f := flying(h, g, "one", 0, 0, 1)
-	leave(g.Servers()[1])
+	h, _ := testHandler(t, newFakeEngineClient(g))
+	f := newActiveStream(h, g, "one", 0, 0, 1)
+	announceLeaving(g.Servers()[1])
 	require.False(t, h.watch.evacuateOne(t.Context(), f, g))
 	require.Zero(t, f.repairs, "a search for a path does not count as a repair")
 }
@@ -55,27 +55,27 @@
 // back.
 func TestStreamsAreEvacuatedFromAServerThatMayBeLeaving(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
-	f := flying(h, g, "one", 0, 0, 1)
+	h, clock := testHandler(t, newFakeEngineClient(g))
+	f := newActiveStream(h, g, "one", 0, 0, 1)
 	part := g.Servers()[1]
-	part.Doubt(true)
+	part.SetPossiblyLeaving(true)
 	part.NoteLeaving(clock.Now())
-	require.Equal(t, part, h.partToLeave(f))
+	require.Equal(t, part, h.serverToLeave(f))
 	require.True(t, h.watch.evacuateOne(t.Context(), f, g))
-	part.Doubt(false)
+	part.SetPossiblyLeaving(false)
 	part.ForgetLeaving()
-	other := flying(h, g, "other", 0, 0, 1)
-	require.Nil(t, h.partToLeave(other))
+	other := newActiveStream(h, g, "other", 0, 0, 1)
+	require.Nil(t, h.serverToLeave(other))
 }
 
 // TestAStreamThatMayOutlastItsServerIsEvacuated checks that the leave notice is taken to be propagationTime old.
 func TestAStreamThatMayOutlastItsServerIsEvacuated(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
-	f := flying(h, g, "one", 0, 0, 1)
-	goodbye(g.Servers()[1], clock)
-	f.life = h.terms.Load().DrainTime - propagationTime
-	require.Nil(t, h.partToLeave(f))
-	f.life++
-	require.Equal(t, g.Servers()[1], h.partToLeave(f))
+	h, clock := testHandler(t, newFakeEngineClient(g))
+	f := newActiveStream(h, g, "one", 0, 0, 1)
+	sendLeaveNotice(g.Servers()[1], clock)
+	f.expectedLifetime = h.settings.Load().DrainTime - propagationTime
+	require.Nil(t, h.serverToLeave(f))
+	f.expectedLifetime++
+	require.Equal(t, g.Servers()[1], h.serverToLeave(f))
 }
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -31,8 +31,8 @@
 	errOverLimit = errors.New("forward: rate limit of the server is reached")
 )
 
-// sent is a request to a server, with the head of its answer.
-type sent struct {
+// sentRequest is a request to a server, with the head of its answer.
+type sentRequest struct {
 	server *backend.Server
 	conn   *backend.Conn
 	// at is when the request was sent.
@@ -62,7 +62,7 @@
 		conn.Keep(h.clock.Now(), 0)
 		return nil, errBackedOff
 	}
-	if !server.TakeTurn(h.census.Instances(), h.clock.Now()) {
+	if !server.TakePermit(h.instances.Instances(), h.clock.Now()) {
 		conn.Keep(h.clock.Now(), 0)
 		return nil, errOverLimit
 	}
@@ -71,16 +71,16 @@
 
 // send opens a connection and writes the request; the error is backend.ErrDial, errBackedOff or errOverLimit when nothing
 // was sent.
-func (h *Handler) send(ctx context.Context, r *request, server *backend.Server, s *call.Send, fresh bool) (*sent, error) {
+func (h *Handler) send(ctx context.Context, r *request, server *backend.Server, s *call.SendParams, fresh bool) (*sentRequest, error) {
 	conn, err := h.connect(ctx, server, fresh)
 	if err != nil {
 		return nil, err
 	}
-	out := &sent{server: server, conn: conn, at: h.clock.Now()}
+	out := &sentRequest{server: server, conn: conn, at: h.clock.Now()}
 	// Closing the connection tells a server to stop; it also ends the read that waits for the answer.
 	stopCancel := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	// A restarted server knows no request that was sent before: such a request fails at once, not after a timeout.
-	stopRestart := context.AfterFunc(server.Over(), func() { _ = conn.Close() })
+	stopRestart := context.AfterFunc(server.Context(), func() { _ = conn.Close() })
 	out.stopWatching = func() bool {
 		// Both must be stopped, whatever the first call returns.
 		notRestarted, notCancelled := stopRestart(), stopCancel()
@@ -95,7 +95,7 @@
 	p := h.codec.AppendRequest(make([]byte, 0, 1<<10+len(body)), r.x.Header(), s)
 	p = append(p, body...)
 	r.sends++
-	r.granted = false
+	r.retryGranted = false
 	if _, err := conn.Write(p); err != nil {
 		return out, errors.Wrap(err, "forward: write request")
 	}
@@ -103,7 +103,7 @@
 }
 
 // receive reads the head of the answer; it discards answers that belong to other requests.
-func (h *Handler) receive(r *request, s *sent) error {
+func (h *Handler) receive(r *request, s *sentRequest) error {
 	for range maxStrayAnswers + 1 {
 		if err := s.head.Read(s.conn.Reader); err != nil {
 			return errors.Wrap(err, "forward: read answer")
@@ -125,7 +125,7 @@
 }
 
 // readWhole reads the body of an answer; the error means that it is incomplete.
-func readWhole(s *sent) ([]byte, error) {
+func readWhole(s *sentRequest) ([]byte, error) {
 	switch length := s.head.ContentLength(); {
 	case length > maxPlainBody:
 		return nil, errMalformed
@@ -165,10 +165,10 @@
 }
 
 // framed reports whether the end of the body is marked, so that the connection can be reused.
-func (s *sent) framed() bool { return s.head.ContentLength() >= -1 }
+func (s *sentRequest) framed() bool { return s.head.ContentLength() >= -1 }
 
 // finish keeps the connection of an answer that was read completely, or else closes it.
-func (h *Handler) finish(s *sent, whole bool) {
+func (h *Handler) finish(s *sentRequest, whole bool) {
 	untouched := s.stopWatching()
 	if !whole || !untouched || !s.framed() || s.info.Closing {
 		_ = s.conn.Close()
--- a/forward/findings.go
+++ b/forward/findings.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// secondQuestion is how long after the first query a server is queried again, on another connection, so that one lost
+	// secondQueryDelay is how long after the first query a server is queried again, on another connection, so that one lost
 	// packet does not make a healthy server look dead.
-	secondQuestion = 25 * time.Millisecond
+	secondQueryDelay = 25 * time.Millisecond
 	// queriesTimeout limits both queries together: many times what an answer takes within one building.
 	queriesTimeout = 75 * time.Millisecond
 )
@@ -30,16 +30,16 @@
 	holds map[*backend.Server]models.Layers
 }
 
-// ask queries servers, all at once. Dead are those that refuse the connection, do not answer two queries, or are named by
+// queryServers queries servers, all at once. Dead are those that refuse the connection, do not answer two queries, or are named by
 // the first server of the path as the one that it waits for.
-func (w *watcher) ask(ctx context.Context, first *backend.Server, group *backend.Group, servers map[*backend.Server]bool) *findings {
+func (w *watcher) queryServers(ctx context.Context, first *backend.Server, group *backend.Group, servers map[*backend.Server]bool) *findings {
 	found := &findings{
 		now: w.handler.clock.Now(), dead: map[*backend.Server]bool{}, holds: map[*backend.Server]models.Layers{},
 	}
 	servers[first] = true
 	var all sync.WaitGroup
 	for s := range servers {
-		if s == first || s.MayAsk(found.now) {
+		if s == first || s.TryQuery(found.now) {
 			all.Go(func() { w.queryOne(ctx, found, s, group, s == first) })
 		}
 	}
@@ -50,12 +50,12 @@
 func (w *watcher) queryOne(ctx context.Context, found *findings, s *backend.Server, group *backend.Group, first bool) {
 	h := w.handler
 	report, err := w.queryTwice(ctx, s)
-	h.believe(s, report, err, "slow stream")
+	h.applyReport(s, report, err, "slow stream")
 	if errors.Is(err, backend.ErrGarbled) {
 		return
 	}
 	if err != nil || s.Ended() {
-		found.add(s)
+		found.addDead(s)
 		return
 	}
 	if h.reportsNewerLayers(s) {
@@ -70,7 +70,7 @@
 		server := group.ByAddr(suspect.Addr)
 		if server != nil && (suspect.ID == "" || suspect.ID == server.ID()) {
 			server.Suspect(h.clock.Now().Add(suspectTime))
-			found.add(server)
+			found.addDead(server)
 		}
 	}
 }
@@ -97,13 +97,13 @@
 	select {
 	case a := <-answers:
 		return a.report, a.err
-	case <-h.clock.After(secondQuestion):
+	case <-h.clock.After(secondQueryDelay):
 	}
 	go query()
 	for range 2 {
 		select {
 		case a := <-answers:
-			if a.err == nil || errors.Is(a.err, backend.ErrNotThere) {
+			if a.err == nil || errors.Is(a.err, backend.ErrNotListening) {
 				return a.report, a.err
 			}
 		case <-ctx.Done():
@@ -113,14 +113,14 @@
 	return backend.Report{}, errors.Wrap(backend.ErrNoAnswer, "queried twice")
 }
 
-func (f *findings) add(s *backend.Server) {
+func (f *findings) addDead(s *backend.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.dead[s] = true
 }
 
-// lost returns the dead servers.
-func (f *findings) lost() []*backend.Server {
+// deadServers returns the dead servers.
+func (f *findings) deadServers() []*backend.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Keys(f.dead))
@@ -129,7 +129,7 @@
 // broken reports whether a path passes, behind its first server, a server that is dead or no longer holds its layers. A
 // repair cannot replace the first server; a stream whose first server is dead is cut instead.
 func (f *findings) broken(one *inflight) bool {
-	c := one.course()
+	c := one.path()
 	for i, s := range c.servers {
 		if i > 0 && f.lacks(s, c.hops[i].Layers) {
 			return true
--- a/forward/firstevent_test.go
+++ b/forward/firstevent_test.go
@@ -13,11 +13,11 @@
 // that at most one server may run at a time.
 func TestARequestIsRetriedIfItsServerEndsBeforeTheFirstEvent(t *testing.T) {
 	g := twoCopies()
-	h, _ := testHandler(t, newEngines(g, 0))
-	f := begun(g, 1)
-	f.r.route.Repeat = catalog.RepeatResume
+	h, _ := testHandler(t, newFakeEngineClient(g, 0))
+	f := newBegunStream(g, 1)
+	f.r.route.RetryPolicy = catalog.RetryResume
 	f.first = g.Servers()[0]
-	leave(f.first)
+	announceLeaving(f.first)
 	last := h.brokenStream(t.Context(), f, io.ErrUnexpectedEOF)
 	require.False(t, f.r.x.Begun())
 	require.True(t, h.mayContinue(f, last, 1))
--- a/forward/forecast_test.go
+++ b/forward/forecast_test.go
@@ -11,7 +11,7 @@
 // constantSample returns a full sample in which all durations are alike.
 func constantSample(life time.Duration) *sample {
 	s := newSample(initialLifetime)
-	for range sampleMost {
+	for range maxSamples {
 		s.add(life)
 	}
 	return &s
@@ -20,9 +20,9 @@
 func TestASampleForgetsTheOldest(t *testing.T) {
 	s := constantSample(2 * time.Second)
 	require.Equal(t, 2*time.Second, s.mean())
-	require.Len(t, s.sorted, sampleMost)
+	require.Len(t, s.sorted, maxSamples)
 	require.Equal(t, 2*time.Second, s.sorted[0], "what was assumed at first is gone")
-	for range sampleMost / 2 {
+	for range maxSamples / 2 {
 		s.add(time.Second)
 	}
 	require.Equal(t, time.Second, s.quantile(0.4))
@@ -80,7 +80,7 @@
 	stated, came := 0.0, 0.0
 	for range rounds {
 		lifetimes := newSample(initialLifetime)
-		for range sampleMost {
+		for range maxSamples {
 			lifetimes.add(drawLifetime(random))
 		}
 		c, rooms := forecast{lifetimes: &lifetimes, placesPerEnd: 1}, 0
--- a/forward/gauges.go
+++ b/forward/gauges.go
@@ -10,7 +10,7 @@
 // Measure updates the gauges that describe the Handler's view of the servers; it is called for each scrape.
 func (h *Handler) Measure() {
 	now := h.clock.Now()
-	h.measureRepeats()
+	h.measureRetries()
 	for name, group := range h.board.Current().Groups() {
 		h.measureServers(name, group, now)
 		if group.Graph() != nil {
@@ -49,7 +49,7 @@
 	oldest := time.Duration(0)
 	for _, s := range group.Servers() {
 		if s.Usable(now) {
-			oldest = max(oldest, min(s.MemoryAge(now), wordAge))
+			oldest = max(oldest, min(s.MemoryAge(now), maxReportAge))
 		}
 	}
 	h.gauge("memory_word_age_ms", "service", name, oldest.Milliseconds())
--- a/forward/gauges_test.go
+++ b/forward/gauges_test.go
@@ -22,14 +22,14 @@
 
 func TestTheBudgetOfRepeatsIsAGauge(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
-	h.SetTerms(Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Share: 0.1, Fixed: 20}})
+	h, clock := testHandler(t, newFakeEngineClient(g))
+	h.ApplySettings(Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Share: 0.1, Fixed: 20}})
 	r := &request{group: g, route: &catalog.Route{}}
 	for range 100 {
 		h.countRequest(r)
 	}
 	require.Contains(t, scrape(t, h), `jx_repeats_left{service="s"} 15`)
-	require.True(t, h.takeRepeat(r))
+	require.True(t, h.takeRetry(r))
 	require.Contains(t, scrape(t, h), `jx_repeats_left{service="s"} 14`)
 	clock.Advance(time.Minute)
 	require.Contains(t, scrape(t, h), `jx_repeats_left{service="s"} 10`, "no request counts any more, and no repeat")
@@ -37,7 +37,7 @@
 
 func TestServersPathsAndReportAgesAreGauges(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	for _, s := range g.Servers() {
 		s.SetMemory(1, 2, 0, clock.Now())
 	}
@@ -55,9 +55,9 @@
 	require.NotContains(t, got, `jx_own_domain_sequences{service="s"} 0`)
 	require.Contains(t, got, `jx_crossing_sequences{service="s"} 0`)
 	for _, s := range g.Servers()[:2] {
-		leave(s)
+		announceLeaving(s)
 	}
-	leave(g.Servers()[2])
+	announceLeaving(g.Servers()[2])
 	got = measure()
 	require.Contains(t, got, `jx_servers_usable{service="s"} 1`)
 	require.Contains(t, got, `jx_servers_leaving{service="s"} 3`)
@@ -67,10 +67,10 @@
 // TestFirstEventsAreComparedWithWhatWasPredicted has a first event that takes one and a half times as long as predicted.
 func TestFirstEventsAreComparedWithWhatWasPredicted(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	f, _ := connected(t, h, g, "one", 0, 1)
 	f.r.x = &front.Exchange{}
-	f.expected.Store(int64(100 * time.Millisecond))
+	f.firstEventDue.Store(int64(100 * time.Millisecond))
 	f.touch(h)
 	clock.Advance(150 * time.Millisecond)
 	h.observePause(f)
@@ -81,7 +81,7 @@
 
 func TestWaitsForRoomAreComparedWithWhatWasPredicted(t *testing.T) {
 	g := twoCopies()
-	h, _ := testHandler(t, newEngines(g))
+	h, _ := testHandler(t, newFakeEngineClient(g))
 	f, _ := connected(t, h, g, "one", 0, 1)
 	f.r.x = &front.Exchange{}
 	at := expectation{wait: 200 * time.Millisecond, likelihood: 0.8}
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -23,8 +23,8 @@
 	"junctioncross/timer"
 )
 
-// Terms are the limits that a Handler applies; they come from the settings.
-type Terms struct {
+// Settings are the limits that a Handler applies; they come from the settings.
+type Settings struct {
 	// Domain is the failure domain of the instance.
 	Domain string
 	// KeysAge is how long ago the keys may have been confirmed for requests with a key to be accepted; 0 means any time.
@@ -42,71 +42,71 @@
 // Instances returns the number of instances that share the limits.
 type Instances interface{ Instances() int }
 
-// Teller publishes what the quarantine book holds to the other instances.
-type Teller interface {
+// EndPublisher publishes what the quarantine book holds to the other instances.
+type EndPublisher interface {
 	// Wake reports that there is something to publish; it does not block.
 	Wake()
 }
 
-// freshAge is how old the configuration may be at most for the answer that a route or key does not exist; with an older one
+// freshConfigAge is how old the configuration may be at most for the answer that a route or key does not exist; with an older one
 // the caller is asked to try again.
-const freshAge = 2500 * time.Millisecond
+const freshConfigAge = 2500 * time.Millisecond
 
 // Handler answers requests; it implements front.Handler.
 type Handler struct {
-	terms  atomic.Pointer[Terms]
-	board  *follow.Board
-	codec  call.Codec
-	caller backend.Caller
-	clock  *timer.Service
-	stats  *metrics.Registry
-	record *decision.Recorder
-	census Instances
-	watch  *watcher
-	budget *retry.Budget
-	// retryLog and lanesTold limit the rate of the log lines about the retries and the lanes of each service.
-	retryLog, lanesTold logLimiter
-	ends                *quarantine.Book
-	publisher           Teller
-
-	mu     sync.Mutex
-	lanes  map[string]*laneBook
-	queues map[string]*queue
-	waits  waits
-	// stopTold is when the process was told to stop, stopBy when it must have ended; both are zero before.
-	stopTold time.Time
-	stopBy   time.Time
-	peers    peers
+	settings  atomic.Pointer[Settings]
+	board     *follow.FleetView
+	codec     call.Codec
+	caller    backend.EngineClient
+	clock     *timer.Service
+	stats     *metrics.Registry
+	record    *decision.Recorder
+	instances Instances
+	watch     *watcher
+	budget    *retry.Budget
+	// retryLog and lanesLog limit the rate of the log lines about the retries and the lanes of each service.
+	retryLog, lanesLog logLimiter
+	ends               *quarantine.Book
+	publisher          EndPublisher
+
+	mu           sync.Mutex
+	lanes        map[string]*laneCache
+	queues       map[string]*queue
+	longestWaits longestWaits
+	// stopRequested is when the process was told to stop, stopBy when it must have ended; both are zero before.
+	stopRequested time.Time
+	stopBy        time.Time
+	loadRatio     loadRatio
 }
 
 // New returns a Handler and starts its background work: it looks for stalled streams and queries servers for their memory
 // until ctx ends.
 func New(
-	ctx context.Context, terms Terms, board *follow.Board, codec call.Codec, caller backend.Caller, clock *timer.Service,
-	stats *metrics.Registry, record *decision.Recorder, instances Instances, ends *quarantine.Book, publisher Teller,
+	ctx context.Context, terms Settings, board *follow.FleetView, codec call.Codec, caller backend.EngineClient, clock *timer.Service,
+	stats *metrics.Registry, record *decision.Recorder, instances Instances, ends *quarantine.Book, publisher EndPublisher,
 ) *Handler {
 	h := &Handler{
-		board: board, codec: codec, caller: caller, clock: clock, stats: stats, record: record, census: instances,
+		board: board, codec: codec, caller: caller, clock: clock, stats: stats, record: record, instances: instances,
 		ends: ends, publisher: publisher,
 		budget: retry.NewBudget(terms.Repeats, clock.Now()),
-		lanes:  map[string]*laneBook{}, queues: map[string]*queue{}, waits: waits{},
-		peers: peers{factor: peersAtFirst},
+		lanes:  map[string]*laneCache{}, queues: map[string]*queue{}, longestWaits: longestWaits{},
+		loadRatio: loadRatio{estimate: initialLoadRatio},
 	}
-	h.SetTerms(terms)
+	h.ApplySettings(terms)
 	h.watch = newWatcher(ctx, h)
 	startProber(ctx, h)
 	return h
 }
 
-// SetTerms replaces the limits that the Handler applies.
-func (h *Handler) SetTerms(terms Terms) {
-	h.terms.Store(&terms)
+// ApplySettings replaces the limits that the Handler applies.
+func (h *Handler) ApplySettings(terms Settings) {
+	h.settings.Store(&terms)
 	h.budget.SetLimit(terms.Repeats)
 }
 
 // KeysConfirmed reports whether the keys were confirmed recently enough for requests with a key to be accepted.
 func (h *Handler) KeysConfirmed() bool {
-	limit := h.terms.Load().KeysAge
+	limit := h.settings.Load().KeysAge
 	return limit == 0 || h.board.KeysAge(h.clock.Now()) <= limit
 }
 
@@ -122,8 +122,8 @@
 	group     *backend.Group
 	// deadline is when the caller stops waiting or the time limit of the route ends, whichever is sooner.
 	deadline time.Time
-	// granted is true while the request holds a retry of the budget that has not reached a server yet.
-	granted bool
+	// retryGranted is true while the request holds a retry of the budget that has not reached a server yet.
+	retryGranted bool
 	// runs counts the servers that may have run the request.
 	runs int
 	// ran lists these servers.
@@ -150,8 +150,8 @@
 	if !h.accept(ctx, r) {
 		return
 	}
-	if k, ok := h.keptFrom(r); ok {
-		h.refuseKept(r, k)
+	if k, ok := h.quarantineOf(r); ok {
+		h.refuseQuarantined(r, k)
 		return
 	}
 	ctx, cancel := h.clock.WithDeadline(ctx, r.deadline)
@@ -170,7 +170,7 @@
 	snapshot := h.awaitSnapshot(ctx)
 	c := snapshot.Catalog()
 	if c == nil {
-		h.refuse(r, models.ReasonNoConfiguration, soon)
+		h.refuse(r, models.ReasonNoConfiguration, defaultRetryAfter)
 		return false
 	}
 	age := h.board.KeysAge(h.clock.Now())
@@ -182,7 +182,7 @@
 	r.urgency = urgencyOf(nil, r.route)
 	if c.NeedsKeys() && !r.route.Public {
 		if !h.KeysConfirmed() {
-			h.refuse(r, models.ReasonKeysUnconfirmed, soon)
+			h.refuse(r, models.ReasonKeysUnconfirmed, defaultRetryAfter)
 			return false
 		}
 		account := c.Account(r.meta.Key)
@@ -198,7 +198,7 @@
 		return false
 	}
 	if left, cold := h.coldService(r); cold {
-		h.refuse(r, models.ReasonNoServer, left+time.Duration(rand.Float64()*float64(coldSpread)))
+		h.refuse(r, models.ReasonNoServer, left+time.Duration(rand.Float64()*float64(coldRetryJitter)))
 		return false
 	}
 	r.deadline = r.x.Arrived().Add(r.route.Timeout)
--- a/forward/handover.go
+++ b/forward/handover.go
@@ -7,8 +7,8 @@
 	"junctioncross/models"
 )
 
-// placed is a path that was chosen for a stream from the servers of a group.
-type placed struct {
+// chosenPath is a path that was chosen for a stream from the servers of a group.
+type chosenPath struct {
 	group *backend.Group
 	path  chain.Path
 	// load is the share of the lane's memory that was thought to be taken.
@@ -20,23 +20,23 @@
 // server. A path that crosses domains more often is accepted only if the present server does not answer.
 func (w *watcher) handOver(f *inflight, first *backend.Server, group *backend.Group, text string) bool {
 	h := w.handler
-	if !f.r.route.MayRepeat() || !h.mayRunAgain(f, first) {
+	if !f.r.route.MayRetry() || !h.mayRunAgain(f, first) {
 		return false
 	}
-	next, ok := h.placeIn(f, group)
-	if !ok || !first.Suspected(h.clock.Now()) && resolvePath(group, next.path.Hops).crossings() > f.course().crossings() {
+	next, ok := h.choosePathIn(f, group)
+	if !ok || !first.Suspected(h.clock.Now()) && resolvePath(group, next.path.Hops).crossings() > f.path().crossings() {
 		return false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.startsAt(f, first) || !h.takeRepeat(f.r) {
+	if !w.startsAt(f, first) || !h.takeRetry(f.r) {
 		return false
 	}
 	f.next.Store(&next)
 	h.stats.Counter("streams_handed_over_total").Inc(1)
 	h.record.Failure(f.r.meta.ID, text, decision.Fields{
 		"server": first.ID(), "address": first.Addr(), "still_ms": f.pause(h).Milliseconds(), "gone": first.Gone(),
-		"leaving_ms": first.LeavingFor(h.clock.Now()).Milliseconds(), "expected_left_ms": f.left(h).Milliseconds(),
+		"leaving_ms": first.LeavingFor(h.clock.Now()).Milliseconds(), "expected_left_ms": f.expectedLeft(h).Milliseconds(),
 		"next": group.Servers()[next.path.Hops[0].Server].ID(),
 	})
 	// The lock guarantees that this is still the connection to that server.
@@ -47,7 +47,7 @@
 // mayRunAgain reports whether a stream may run on one more server while its present first server is still active. Earlier
 // servers that have had the time to leave are queried whether they have terminated.
 func (h *Handler) mayRunAgain(f *inflight, first *backend.Server) bool {
-	now, drain := h.clock.Now(), h.terms.Load().DrainTime
+	now, drain := h.clock.Now(), h.settings.Load().DrainTime
 	others := 0
 	for _, s := range activeServers(f.earlier()) {
 		if s == first {
@@ -55,7 +55,7 @@
 		}
 		others++
 		if s.LeavingFor(now) > drain {
-			h.question(s, "former run")
+			h.queryState(s, "former run")
 		}
 	}
 	return 1+others < f.r.route.MaxAttempts
@@ -69,14 +69,14 @@
 }
 
 // takeNext returns the path on which a stream that was handed over is resumed, or nil, and clears it.
-func (f *inflight) takeNext() *placed { return f.next.Swap(nil) }
+func (f *inflight) takeNext() *chosenPath { return f.next.Swap(nil) }
 
 // handedOverFrom returns the outcome of an attempt whose stream is resumed elsewhere. A first server that is neither leaving
 // nor has dropped its layers was left because it is silent, which counts as a failure.
 func (h *Handler) handedOverFrom(f *inflight, layers models.Layers) outcome {
 	f.r.ranOn(f.first)
 	if f.first.Leaving() || droppedStage(f.first, layers) {
-		f.first.Settled()
+		f.first.ReleaseTrial()
 	} else {
 		h.noteBreak(f.first)
 		h.suspectEnd(f.r, f.first, f.ran(h))
--- a/forward/handover_test.go
+++ b/forward/handover_test.go
@@ -13,12 +13,12 @@
 	"junctioncross/retry"
 )
 
-// spotNotice is the shortest notice that servers give before they end.
-const spotNotice = 2 * time.Second
+// minLeaveNotice is the shortest notice that servers give before they end.
+const minLeaveNotice = 2 * time.Second
 
 // connected returns a stream under way along a path, with a connection to its first server, and that connection.
 func connected(t *testing.T, h *Handler, g *backend.Group, id string, path ...int) (*inflight, net.Conn) {
-	f := flying(h, g, id, 0, path...)
+	f := newActiveStream(h, g, id, 0, path...)
 	ours, theirs := net.Pipe()
 	t.Cleanup(func() { _ = theirs.Close() })
 	f.conn = &backend.Conn{Conn: ours}
@@ -27,9 +27,9 @@
 
 func isOpen(c net.Conn) bool { return c.SetDeadline(time.Time{}) == nil }
 
-// goodbye has a server send its leave notice at the present time.
-func goodbye(s *backend.Server, clock *clockwork.FakeClock) {
-	leave(s)
+// sendLeaveNotice has a server send its leave notice at the present time.
+func sendLeaveNotice(s *backend.Server, clock *clockwork.FakeClock) {
+	announceLeaving(s)
 	s.NoteLeaving(clock.Now())
 }
 
@@ -37,12 +37,12 @@
 func TestAStreamIsHandedOverBeforeItsFirstServerEnds(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		g := twoCopies()
-		h, clock := testHandler(t, newEngines(g))
+		h, clock := testHandler(t, newFakeEngineClient(g))
 		f, conn := connected(t, h, g, "one", 0, 1)
 		first := g.Servers()[0]
 		group := g
 		if announced {
-			goodbye(first, clock)
+			sendLeaveNotice(first, clock)
 		} else {
 			first.NoteLeaving(clock.Now())
 			first.Remove()
@@ -64,10 +64,10 @@
 // TestAStreamThatEndsBeforeItsServerIsNotHandedOver has a stream expect less time than the server still works.
 func TestAStreamThatEndsBeforeItsServerIsNotHandedOver(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	f, conn := connected(t, h, g, "one", 0, 1)
-	f.life = 2 * time.Second
-	goodbye(g.Servers()[0], clock)
+	f.expectedLifetime = 2 * time.Second
+	sendLeaveNotice(g.Servers()[0], clock)
 	leaving := departures{}
 	for range 40 {
 		clock.Advance(watchPeriod)
@@ -80,18 +80,18 @@
 // left in the budget, and with an earlier server that may still run it.
 func TestAStreamIsNotHandedOverIfItCannotBeResumedElsewhere(t *testing.T) {
 	cases := map[string]func(h *Handler, f *inflight, g *backend.Group){
-		"no path": func(_ *Handler, _ *inflight, g *backend.Group) { leave(g.Servers()[2]) },
+		"no path": func(_ *Handler, _ *inflight, g *backend.Group) { announceLeaving(g.Servers()[2]) },
 		"no repeat": func(h *Handler, _ *inflight, _ *backend.Group) {
-			h.SetTerms(Terms{Domain: "a", Repeats: retry.Limit{Window: time.Second}})
+			h.ApplySettings(Settings{Domain: "a", Repeats: retry.Limit{Window: time.Second}})
 		},
 		"attempts": func(_ *Handler, f *inflight, g *backend.Group) { f.earlierServers = g.Servers()[3:] },
 	}
 	for name, arrange := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := twoCopies()
-			h, clock := testHandler(t, newEngines(g))
+			h, clock := testHandler(t, newFakeEngineClient(g))
 			f, conn := connected(t, h, g, "one", 0, 1)
-			goodbye(g.Servers()[0], clock)
+			sendLeaveNotice(g.Servers()[0], clock)
 			arrange(h, f, g)
 			require.False(t, h.watch.handOver(f, f.first, g, "handed over"))
 			require.True(t, isOpen(conn))
@@ -104,14 +104,14 @@
 func TestStreamsAreHandedOverEvenlyLongestFirst(t *testing.T) {
 	const streams = 40
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	var all []*inflight
 	for n := range streams {
 		f, _ := connected(t, h, g, fmt.Sprint(n), 0, 1)
-		f.life = time.Minute + time.Duration(n)*time.Second
+		f.expectedLifetime = time.Minute + time.Duration(n)*time.Second
 		all = append(all, f)
 	}
-	goodbye(g.Servers()[0], clock)
+	sendLeaveNotice(g.Servers()[0], clock)
 	leaving := departures{}
 	round := func() {
 		clock.Advance(watchPeriod)
@@ -128,7 +128,7 @@
 	require.InDelta(t, streams/2, streams-h.watch.count(), streams/8)
 	require.NotNil(t, all[streams-1].next.Load(), "the one that lasts longest has left")
 	require.Nil(t, all[0].next.Load(), "the one that ends first has not")
-	for range (spotNotice - evacuationTime/2) / watchPeriod {
+	for range (minLeaveNotice - evacuationTime/2) / watchPeriod {
 		round()
 	}
 	require.Zero(t, h.watch.count())
@@ -139,13 +139,13 @@
 func TestDelayedHandoversAreSpreadOverTheRemainingDrainTime(t *testing.T) {
 	const streams = 40
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	var all []*inflight
 	for n := range streams {
 		f, _ := connected(t, h, g, fmt.Sprint(n), 0, 1)
 		all = append(all, f)
 	}
-	goodbye(g.Servers()[0], clock)
+	sendLeaveNotice(g.Servers()[0], clock)
 	leaving, alone := departures{}, backend.NewGroup(g.Service(), g.Servers()[:2])
 	round := func(group *backend.Group) {
 		clock.Advance(watchPeriod)
@@ -173,13 +173,13 @@
 // TestASilentFirstServerIsLeftOnlyForAnotherPath has a first server answer no query while its connections are open.
 func TestASilentFirstServerIsLeftOnlyForAnotherPath(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	_, conn := connected(t, h, g, "one", 0, 1)
 	clock.Advance(time.Second)
 	none := backend.NewGroup(g.Service(), g.Servers()[:2])
 	g.Servers()[0].SetAside(clock.Now().Add(time.Second))
-	h.watch.giveUp(g.Servers()[0], none)
+	h.watch.moveStalledStreams(g.Servers()[0], none)
 	require.True(t, isOpen(conn), "the server may still make progress with it")
-	h.watch.giveUp(g.Servers()[0], g)
+	h.watch.moveStalledStreams(g.Servers()[0], g)
 	require.False(t, isOpen(conn))
 }
--- a/forward/inflight.go
+++ b/forward/inflight.go
@@ -25,14 +25,14 @@
 	lastAt atomic.Int64
 	// refusals counts the servers that have refused the stream since one last accepted it.
 	refusals int
-	// expected is how long after the sending the first event is due, in nanoseconds.
-	expected atomic.Int64
+	// firstEventDue is how long after the sending the first event is due, in nanoseconds.
+	firstEventDue atomic.Int64
 	// firstEvent is how long after the request's arrival its first event came, and longestPause the longest time between two
 	// events.
 	firstEvent   time.Duration
 	longestPause time.Duration
-	// moved is true once the server of the present attempt has sent an event.
-	moved atomic.Bool
+	// progressed is true once the server of the present attempt has sent an event.
+	progressed atomic.Bool
 	// ranSince is when the first event of the present attempt came; only the goroutine of the request uses it.
 	ranSince time.Time
 
@@ -41,7 +41,7 @@
 
 	// next is the path on which the stream is resumed once its present connection is closed; nil unless the stream is being
 	// handed over.
-	next atomic.Pointer[placed]
+	next atomic.Pointer[chosenPath]
 
 	mu sync.Mutex
 	// earlierServers lists the servers that ran the stream before the present attempt. That attempt started at attemptStart
@@ -49,7 +49,7 @@
 	// resumes a stream.
 	earlierServers    []*backend.Server
 	attemptStart      time.Time
-	life              time.Duration
+	expectedLifetime  time.Duration
 	predictedLifetime time.Duration
 	// minLeft is the lower bound of the time that the stream is expected to last still.
 	minLeft time.Duration
@@ -106,8 +106,8 @@
 	return c
 }
 
-// course returns the present path; it is empty while no attempt is under way.
-func (f *inflight) course() resolvedPath {
+// path returns the present path; it is empty while no attempt is under way.
+func (f *inflight) path() resolvedPath {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return resolvedPath{hops: f.hops, servers: f.servers}
@@ -115,7 +115,7 @@
 
 // uses reports whether the stream is under way on servers of a service.
 func (f *inflight) uses(service string) bool {
-	c := f.course()
+	c := f.path()
 	return len(c.servers) > 0 && c.servers[0].Service() == service
 }
 
@@ -135,7 +135,7 @@
 func (f *inflight) beginVerify() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.moved.Load() || f.verified || len(f.hops) == 0 {
+	if f.progressed.Load() || f.verified || len(f.hops) == 0 {
 		return false
 	}
 	f.verified = true
@@ -156,10 +156,10 @@
 }
 
 // stages returns the path in the form in which it is sent.
-func (c resolvedPath) stages() []call.Part {
-	out := make([]call.Part, len(c.hops))
+func (c resolvedPath) stages() []call.Stage {
+	out := make([]call.Stage, len(c.hops))
 	for i, hop := range c.hops {
-		out[i] = call.Part{Addr: c.servers[i].Addr(), Layers: hop.Layers}
+		out[i] = call.Stage{Addr: c.servers[i].Addr(), Layers: hop.Layers}
 	}
 	return out
 }
@@ -169,7 +169,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
-		s.TookWork()
+		s.NoteAccepted()
 	}
 }
 
--- a/forward/lanelog.go
+++ b/forward/lanelog.go
@@ -11,8 +11,8 @@
 // lanesOf returns the lanes of a group and logs them when they have changed.
 func (h *Handler) lanesOf(group *backend.Group, now time.Time) []chain.Lane {
 	name := group.Service().Name
-	lanes, changed := h.laneBook(name).get(group, now)
-	if changed && h.lanesTold.may(name, now) {
+	lanes, changed := h.laneCacheOf(name).get(group, now)
+	if changed && h.lanesLog.allow(name, now) {
 		h.logLanes(name, lanes)
 	}
 	return lanes
@@ -35,7 +35,7 @@
 	var sums [3]float64
 	for i := range lanes {
 		switch {
-		case lanes[i].Domain == h.terms.Load().Domain:
+		case lanes[i].Domain == h.settings.Load().Domain:
 			sums[0] += lanes[i].Sequences
 		case lanes[i].Crossings == 0:
 			sums[1] += lanes[i].Sequences
--- a/forward/lanes.go
+++ b/forward/lanes.go
@@ -9,8 +9,8 @@
 	"junctioncross/chain"
 )
 
-// laneBook caches the lanes of one service's servers.
-type laneBook struct {
+// laneCache caches the lanes of one service's servers.
+type laneCache struct {
 	mu     sync.Mutex
 	group  *backend.Group
 	states []serverState
@@ -34,7 +34,7 @@
 }
 
 // get returns the lanes of the servers that are usable now, and whether they differ from those of the last call.
-func (b *laneBook) get(group *backend.Group, now time.Time) (lanes []chain.Lane, changed bool) {
+func (b *laneCache) get(group *backend.Group, now time.Time) (lanes []chain.Lane, changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	states := b.spare[:0]
@@ -71,17 +71,17 @@
 	firstPathTime = 5 * time.Second
 )
 
-// Pathless returns the name of a service that callers should ask another instance for, or an empty string. That is a service
+// ServiceWithoutPath returns the name of a service that callers should ask another instance for, or an empty string. That is a service
 // for which this instance has had no settled path since its start, or has lost its path because it reaches no server in other
 // domains.
-func (h *Handler) Pathless() string {
+func (h *Handler) ServiceWithoutPath() string {
 	now := h.clock.Now()
 	starting := now.Sub(h.watch.start) < firstPathTime
 	for name, group := range h.board.Current().Groups() {
 		if group.Graph() == nil {
 			continue
 		}
-		without, had := h.laneBook(name).outage(group, now)
+		without, had := h.laneCacheOf(name).outage(group, now)
 		if !had && starting || had && without >= maxPathOutage && h.partitioned(group, now) {
 			return name
 		}
@@ -93,7 +93,7 @@
 func (h *Handler) partitioned(group *backend.Group, now time.Time) bool {
 	others := false
 	for _, s := range group.Servers() {
-		if s.Domain() == h.terms.Load().Domain || s.Leaving() {
+		if s.Domain() == h.settings.Load().Domain || s.Leaving() {
 			continue
 		}
 		// A server that is backed off has answered, so it can be reached.
@@ -107,7 +107,7 @@
 
 // outage returns for how long there has been no lane, counted from the first call that found none, and whether there has ever
 // been one that is likely to stay.
-func (b *laneBook) outage(group *backend.Group, now time.Time) (without time.Duration, had bool) {
+func (b *laneCache) outage(group *backend.Group, now time.Time) (without time.Duration, had bool) {
 	lanes, _ := b.get(group, now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -124,7 +124,7 @@
 
 // settledLocked reports whether the lanes are likely to stay. Lanes that cross domains may not: servers are moved while their
 // domain lacks layers.
-func (b *laneBook) settledLocked(lanes []chain.Lane, now time.Time) bool {
+func (b *laneCache) settledLocked(lanes []chain.Lane, now time.Time) bool {
 	if slices.ContainsFunc(lanes, func(l chain.Lane) bool { return l.Crossings == 0 }) {
 		return true
 	}
--- a/forward/lanes_test.go
+++ b/forward/lanes_test.go
@@ -29,12 +29,12 @@
 
 func TestLanesAvoidAServerFromTheMomentThatItRefusesWork(t *testing.T) {
 	g := twoCopies()
-	var b laneBook
+	var b laneCache
 	now := time.Unix(100, 0)
 	lanes, changed := b.get(g, now)
 	require.Len(t, lanes, 2)
 	require.True(t, changed)
-	g.Servers()[1].WasFull(now)
+	g.Servers()[1].NoteFull(now)
 	lanes, changed = b.get(g, now)
 	require.True(t, changed)
 	require.Len(t, lanes, 1)
@@ -48,7 +48,7 @@
 func TestRequestsStayInTheirDomainUntilItIsNearlyFull(t *testing.T) {
 	g := twoCopies()
 	now := time.Unix(100, 0)
-	var b laneBook
+	var b laneCache
 	lanes, _ := b.get(g, now)
 	near := newLaneChoice(g, lanes, "a", 1, now)
 	require.GreaterOrEqual(t, near.pick(), 0)
@@ -75,7 +75,7 @@
 // TestAFirstPathAcrossDomainsCountsOnceItHasSettled has a fleet that is still being placed: both domains lack layers, so
 // servers are about to be moved and the first path is about to vanish.
 func TestAFirstPathAcrossDomainsCountsOnceItHasSettled(t *testing.T) {
-	var b laneBook
+	var b laneCache
 	now := time.Unix(100, 0)
 	_, had := b.outage(halves(), now)
 	require.False(t, had, "servers are about to move")
@@ -86,7 +86,7 @@
 }
 
 func TestAnInterruptedFirstPathHasToSettleAgain(t *testing.T) {
-	var b laneBook
+	var b laneCache
 	now := time.Unix(100, 0)
 	b.outage(halves(), now)
 	b.outage(backend.NewGroup(halves().Service(), halves().Servers()[:1]), now.Add(settleTime/2))
@@ -95,7 +95,7 @@
 }
 
 func TestAFirstPathWithinADomainCountsAtOnce(t *testing.T) {
-	var b laneBook
+	var b laneCache
 	without, had := b.outage(twoCopies(), time.Unix(100, 0))
 	require.Zero(t, without)
 	require.True(t, had, "servers of a domain that lacks nothing stay where they are")
--- a/forward/lifetime.go
+++ b/forward/lifetime.go
@@ -47,29 +47,29 @@
 	return path.Read + time.Duration(need.Tokens-need.Prompt)*path.Step
 }
 
-// begin records that an attempt starts and how long its answer is expected to take; an attempt that resumes a stream takes
+// beginAttempt records that an attempt starts and how long its answer is expected to take; an attempt that resumes a stream takes
 // what is left of it.
-func (f *inflight) begin(h *Handler, path chain.Path, attempt int) {
-	left := f.left(h)
+func (f *inflight) beginAttempt(h *Handler, path chain.Path, attempt int) {
+	left := f.expectedLeft(h)
 	predicted := predictedLifetime(f.need, path)
 	usual := h.queueOf(f.first.Service()).lifetimeQuantile(predicted, usualQuantile)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.earlierServers = append([]*backend.Server(nil), f.r.ran...)
-	f.attemptStart, f.predictedLifetime, f.life = h.clock.Now(), predicted, usual
+	f.attemptStart, f.predictedLifetime, f.expectedLifetime = h.clock.Now(), predicted, usual
 	f.minLeft = time.Duration(overdueFraction * float64(usual))
 	f.verified = false
-	f.moved.Store(false)
+	f.progressed.Store(false)
 	if attempt > 1 && f.r.x.Begun() {
-		f.life, f.predictedLifetime = left, 0
+		f.expectedLifetime, f.predictedLifetime = left, 0
 	}
 }
 
-// left returns how much longer the stream is expected to last.
-func (f *inflight) left(h *Handler) time.Duration {
+// expectedLeft returns how much longer the stream is expected to last.
+func (f *inflight) expectedLeft(h *Handler) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(f.life-h.clock.Since(f.attemptStart), f.minLeft)
+	return max(f.expectedLifetime-h.clock.Since(f.attemptStart), f.minLeft)
 }
 
 // observeLifetime compares how long a whole answer took with the prediction; streams that were resumed have none and are left
--- a/forward/lifetime_test.go
+++ b/forward/lifetime_test.go
@@ -15,7 +15,7 @@
 func TestPredictedLifetimesFollowObservedOnes(t *testing.T) {
 	q := newQueue()
 	require.Greater(t, q.lifetimeQuantile(time.Second, safeQuantile), 2*time.Second, "no answer was observed yet")
-	for i := range sampleMost {
+	for i := range maxSamples {
 		seen := 500 * time.Millisecond
 		if i%8 == 0 {
 			seen = time.Second
@@ -30,20 +30,20 @@
 // ever less time until the process ends.
 func TestAStoppingInstanceAcceptsStreamsThatItCanFinish(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	route := &catalog.Route{Name: "r", Timeout: time.Minute, Objective: time.Second}
 	r := &request{x: &front.Exchange{}, group: g, route: route, deadline: clock.Now().Add(time.Minute)}
-	for range sampleMost {
+	for range maxSamples {
 		h.queueOf("s").recordLifetime(time.Second, time.Second)
 	}
 	require.True(t, h.finishes(r))
 	h.StopBy(clock.Now().Add(8 * time.Second))
 	require.True(t, h.finishes(r))
-	for range sampleMost {
+	for range maxSamples {
 		h.queueOf("s").recordLifetime(time.Hour, time.Second)
 	}
 	require.False(t, h.finishes(r), "answers last much longer than predicted")
-	for range sampleMost {
+	for range maxSamples {
 		h.queueOf("s").recordLifetime(time.Second, time.Second)
 	}
 	clock.Advance(streamAcceptTime + 1)
@@ -54,15 +54,15 @@
 // has exceeded its expected lifetime.
 func TestRefusalsDoNotShortenTheExpectedTimeOfAnOverdueStream(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
-	f := flying(h, g, "one", 0, 0, 1)
+	h, clock := testHandler(t, newFakeEngineClient(g))
+	f := newActiveStream(h, g, "one", 0, 0, 1)
 	f.r.x = &front.Exchange{}
 	path := chain.Path{Step: 100 * time.Millisecond}
-	f.begin(h, path, 1)
-	usual := f.left(h)
+	f.beginAttempt(h, path, 1)
+	usual := f.expectedLeft(h)
 	clock.Advance(time.Hour)
 	for attempt := range 5 {
-		f.begin(h, path, attempt+2)
+		f.beginAttempt(h, path, attempt+2)
 	}
-	require.GreaterOrEqual(t, f.left(h), time.Duration(overdueFraction*float64(usual)))
+	require.GreaterOrEqual(t, f.expectedLeft(h), time.Duration(overdueFraction*float64(usual)))
 }
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -12,7 +12,7 @@
 // noteLimit applies what an answer says about the rate limit of its server; sent is when the request of that answer was
 // sent.
 func (h *Handler) noteLimit(request string, server *backend.Server, limit call.Limit, sent time.Time) {
-	if !server.NameLimit(limit, sent, h.clock.Now()) {
+	if !server.UpdateLimit(limit, sent, h.clock.Now()) {
 		return
 	}
 	fields := decision.Fields{"server": server.ID(), "address": server.Addr()}
@@ -21,14 +21,14 @@
 		return
 	}
 	h.stats.Counter("server_limits_total").Inc(1)
-	_, period, _ := server.NextTurn(h.census.Instances())
-	fields["limit_per_s"], fields["instances"], fields["period_ms"] = limit.PerSecond, h.census.Instances(), period.Milliseconds()
+	_, period, _ := server.NextPermit(h.instances.Instances())
+	fields["limit_per_s"], fields["instances"], fields["period_ms"] = limit.PerSecond, h.instances.Instances(), period.Milliseconds()
 	h.record.Failure(request, "server names a limit", fields)
 }
 
-// turnsIn returns after which time the rate limits of the first servers of the lanes allow so many requests; false means
+// rateLimitDelay returns after which time the rate limits of the first servers of the lanes allow so many requests; false means
 // that one of these servers names no limit, so that only free capacity counts.
-func (h *Handler) turnsIn(group *backend.Group, lanes []chain.Lane, places float64, now time.Time) (time.Duration, bool) {
+func (h *Handler) rateLimitDelay(group *backend.Group, lanes []chain.Lane, places float64, now time.Time) (time.Duration, bool) {
 	if len(lanes) == 0 {
 		return 0, false
 	}
@@ -40,7 +40,7 @@
 			continue
 		}
 		counted[server] = true
-		next, period, limited := group.Servers()[server].NextTurn(h.census.Instances())
+		next, period, limited := group.Servers()[server].NextPermit(h.instances.Instances())
 		if !limited {
 			return 0, false
 		}
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -20,14 +20,14 @@
 	ts := newTestServer(t, "1", sealed)
 	s := plainFront(t, retryRoute(), ts)
 	now := time.Now()
-	ts.server.NameLimit(call.Limit{Named: true, PerSecond: 0.1}, now, now)
+	ts.server.UpdateLimit(call.Limit{Named: true, PerSecond: 0.1}, now, now)
 	begun := time.Now()
 	for n := range 3 {
 		code, after := readRetryAfter(t, callFront(t, s, strconv.Itoa(n)))
 		require.Equal(t, http.StatusServiceUnavailable, code)
 		require.Greater(t, after, 2*time.Second)
 	}
-	require.Less(t, time.Since(begun), soonEnough)
+	require.Less(t, time.Since(begun), testTimeout)
 	require.Zero(t, requestCount([]*testServer{ts}))
 }
 
--- a/forward/loglimit.go
+++ b/forward/loglimit.go
@@ -15,8 +15,8 @@
 	at map[string]time.Time
 }
 
-// may reports whether a log line about a service is allowed now, and counts it as written.
-func (l *logLimiter) may(service string, now time.Time) bool {
+// allow reports whether a log line about a service is allowed now, and counts it as written.
+func (l *logLimiter) allow(service string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.at[service]) < logPeriod {
--- a/forward/newserver_test.go
+++ b/forward/newserver_test.go
@@ -15,9 +15,9 @@
 	now := fourStages()
 	servers := now.Servers()
 	before := backend.NewGroup(now.Service(), []*backend.Server{servers[0], servers[2], servers[3], servers[4]})
-	e := newEngines(now, 3)
+	e := newFakeEngineClient(now, 3)
 	h, clock := testHandler(t, e)
-	f := flying(h, now, "one", 0, 0, 1, 2, 3)
+	f := newActiveStream(h, now, "one", 0, 0, 1, 2, 3)
 	clock.Advance(140 * time.Millisecond)
 	found := &findings{now: clock.Now(), dead: map[*backend.Server]bool{servers[3]: true}}
 	require.NotPanics(t, func() { h.watch.repair(t.Context(), f, before, found) })
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -32,7 +32,7 @@
 // noteLeaving keeps new work away from a server that has sent a leave notice; what it runs is moved to other servers in
 // time.
 func (h *Handler) noteLeaving(request string, server *backend.Server) {
-	if !server.SayFarewell(h.clock.Now()) {
+	if !server.NoteLeaveNotice(h.clock.Now()) {
 		return
 	}
 	h.stats.Counter("servers_said_to_leave_total").Inc(1)
@@ -42,7 +42,7 @@
 // backOff sends a server no requests for as long as it asked. This holds for this instance and this incarnation of the
 // server only, and says nothing about its health.
 func (h *Handler) backOff(request string, server *backend.Server, asked time.Duration) {
-	after := max(min(asked, h.terms.Load().LongestBackOff), minBackOff)
+	after := max(min(asked, h.settings.Load().LongestBackOff), minBackOff)
 	after += time.Duration(rand.Float64() * backOffJitter * float64(after))
 	now := h.clock.Now()
 	again := server.BackedOff(now)
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -27,7 +27,7 @@
 
 // readRetryAfter returns the status of the next answer and its Retry-After time.
 func readRetryAfter(t *testing.T, c net.Conn) (status int, after time.Duration) {
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(soonEnough)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	defer resp.Body.Close()
@@ -37,7 +37,7 @@
 }
 
 func retryRoute() *catalog.Route {
-	return &catalog.Route{Name: "r", Repeat: catalog.RepeatAlways, MaxAttempts: 2, Timeout: time.Hour, Objective: time.Hour}
+	return &catalog.Route{Name: "r", RetryPolicy: catalog.RetryAlways, MaxAttempts: 2, Timeout: time.Hour, Objective: time.Hour}
 }
 
 // TestAServerGetsNoRequestsDuringItsBackOff lets one of two servers ask for no requests for 20 s; the requests of that time
@@ -117,22 +117,22 @@
 	}
 	h, clock := testHandler(t, nil)
 	server := twoCopies().Servers()[0]
-	h.believe(server, backend.Report{Notice: call.Notice{Leaving: true}, Pace: 1, Total: 10}, nil, "test")
+	h.applyReport(server, backend.Report{Notice: call.Notice{Leaving: true}, Pace: 1, Total: 10}, nil, "test")
 	require.True(t, server.Leaving())
 	require.Equal(t, time.Duration(0), server.LeavingFor(clock.Now()))
 }
 
 // TestARefusedStateQueryDoesNotMarkTheServerAsSilent lets a server refuse a state query with a Retry-After time.
 func TestARefusedStateQueryDoesNotMarkTheServerAsSilent(t *testing.T) {
-	h, clock := testHandler(t, newEngines(twoCopies()))
-	terms := *h.terms.Load()
+	h, clock := testHandler(t, newFakeEngineClient(twoCopies()))
+	terms := *h.settings.Load()
 	terms.LongestBackOff = time.Hour
-	h.SetTerms(terms)
+	h.ApplySettings(terms)
 	server := twoCopies().Servers()[0]
-	h.believe(server, backend.Report{Notice: call.Notice{RetryAfter: 3 * time.Second}}, backend.ErrRefused, "test")
+	h.applyReport(server, backend.Report{Notice: call.Notice{RetryAfter: 3 * time.Second}}, backend.ErrRefused, "test")
 	require.False(t, server.Suspected(clock.Now()))
 	require.True(t, server.BackedOff(clock.Now()))
-	h.inquire(server, reasonMemory)
+	h.queryIfActive(server, reasonMemory)
 	require.Zero(t, h.stats.Counter("inquiries_total{reason=\""+reasonMemory+"\"}").Count(), "it is not queried during its back-off")
 }
 
@@ -159,8 +159,8 @@
 		"all":                 {in(9, 2, 4, 6), 4},
 		"all, the other half": {in(1, 8, 1, 5), 5},
 	} {
-		var b laneBook
-		at, known := b.returns(c.group, now)
+		var b laneCache
+		at, known := b.nextLaneAt(c.group, now)
 		require.Equal(t, c.want > 0, known, name)
 		if known {
 			require.True(t, at.Equal(now.Add(time.Duration(c.want)*time.Second)), "%s: %s", name, at)
@@ -169,8 +169,8 @@
 	g := in(5, 5, 5, 5)
 	g.Servers()[1].Remove()
 	g.Servers()[3].Remove()
-	var b laneBook
-	_, known := b.returns(g, now)
+	var b laneCache
+	_, known := b.nextLaneAt(g, now)
 	require.False(t, known, "the remaining servers form no path")
 }
 
@@ -181,14 +181,14 @@
 	servers := g.Servers()
 	servers[0].BackOff(now.Add(3 * time.Second))
 	servers[2].BackOff(now.Add(7 * time.Second))
-	var b laneBook
-	at, known := b.returns(g, now)
+	var b laneCache
+	at, known := b.nextLaneAt(g, now)
 	require.True(t, known)
 	require.True(t, at.Equal(now.Add(3*time.Second)))
 	servers[1].SetAside(now.Add(time.Minute))
 	servers[3].SetAside(now.Add(time.Minute))
-	_, known = b.returns(g, now)
+	_, known = b.nextLaneAt(g, now)
 	require.False(t, known)
-	_, known = b.returns(twoCopies(), now)
+	_, known = b.nextLaneAt(twoCopies(), now)
 	require.False(t, known, "all servers of this group are usable")
 }
--- a/forward/pass.go
+++ b/forward/pass.go
@@ -9,7 +9,7 @@
 )
 
 // passEvents sends whole events on to the caller as they arrive; nil means that the stream ended as it should.
-func (h *Handler) passEvents(f *inflight, s *sent) error {
+func (h *Handler) passEvents(f *inflight, s *sentRequest) error {
 	if s.head.ContentLength() != -1 {
 		return errMalformed
 	}
@@ -45,7 +45,7 @@
 
 // ran returns for how long the current server has been running the stream, counted from its first event; 0 before that.
 func (f *inflight) ran(h *Handler) time.Duration {
-	if !f.moved.Load() {
+	if !f.progressed.Load() {
 		return 0
 	}
 	return h.clock.Since(f.ranSince)
@@ -54,7 +54,7 @@
 // observePause records the time to the first event, or the pause between two events.
 func (h *Handler) observePause(f *inflight) {
 	waited := f.pause(h)
-	if f.moved.CompareAndSwap(false, true) {
+	if f.progressed.CompareAndSwap(false, true) {
 		f.ranSince = h.clock.Now()
 	}
 	if f.firstEvent > 0 {
@@ -65,12 +65,12 @@
 	h.queueOf(f.first.Service()).observeFirstEvent(waited)
 	f.firstEvent = h.clock.Since(f.r.x.Arrived())
 	h.stats.Histogram("first_event_ms").Update(f.firstEvent.Milliseconds())
-	predicted := time.Duration(f.expected.Load())
+	predicted := time.Duration(f.firstEventDue.Load())
 	h.stats.Histogram("first_event_predicted_ms").Update(predicted.Milliseconds())
 	h.observeRatio("first_event", waited, predicted)
 }
 
-func (h *Handler) pass(f *inflight, s *sent, out []byte) {
+func (h *Handler) pass(f *inflight, s *sentRequest, out []byte) {
 	if f.r.x.Begun() {
 		f.r.x.Stream(out)
 		return
@@ -79,7 +79,7 @@
 }
 
 // endStream ends the answer after the server's last chunk. An incomplete event at the end means that the stream broke off.
-func (h *Handler) endStream(f *inflight, s *sent) error {
+func (h *Handler) endStream(f *inflight, s *sentRequest) error {
 	if len(f.events.pending) > 0 {
 		return errMalformed
 	}
--- a/forward/path.go
+++ b/forward/path.go
@@ -20,7 +20,7 @@
 	if r.meta.AnswerTokens > 0 {
 		answer = min(answer, r.meta.AnswerTokens)
 	}
-	return chain.Need{Prompt: prompt, Tokens: prompt + answer, Domain: h.terms.Load().Domain}
+	return chain.Need{Prompt: prompt, Tokens: prompt + answer, Domain: h.settings.Load().Domain}
 }
 
 // hintWeight is the weight of a caller's estimate against the service's usual answer length, both on a logarithmic scale. The
@@ -56,36 +56,36 @@
 // choosePath returns a path for a whole stream: a lane with room or, when missing servers leave no lane, any path whose servers
 // are expected to have room.
 func (h *Handler) choosePath(f *inflight) (chain.Path, bool) {
-	p, ok := h.placeIn(f, f.r.group)
+	p, ok := h.choosePathIn(f, f.r.group)
 	if ok {
 		f.laneLoad = p.load
 	}
 	return p.path, ok
 }
 
-// placeIn returns a path through the servers of a group, chosen as by choosePath.
-func (h *Handler) placeIn(f *inflight, group *backend.Group) (placed, bool) {
+// choosePathIn returns a path through the servers of a group, chosen as by choosePath.
+func (h *Handler) choosePathIn(f *inflight, group *backend.Group) (chosenPath, bool) {
 	now := h.clock.Now()
 	lanes := h.lanesOf(group, now)
 	if len(lanes) > 0 {
-		choice := newLaneChoice(group, lanes, h.terms.Load().Domain, h.census.Instances(), now)
+		choice := newLaneChoice(group, lanes, h.settings.Load().Domain, h.instances.Instances(), now)
 		choice.steps, choice.timeLeft = int(streamSlack*float64(f.need.Tokens-f.need.Prompt)), h.remaining(f.r)
 		i := choice.pick()
 		if i < 0 {
-			return placed{}, false
+			return chosenPath{}, false
 		}
-		return placed{group: group, path: lanes[i].Path, load: choice.load[i]}, true
+		return chosenPath{group: group, path: lanes[i].Path, load: choice.load[i]}, true
 	}
 	path, ok := chain.Choose(group.Graph(), h.chainState(group, now), f.need)
-	return placed{group: group, path: path}, ok
+	return chosenPath{group: group, path: path}, ok
 }
 
-func (h *Handler) laneBook(service string) *laneBook {
+func (h *Handler) laneCacheOf(service string) *laneCache {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b := h.lanes[service]
 	if b == nil {
-		b = &laneBook{}
+		b = &laneCache{}
 		h.lanes[service] = b
 	}
 	return b
@@ -95,5 +95,5 @@
 func (h *Handler) chainState(group *backend.Group, now time.Time) *chainState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return &chainState{servers: group.Servers(), engine: group.Graph().Engine(), now: now, factor: h.peers.factor, instances: h.census.Instances()}
+	return &chainState{servers: group.Servers(), engine: group.Graph().Engine(), now: now, loadRatio: h.loadRatio.estimate, instances: h.instances.Instances()}
 }
--- a/forward/plain.go
+++ b/forward/plain.go
@@ -41,14 +41,14 @@
 			last = h.outOfBudget(r, last)
 			break
 		}
-		if k, ok := h.keptFrom(r); ok {
+		if k, ok := h.quarantineOf(r); ok {
 			last = k
 			break
 		}
 		tried = append(tried, server)
 		last = h.tryPlain(ctx, r, server, tried)
 		// A further attempt is useless once the caller has disconnected or the deadline has passed.
-		if ctx.Err() != nil || !h.again(r, last, len(tried)) {
+		if ctx.Err() != nil || !h.mayRetry(r, last, len(tried)) {
 			break
 		}
 	}
@@ -61,7 +61,7 @@
 	var best *backend.Server
 	lowest := 0.0
 	for _, s := range g.Servers() {
-		if slices.Contains(tried, s) || !s.Usable(now) || !s.WithinLimit(h.census.Instances(), now) {
+		if slices.Contains(tried, s) || !s.Usable(now) || !s.WithinLimit(h.instances.Instances(), now) {
 			continue
 		}
 		if c := h.plainCost(s, now); best == nil || c < lowest {
@@ -79,7 +79,7 @@
 		work = max(work, float64(load.Running+load.Waiting))
 	}
 	cost := (work + rand.Float64()) / float64(max(s.Slots(), 1))
-	if s.Domain() != h.terms.Load().Domain {
+	if s.Domain() != h.settings.Load().Domain {
 		cost += otherDomainCost
 	}
 	return cost + failureCost*s.FailRate()
@@ -91,7 +91,7 @@
 	defer server.Release(0)
 	server.Chosen()
 	attemptCtx := ctx
-	if r.route.Repeat == catalog.RepeatAlways && r.standing()+1 < r.route.MaxAttempts {
+	if r.route.RetryPolicy == catalog.RetryAlways && r.activeRuns()+1 < r.route.MaxAttempts {
 		var endAttempt func()
 		attemptCtx, endAttempt = h.withSilenceLimit(ctx, r, tried)
 		defer endAttempt()
@@ -100,9 +100,9 @@
 		"server": server.ID(), "address": server.Addr(), "attempt": len(tried), "own_running": server.Running(),
 	}))
 	// If one idle connection has failed silently, the others may have as well: a retry opens a new one.
-	s, err := h.send(attemptCtx, r, server, &call.Send{}, len(tried) > 1 || !r.route.MayRepeat())
+	s, err := h.send(attemptCtx, r, server, &call.SendParams{}, len(tried) > 1 || !r.route.MayRetry())
 	if s == nil {
-		return h.unreached(ctx, r, server, err)
+		return h.unsentAttempt(ctx, r, server, err)
 	}
 	if err == nil {
 		err = h.receive(r, s)
@@ -136,7 +136,7 @@
 				granted <- false
 				return
 			}
-			if h.pick(r.group, tried) != nil && h.takeRepeat(r) {
+			if h.pick(r.group, tried) != nil && h.takeRetry(r) {
 				cancel()
 				granted <- true
 				return
@@ -146,7 +146,7 @@
 	}()
 	return attemptCtx, func() {
 		cancel()
-		r.granted = <-granted || r.granted
+		r.retryGranted = <-granted || r.retryGranted
 	}
 }
 
@@ -155,18 +155,18 @@
 	return ctx.Err() != nil && h.remaining(r) > 0
 }
 
-// unreached handles an attempt for which nothing was sent.
-func (h *Handler) unreached(ctx context.Context, r *request, server *backend.Server, err error) outcome {
+// unsentAttempt handles an attempt for which nothing was sent.
+func (h *Handler) unsentAttempt(ctx context.Context, r *request, server *backend.Server, err error) outcome {
 	if h.callerDisconnected(ctx, r) {
-		server.Settled()
+		server.ReleaseTrial()
 		return callerGone{}
 	}
 	switch {
 	case errors.Is(err, errBackedOff):
-		server.Settled()
+		server.ReleaseTrial()
 		return notRun{reason: models.RetryBackedOff}
 	case errors.Is(err, errOverLimit):
-		server.Settled()
+		server.ReleaseTrial()
 		return notRun{reason: models.RetryOverLimit}
 	}
 	server.Failed(h.clock.Now())
@@ -178,7 +178,7 @@
 func (h *Handler) brokenPlain(ctx context.Context, r *request, server *backend.Server, err error) outcome {
 	r.ranOn(server)
 	if h.callerDisconnected(ctx, r) {
-		server.Settled()
+		server.ReleaseTrial()
 		return callerGone{}
 	}
 	server.Observe(false)
@@ -196,7 +196,7 @@
 }
 
 // judgeAnswer classifies a complete answer.
-func (h *Handler) judgeAnswer(r *request, server *backend.Server, s *sent, body []byte) outcome {
+func (h *Handler) judgeAnswer(r *request, server *backend.Server, s *sentRequest, body []byte) outcome {
 	status := s.info.Status
 	switch {
 	case s.info.NotRun:
@@ -208,14 +208,14 @@
 		return failed{reason: models.RetryBroken}
 	case status >= 500:
 		server.Observe(false)
-		server.Settled()
+		server.ReleaseTrial()
 		r.ranOn(server)
 		return failed{reason: models.ReasonServiceFailed, answer: h.failureAnswer(s, body)}
 	}
 	server.Observe(true)
 	server.Succeeded()
 	r.ranOn(server)
-	h.absolve(r)
+	h.clearEnds(r)
 	r.x.Answer(h.codec.AppendAnswer(nil, &s.head), body)
 	if r.x.Failed() {
 		return callerGone{}
@@ -225,7 +225,7 @@
 
 // failureAnswer returns an answer of status 500 or above in the form in which it can be passed on, or nil. A status which
 // promises that nothing was run counts only with the seal of the server.
-func (h *Handler) failureAnswer(s *sent, body []byte) *heldAnswer {
+func (h *Handler) failureAnswer(s *sentRequest, body []byte) *heldAnswer {
 	if s.info.Status == fasthttp.StatusServiceUnavailable && !s.info.Sealed {
 		return nil
 	}
@@ -239,18 +239,18 @@
 	switch {
 	case server.BackedOff(now):
 	case r.group.Graph() != nil:
-		server.NoRoom(now)
+		server.NoteMemoryFull(now)
 	default:
-		server.WasFull(now)
+		server.NoteFull(now)
 	}
 }
 
 // turnedAway records why a server refused a request.
-func (h *Handler) turnedAway(r *request, server *backend.Server, s *sent) {
+func (h *Handler) turnedAway(r *request, server *backend.Server, s *sentRequest) {
 	now := h.clock.Now()
-	server.Settled()
+	server.ReleaseTrial()
 	if s.info.Status == fasthttp.StatusMisdirectedRequest {
-		server.WasStale(now)
+		server.NoteStaleLayers(now)
 	} else {
 		h.noteFull(r, server, now)
 	}
--- a/forward/plain_test.go
+++ b/forward/plain_test.go
@@ -26,8 +26,8 @@
 	"junctioncross/timer"
 )
 
-// soonEnough limits waits for what happens at once on a healthy machine.
-const soonEnough = 30 * time.Second
+// testTimeout limits waits for what happens at once on a healthy machine.
+const testTimeout = 30 * time.Second
 
 // testServer is a plain backend server that counts requests and closed connections. Its function answers; it gets the number
 // of the request on its connection.
@@ -129,8 +129,8 @@
 	stats := metrics.New()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return withRepeatsSaved(New(t.Context(), Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 100}, LongestBackOff: time.Hour},
-		follow.NewBoard(), platform.Codec{}, nil, clock, stats, decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noTeller{}))
+	return withFullRetryBudget(New(t.Context(), Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 100}, LongestBackOff: time.Hour},
+		follow.NewFleetView(), platform.Codec{}, nil, clock, stats, decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noTeller{}))
 }
 
 // frontOf serves requests of a route with the servers through a handler.
@@ -157,7 +157,7 @@
 
 // readStatus returns the status of the next answer.
 func readStatus(t *testing.T, c net.Conn) int {
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(soonEnough)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	defer resp.Body.Close()
@@ -188,18 +188,18 @@
 // server does not answer: no other server gets the request, and no server counts as failing.
 func TestACallerDisconnectEndsTheRequestWithoutBlamingServers(t *testing.T) {
 	servers := []*testServer{newTestServer(t, "1", nil), newTestServer(t, "2", nil), newTestServer(t, "3", nil)}
-	route := &catalog.Route{Name: "r", Repeat: catalog.RepeatAlways, MaxAttempts: 3, Timeout: time.Hour, Objective: time.Hour}
+	route := &catalog.Route{Name: "r", RetryPolicy: catalog.RetryAlways, MaxAttempts: 3, Timeout: time.Hour, Objective: time.Hour}
 	s := plainFront(t, route, servers...)
 	c := callFront(t, s, "r1")
-	require.Eventually(t, func() bool { return requestCount(servers) == 1 }, soonEnough, time.Millisecond)
+	require.Eventually(t, func() bool { return requestCount(servers) == 1 }, testTimeout, time.Millisecond)
 	require.NoError(t, c.Close())
-	require.Eventually(t, func() bool { return s.Running() == 0 }, soonEnough, time.Millisecond)
+	require.Eventually(t, func() bool { return s.Running() == 0 }, testTimeout, time.Millisecond)
 	for _, ts := range servers {
 		require.Zero(t, ts.server.FailRate(), ts.server.ID())
 		require.True(t, ts.server.Usable(time.Now()), ts.server.ID())
 	}
 	require.Equal(t, 1, requestCount(servers))
-	require.Eventually(t, func() bool { return closedCount(servers) == 1 }, soonEnough, time.Millisecond, "the connection to its server is closed")
+	require.Eventually(t, func() bool { return closedCount(servers) == 1 }, testTimeout, time.Millisecond, "the connection to its server is closed")
 }
 
 // TestARetryOpensANewConnection lets all idle connections fail silently at the same time, as after a network fault without a
@@ -211,7 +211,7 @@
 		}
 	}
 	servers := []*testServer{newTestServer(t, "1", answerOnce), newTestServer(t, "2", answerOnce)}
-	route := &catalog.Route{Name: "r", Repeat: catalog.RepeatAlways, MaxAttempts: 2, Timeout: 10 * time.Second, Objective: 100 * time.Millisecond}
+	route := &catalog.Route{Name: "r", RetryPolicy: catalog.RetryAlways, MaxAttempts: 2, Timeout: 10 * time.Second, Objective: 100 * time.Millisecond}
 	s := plainFront(t, route, servers...)
 	// Both servers need an idle connection, which answers no second request.
 	for _, ts := range servers {
@@ -229,10 +229,10 @@
 		<-goOn
 		sealed(c, number)
 	})
-	route := &catalog.Route{Name: "r", Repeat: catalog.RepeatAlways, MaxAttempts: 2, Timeout: time.Hour, Objective: objective}
+	route := &catalog.Route{Name: "r", RetryPolicy: catalog.RetryAlways, MaxAttempts: 2, Timeout: time.Hour, Objective: objective}
 	s, clock := plainFrontAt(t, route, ts)
 	c := callFront(t, s, "r1")
-	require.Eventually(t, func() bool { return requestCount([]*testServer{ts}) == 1 }, soonEnough, time.Millisecond)
+	require.Eventually(t, func() bool { return requestCount([]*testServer{ts}) == 1 }, testTimeout, time.Millisecond)
 	clock.Advance(time.Minute)
 	// The request goes on, since no other server can take it.
 	require.Never(t, func() bool { return s.Running() == 0 }, 50*time.Millisecond, 5*time.Millisecond)
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -57,8 +57,8 @@
 // round queries some servers of the chained services if there are streams under way.
 func (p *prober) round() {
 	h := p.handler
-	rate := max(probesPerSecond/float64(h.census.Instances()), minProbes)
-	if h.board.Shared(h.clock.Now()) {
+	rate := max(probesPerSecond/float64(h.instances.Instances()), minProbes)
+	if h.board.ReportsShared(h.clock.Now()) {
 		rate = sharedProbes
 	}
 	p.allowed = min(p.allowed+rate*probePeriod.Seconds(), maxProbesPerRound)
@@ -77,7 +77,7 @@
 // weight, so that a slow server is known before it delays a stream.
 func (p *prober) probe(group *backend.Group) {
 	h, now := p.handler, p.handler.clock.Now()
-	domain, shared := h.terms.Load().Domain, h.board.Shared(now)
+	domain, shared := h.settings.Load().Domain, h.board.ReportsShared(now)
 	targets := bottlenecks(group, h.lanesOf(group, now), domain)
 	if shared {
 		targets.addDomain(domain)
@@ -90,7 +90,7 @@
 		if server == nil {
 			return
 		}
-		h.inquire(server, reasonMemory)
+		h.queryIfActive(server, reasonMemory)
 	}
 }
 
@@ -105,7 +105,7 @@
 func bottlenecks(group *backend.Group, lanes []chain.Lane, domain string) probeTargets {
 	t := probeTargets{servers: group.Servers(), weights: make([]float64, len(group.Servers()))}
 	for i := range lanes {
-		n := chain.Narrowest(group.Graph(), lanes[i].Hops)
+		n := chain.Bottleneck(group.Graph(), lanes[i].Hops)
 		t.weights[n] = max(t.weights[n], 1)
 		if lanes[i].Domain == domain {
 			t.weights[n] = ownDomainProbeWeight
@@ -126,8 +126,8 @@
 // priority returns how urgent it is to query the i-th server, 0 when its report is recent or it cannot be queried.
 func (t probeTargets) priority(i int, now time.Time) float64 {
 	s := t.servers[i]
-	age := min(s.WordAge(now), wordAge)
-	if t.weights[i] == 0 || age < freshReportAge || s.Leaving() || s.Ended() || s.BackedOff(now) || !s.Askable(now) {
+	age := min(s.ReportAge(now), maxReportAge)
+	if t.weights[i] == 0 || age < freshReportAge || s.Leaving() || s.Ended() || s.BackedOff(now) || !s.MayQuery(now) {
 		return 0
 	}
 	return age.Seconds() * t.weights[i]
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -21,28 +21,28 @@
 	endCheckPeriod = 50 * time.Millisecond
 )
 
-// kept is the outcome of a request that is quarantined: it is sent to no further server since several have ended while they
+// quarantined is the outcome of a request that is quarantined: it is sent to no further server since several have ended while they
 // ran it.
-type kept struct {
+type quarantined struct {
 	// left is how long the quarantine lasts at most.
 	left time.Duration
 }
 
-func (kept) outcome() {}
+func (quarantined) outcome() {}
 
-// keptFrom reports whether the request is quarantined. It is called before each send, not only when a request arrives:
+// quarantineOf reports whether the request is quarantined. It is called before each send, not only when a request arrives:
 // otherwise each request that waits for free capacity or a further attempt could end one more server.
-func (h *Handler) keptFrom(r *request) (kept, bool) {
+func (h *Handler) quarantineOf(r *request) (quarantined, bool) {
 	if h.ends.Size() == 0 {
-		return kept{}, false
+		return quarantined{}, false
 	}
-	left, ok := h.ends.Kept(r.fingerprint(), quarantine.Short(r.meta.ID), h.clock.Now())
-	return kept{left: left}, ok
+	left, ok := h.ends.Quarantined(r.fingerprint(), quarantine.ShortDigest(r.meta.ID), h.clock.Now())
+	return quarantined{left: left}, ok
 }
 
-// refuseKept tells the caller that the request is quarantined and for how long; or that it may have run, if servers ended
+// refuseQuarantined tells the caller that the request is quarantined and for how long; or that it may have run, if servers ended
 // while they ran this very attempt.
-func (h *Handler) refuseKept(r *request, k kept) {
+func (h *Handler) refuseQuarantined(r *request, k quarantined) {
 	if r.runs > 0 {
 		h.giveUp(r, fasthttp.StatusBadGateway, models.ReasonQuarantined, nil)
 		return
@@ -55,7 +55,7 @@
 // than allowed. A request that had run for harmlessTime or longer is cleared instead.
 func (h *Handler) suspectEnd(r *request, server *backend.Server, ran time.Duration) {
 	if ran >= harmlessTime {
-		h.absolve(r)
+		h.clearEnds(r)
 		return
 	}
 	now := h.clock.Now()
@@ -92,19 +92,19 @@
 		if server.AnsweredSince(broke) {
 			return false
 		}
-		h.question(server, "broken run")
+		h.queryState(server, "broken run")
 		<-h.clock.After(endCheckPeriod)
 	}
 	return true
 }
 
-// absolve deletes the recorded ends of a request, since a server has run it without ending.
-func (h *Handler) absolve(r *request) {
+// clearEnds deletes the recorded ends of a request, since a server has run it without ending.
+func (h *Handler) clearEnds(r *request) {
 	if h.ends.Size() == 0 {
 		return
 	}
 	fingerprint := r.fingerprint()
-	ends := h.ends.Absolve(fingerprint)
+	ends := h.ends.Clear(fingerprint)
 	if ends == 0 {
 		return
 	}
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -20,7 +20,7 @@
 
 // onceRoute is a route whose requests may not be retried.
 func onceRoute() *catalog.Route {
-	return &catalog.Route{Name: "r", Repeat: catalog.RepeatNever, MaxAttempts: 1, Timeout: time.Minute, Objective: time.Second}
+	return &catalog.Route{Name: "r", RetryPolicy: catalog.RetryNever, MaxAttempts: 1, Timeout: time.Minute, Objective: time.Second}
 }
 
 // endOf returns the end of a server under the request that callFront sends, in another attempt.
@@ -35,12 +35,12 @@
 	h := plainHandler(t, timer.NewReal())
 	s := frontOf(t, h, onceRoute(), []*testServer{ts})
 	for n := range 2 {
-		h.ends.Hear(endOf(n), time.Now())
+		h.ends.AddListed(endOf(n), time.Now())
 	}
 	require.Equal(t, http.StatusOK, readStatus(t, callFront(t, s, "second")))
 	require.Zero(t, h.ends.Size(), "a server has run it without ending")
 	for n := range 3 {
-		h.ends.Hear(endOf(n), time.Now())
+		h.ends.AddListed(endOf(n), time.Now())
 	}
 	require.Equal(t, http.StatusServiceUnavailable, readStatus(t, callFront(t, s, "third")))
 	require.Equal(t, 1, requestCount([]*testServer{ts}))
@@ -62,19 +62,19 @@
 			s := frontOf(t, h, onceRoute(), []*testServer{ts})
 			require.Equal(t, http.StatusBadGateway, readStatus(t, callFront(t, s, "one")))
 			if !ends {
-				require.Eventually(t, func() bool { return h.ends.Size() == 0 }, soonEnough, time.Millisecond)
+				require.Eventually(t, func() bool { return h.ends.Size() == 0 }, testTimeout, time.Millisecond)
 				return
 			}
-			require.Eventually(t, func() bool { told, _ := h.ends.Untold(9); return len(told) == 1 }, soonEnough, time.Millisecond)
+			require.Eventually(t, func() bool { told, _ := h.ends.Unpublished(9); return len(told) == 1 }, testTimeout, time.Millisecond)
 		})
 	}
 }
 
 // suspectedEnd returns a handler in which a stream broke at the first server of a group after it had run there for some
 // time.
-func suspectedEnd(t *testing.T, e *engines, g *backend.Group, ran time.Duration) (*Handler, *request, *clockwork.FakeClock) {
+func suspectedEnd(t *testing.T, e *fakeEngineClient, g *backend.Group, ran time.Duration) (*Handler, *request, *clockwork.FakeClock) {
 	h, clock := testHandler(t, e)
-	f := begun(g, 2)
+	f := newBegunStream(g, 2)
 	h.suspectEnd(f.r, g.Servers()[0], ran)
 	return h, f.r, clock
 }
@@ -85,7 +85,7 @@
 	require.Eventually(t, func() bool {
 		clock.Advance(10 * time.Millisecond)
 		return what()
-	}, soonEnough, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
 // TestABrokenRunCountsOnlyIfTheEngineHasEndedOrIsSilent breaks the connection of a stream to an engine that has ended, still
@@ -93,26 +93,26 @@
 func TestABrokenRunCountsOnlyIfTheEngineHasEndedOrIsSilent(t *testing.T) {
 	t.Run("ended", func(t *testing.T) {
 		g := twoCopies()
-		h, r, clock := suspectedEnd(t, newEngines(g, 0), g, 0)
+		h, r, clock := suspectedEnd(t, newFakeEngineClient(g, 0), g, 0)
 		require.Equal(t, 1, h.ends.Ends(r.fingerprint()), "it counts on this instance at once")
-		eventuallyAdvancing(t, clock, func() bool { told, _ := h.ends.Untold(9); return len(told) == 1 })
+		eventuallyAdvancing(t, clock, func() bool { told, _ := h.ends.Unpublished(9); return len(told) == 1 })
 	})
 	t.Run("still answers", func(t *testing.T) {
 		g := twoCopies()
-		h, _, clock := suspectedEnd(t, newEngines(g), g, 0)
+		h, _, clock := suspectedEnd(t, newFakeEngineClient(g), g, 0)
 		eventuallyAdvancing(t, clock, func() bool { return h.ends.Size() == 0 })
 	})
 	t.Run("silent", func(t *testing.T) {
 		g := twoCopies()
-		e := newEngines(g)
-		e.dark, e.end = map[string]bool{g.Servers()[0].Addr(): true}, make(chan struct{})
+		e := newFakeEngineClient(g)
+		e.hanging, e.end = map[string]bool{g.Servers()[0].Addr(): true}, make(chan struct{})
 		h, _, clock := suspectedEnd(t, e, g, 0)
 		close(e.end)
-		eventuallyAdvancing(t, clock, func() bool { told, _ := h.ends.Untold(9); return len(told) == 1 })
+		eventuallyAdvancing(t, clock, func() bool { told, _ := h.ends.Unpublished(9); return len(told) == 1 })
 	})
 	t.Run("had run for long", func(t *testing.T) {
 		g := twoCopies()
-		h, r, _ := suspectedEnd(t, newEngines(g, 0), g, harmlessTime)
+		h, r, _ := suspectedEnd(t, newFakeEngineClient(g, 0), g, harmlessTime)
 		require.Zero(t, h.ends.Ends(r.fingerprint()))
 	})
 }
@@ -121,17 +121,17 @@
 // checks find out whether they have ended.
 func TestAStreamIsQuarantinedAfterSeveralServersEndedUnderIt(t *testing.T) {
 	g := twoCopies()
-	h, _ := testHandler(t, newEngines(g, 0, 1, 2, 3))
+	h, _ := testHandler(t, newFakeEngineClient(g, 0, 1, 2, 3))
 	r := &request{x: &front.Exchange{}, group: g, route: onceRoute()}
 	for n, s := range g.Servers() {
-		_, kept := h.keptFrom(r)
+		_, kept := h.quarantineOf(r)
 		require.False(t, kept, "%d ends", n)
 		h.suspectEnd(r, s, 0)
 	}
-	k, ok := h.keptFrom(r)
+	k, ok := h.quarantineOf(r)
 	require.True(t, ok)
 	require.Equal(t, models.ReasonQuarantined, reasonOf(k))
-	require.False(t, h.again(r, k, 1))
+	require.False(t, h.mayRetry(r, k, 1))
 }
 
 // BenchmarkQuarantineCheckPerSend measures what the quarantine check adds to a send, with the creation of a request: 24 ns
@@ -142,10 +142,10 @@
 		b.Run(fmt.Sprint(cases), func(b *testing.B) {
 			h := &Handler{ends: testBook(), clock: timer.NewReal()}
 			for n := range cases {
-				h.ends.Hear(endOf(n), time.Now())
+				h.ends.AddListed(endOf(n), time.Now())
 			}
 			for b.Loop() {
-				h.keptFrom(&request{x: &front.Exchange{}})
+				h.quarantineOf(&request{x: &front.Exchange{}})
 			}
 		})
 	}
