--- a/forward/query.go
+++ b/forward/query.go
@@ -14,34 +14,34 @@
 const reasonMemory = "memory"
 
 const (
-	// askTime limits a state query; a server that takes longer counts as gone.
-	askTime = 300 * time.Millisecond
+	// queryTimeout limits a state query; a server that takes longer counts as gone.
+	queryTimeout = 300 * time.Millisecond
 	// fullMemoryShare is the used part of a server's memory beyond which that is logged.
 	fullMemoryShare = 0.93
 	// slowPace is how many times slower than usual a server must be for that to be logged.
 	slowPace = 1.5
 )
 
-// inquire queries the state of a server in the background when there is a reason to doubt it, unless the server is leaving
+// queryIfActive queries the state of a server in the background when there is a reason to doubt it, unless the server is leaving
 // or has backed off. Whether such a server still runs what it has begun takes a query that ignores both.
-func (h *Handler) inquire(server *backend.Server, why string) {
+func (h *Handler) queryIfActive(server *backend.Server, why string) {
 	if !server.Leaving() && !server.BackedOff(h.clock.Now()) {
-		h.question(server, why)
+		h.queryState(server, why)
 	}
 }
 
-// question queries the state of a server in the background, even if it is leaving or has backed off. The rate of queries to
+// queryState queries the state of a server in the background, even if it is leaving or has backed off. The rate of queries to
 // a server is limited.
-func (h *Handler) question(server *backend.Server, why string) {
-	if server.Ended() || !server.MayAsk(h.clock.Now()) {
+func (h *Handler) queryState(server *backend.Server, why string) {
+	if server.Ended() || !server.TryQuery(h.clock.Now()) {
 		return
 	}
 	h.stats.Counter("inquiries_total{reason=\"" + why + "\"}").Inc(1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), askTime)
+		ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 		defer cancel()
 		report, err := h.caller.Report(ctx, server.Addr())
-		h.believe(server, report, err, why)
+		h.applyReport(server, report, err, why)
 	}()
 }
 
@@ -70,14 +70,14 @@
 	}
 	server.Suspect(now.Add(suspectTime))
 	server.NoteSilent(now)
-	server.Finish()
+	server.MarkReplaced()
 	h.record.Failure("", "another start of the server answers", decision.Fields{
 		"server": server.ID(), "address": server.Addr(), "born": server.Incarnation().Born, "answers": report.Born,
 	})
 }
 
-// believe applies the report of a server, or the error of a query.
-func (h *Handler) believe(server *backend.Server, report backend.Report, err error, why string) {
+// applyReport applies the report of a server, or the error of a query.
+func (h *Handler) applyReport(server *backend.Server, report backend.Report, err error, why string) {
 	now := h.clock.Now()
 	fields := decision.Fields{"server": server.ID(), "address": server.Addr(), "why": why}
 	if errors.Is(err, backend.ErrGarbled) {
@@ -95,8 +95,8 @@
 	if err != nil {
 		server.Suspect(now.Add(suspectTime))
 		server.NoteSilent(now)
-		if errors.Is(err, backend.ErrNotThere) {
-			server.End()
+		if errors.Is(err, backend.ErrNotListening) {
+			server.MarkEnded()
 		}
 		fields["error"] = err.Error()
 		h.record.Failure("", "server does not answer", fields)
@@ -120,7 +120,7 @@
 	case report.Layers != server.Layers() && h.reportsNewerLayers(server):
 		// A server that got more layers than its entry names still holds those of every path that was chosen by the entry.
 		if !report.Layers.Holds(server.Layers()) {
-			server.WasStale(now)
+			server.NoteStaleLayers(now)
 		}
 		h.record.Failure("", "server holds other layers", fields)
 	case report.Total > 0 && report.Used > fullMemoryShare*report.Total:
--- a/forward/query_test.go
+++ b/forward/query_test.go
@@ -15,8 +15,8 @@
 	h, clock := testHandler(t, nil)
 	g := twoCopies()
 	more, other := g.Servers()[0], g.Servers()[1]
-	h.believe(more, backend.Report{Layers: models.Layers{First: 0, End: 5}}, nil, reasonMemory)
+	h.applyReport(more, backend.Report{Layers: models.Layers{First: 0, End: 5}}, nil, reasonMemory)
 	require.True(t, more.Usable(clock.Now()), "it still holds the layers of all paths that its entry allows")
-	h.believe(other, backend.Report{Layers: models.Layers{First: 5, End: 8}}, nil, reasonMemory)
+	h.applyReport(other, backend.Report{Layers: models.Layers{First: 5, End: 8}}, nil, reasonMemory)
 	require.False(t, other.Usable(clock.Now()), "it no longer holds a layer that its entry names")
 }
--- a/forward/queue.go
+++ b/forward/queue.go
@@ -47,7 +47,7 @@
 	// retryTimes holds the moments at which refused callers were told to come back, in no particular order.
 	retryTimes []time.Time
 	// firstTries and refusedFirstTries count the recent first tries, and those of them that were refused.
-	firstTries, refusedFirstTries *retry.Tally
+	firstTries, refusedFirstTries *retry.WindowCounter
 }
 
 func newQueue() *queue {
@@ -55,7 +55,7 @@
 		lifetimes: newSample(initialLifetime), firstEvents: newSample(initialFirstEvent),
 		outages: newSample(initialOutage), ratios: newSample(ratioUnit),
 		endedWhileWaiting: initialEnds, admitted: initialEnds, underWay: map[*inflight]time.Time{},
-		firstTries: retry.NewTally(recentSlots, slotTime), refusedFirstTries: retry.NewTally(recentSlots, slotTime),
+		firstTries: retry.NewWindowCounter(recentSlots, slotTime), refusedFirstTries: retry.NewWindowCounter(recentSlots, slotTime),
 	}
 }
 
--- a/forward/queue_test.go
+++ b/forward/queue_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestCallersWithLessTimeThanUsualAreReturning(t *testing.T) {
-	w := waits{}
+	w := longestWaits{}
 	require.False(t, w.isReturning("r", 20*time.Second))
 	require.True(t, w.isReturning("r", 16*time.Second))
 	require.False(t, w.isReturning("r", 19900*time.Millisecond), "it was sent again at once")
@@ -86,7 +86,7 @@
 // whose end would make room, so a request that queued behind the others would be refused although there is room for all.
 func TestRequestsThatArriveTogetherAllTakeTheFreeRoom(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	clock.Advance(time.Minute)
 	var all sync.WaitGroup
 	found := make([]bool, 20)
@@ -146,7 +146,7 @@
 	// The tickers of the watcher and of the prober, and the request.
 	const sleepers = 3
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool, 1)
 	go func() {
--- a/forward/race_test.go
+++ b/forward/race_test.go
@@ -14,21 +14,21 @@
 // attempts of a stream and the handling of its first server as silent.
 func TestASilentFirstServerIsHandledWhileItsStreamIsResent(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	f, _ := connected(t, h, g, "one", 0, 1)
-	f.moved.Store(false)
+	f.progressed.Store(false)
 	clock.Advance(time.Second)
 	none := backend.NewGroup(g.Service(), g.Servers()[:1])
 	var both sync.WaitGroup
 	both.Go(func() {
 		for range 1000 {
-			h.watch.giveUp(g.Servers()[0], none)
+			h.watch.moveStalledStreams(g.Servers()[0], none)
 		}
 	})
 	both.Go(func() {
 		for range 1000 {
 			h.watch.remove(f)
-			f.expected.Store(int64(time.Millisecond))
+			f.firstEventDue.Store(int64(time.Millisecond))
 			h.watch.add(f)
 		}
 	})
--- a/forward/refuse.go
+++ b/forward/refuse.go
@@ -23,8 +23,8 @@
 // deny tells the caller that there is no such route or account; an instance whose configuration may be outdated asks it to
 // try again instead.
 func (h *Handler) deny(r *request, status int, reason models.Reason, age time.Duration) {
-	if age > freshAge {
-		h.refuse(r, models.ReasonNoConfiguration, soon)
+	if age > freshConfigAge {
+		h.refuse(r, models.ReasonNoConfiguration, defaultRetryAfter)
 		return
 	}
 	h.stats.Refused(reason, models.FateNotRun)
--- a/forward/reload_test.go
+++ b/forward/reload_test.go
@@ -13,31 +13,31 @@
 // TestAReloadDoesNotDisturbRunningStreams replaces each setting that a reload can change, one after the other, while a
 // stream runs on a healthy path: it keeps its path, connection, memory and number of runs.
 func TestAReloadDoesNotDisturbRunningStreams(t *testing.T) {
-	base := Terms{
+	base := Settings{
 		Domain: "a", KeysAge: time.Second, Repeats: retry.Limit{Window: 10 * time.Second, Share: 0, Fixed: 1}, StallTime: 2 * time.Second,
 		DrainTime: 3 * time.Second,
 	}
-	changes := map[string]func(*Terms){
-		"none":          func(*Terms) {},
-		"domain":        func(t *Terms) { t.Domain = "b" },
-		"keys":          func(t *Terms) { t.KeysAge = time.Millisecond },
-		"repeat window": func(t *Terms) { t.Repeats.Window = time.Second },
-		"repeat share":  func(t *Terms) { t.Repeats.Share = 0.5 },
-		"repeat slack":  func(t *Terms) { t.Repeats.Fixed = 0 },
-		"stall time":    func(t *Terms) { t.StallTime = time.Millisecond },
-		"drain time":    func(t *Terms) { t.DrainTime = time.Millisecond },
+	changes := map[string]func(*Settings){
+		"none":          func(*Settings) {},
+		"domain":        func(t *Settings) { t.Domain = "b" },
+		"keys":          func(t *Settings) { t.KeysAge = time.Millisecond },
+		"repeat window": func(t *Settings) { t.Repeats.Window = time.Second },
+		"repeat share":  func(t *Settings) { t.Repeats.Share = 0.5 },
+		"repeat slack":  func(t *Settings) { t.Repeats.Fixed = 0 },
+		"stall time":    func(t *Settings) { t.StallTime = time.Millisecond },
+		"drain time":    func(t *Settings) { t.DrainTime = time.Millisecond },
 	}
 	for name, change := range changes {
 		t.Run(name, func(t *testing.T) {
 			g := twoCopies()
-			e := newEngines(g)
+			e := newFakeEngineClient(g)
 			h, clock := testHandler(t, e)
-			h.SetTerms(base)
+			h.ApplySettings(base)
 			f, conn := connected(t, h, g, "one", 0, 1)
-			was, reserved := f.course(), g.Servers()[0].Reserved()
+			was, reserved := f.path(), g.Servers()[0].Reserved()
 			terms := base
 			change(&terms)
-			h.SetTerms(terms)
+			h.ApplySettings(terms)
 			leaving := departures{}
 			for range 20 {
 				clock.Advance(watchPeriod)
@@ -46,7 +46,7 @@
 				h.watch.evacuate(t.Context(), leaving, h.watch.group)
 			}
 			require.True(t, isOpen(conn))
-			require.Equal(t, was, f.course())
+			require.Equal(t, was, f.path())
 			require.InDelta(t, reserved, g.Servers()[0].Reserved(), 0)
 			require.Empty(t, e.repairs)
 			require.Zero(t, f.r.runs)
@@ -57,18 +57,18 @@
 // TestAReloadChangesTheRetryLimitOfKnownServices raises the share after the first retry was counted.
 func TestAReloadChangesTheRetryLimitOfKnownServices(t *testing.T) {
 	g := twoCopies()
-	h, _ := testHandler(t, newEngines(g))
-	terms := Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 2}}
-	h.SetTerms(terms)
+	h, _ := testHandler(t, newFakeEngineClient(g))
+	terms := Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 2}}
+	h.ApplySettings(terms)
 	r := &request{group: g, route: &catalog.Route{}}
 	h.countRequest(r)
-	require.True(t, h.takeRepeat(r))
-	require.False(t, h.takeRepeat(r))
+	require.True(t, h.takeRetry(r))
+	require.False(t, h.takeRetry(r))
 	terms.Repeats.Share = 0.25
-	h.SetTerms(terms)
+	h.ApplySettings(terms)
 	for range 10 {
 		h.countRequest(r)
 	}
-	require.True(t, h.takeRepeat(r), "the new share counts from the next request on")
-	require.False(t, h.takeRepeat(r))
+	require.True(t, h.takeRetry(r), "the new share counts from the next request on")
+	require.False(t, h.takeRetry(r))
 }
--- a/forward/repair.go
+++ b/forward/repair.go
@@ -44,7 +44,7 @@
 // repairOnce requests one new path and reports whether another one is worth requesting.
 func (w *watcher) repairOnce(ctx context.Context, f *inflight, group *backend.Group, found *findings) (tryAgain bool) {
 	h := w.handler
-	old := f.course()
+	old := f.path()
 	oldHops := groupHops(group, old)
 	if len(oldHops) == 0 {
 		return false
@@ -95,11 +95,11 @@
 	r := f.repairRequest(oldHops, func(i int) bool {
 		return old.servers[i].Leaving() || found.lacks(old.servers[i], oldHops[i].Layers)
 	})
-	if hops, ok := chain.Mend(group.Graph(), state, r); ok {
+	if hops, ok := chain.RepairPath(group.Graph(), state, r); ok {
 		return hops, true
 	}
 	state.ignoreMemory = true
-	if hops, ok := chain.Mend(group.Graph(), state, r); ok {
+	if hops, ok := chain.RepairPath(group.Graph(), state, r); ok {
 		return hops, true
 	}
 	path, ok := chain.Extend(group.Graph(), state, f.need, oldHops[0])
@@ -107,14 +107,14 @@
 }
 
 // repairRequest returns the repair of a path in which some stages are to be replaced; the first one is always kept.
-func (f *inflight) repairRequest(hops []chain.Hop, replace func(stage int) bool) chain.Repair {
+func (f *inflight) repairRequest(hops []chain.Hop, replace func(stage int) bool) chain.RepairRequest {
 	lost := make(map[int]bool, len(hops))
 	for i, hop := range hops {
 		lost[hop.Server] = i > 0 && replace(i)
 	}
-	return chain.Repair{
+	return chain.RepairRequest{
 		Hops: hops, Tokens: f.need.Tokens, Lost: func(server int) bool { return lost[server] },
-		Spread: func() float64 { return 1 - weightSpread + 2*weightSpread*rand.Float64() },
+		Jitter: func() float64 { return 1 - weightSpread + 2*weightSpread*rand.Float64() },
 	}
 }
 
@@ -128,14 +128,14 @@
 	}
 	now := w.handler.clock.Now()
 	if server := group.ByAddr(refused.Addr); server != nil {
-		server.NoRoom(now)
-		found.add(server)
+		server.NoteMemoryFull(now)
+		found.addDead(server)
 		return server.Addr() != first.Addr()
 	}
 	// A refusal for lack of room names no server; it comes from one of the new ones.
 	for _, h := range newHops {
 		if !slices.Contains(oldHops, h) && h.Server >= 0 {
-			group.Servers()[h.Server].NoRoom(now)
+			group.Servers()[h.Server].NoteMemoryFull(now)
 		}
 	}
 	return true
--- a/forward/reportsharing_test.go
+++ b/forward/reportsharing_test.go
@@ -34,7 +34,7 @@
 // simInstance is an instance of a simulated domain, with its own view of the servers.
 type simInstance struct {
 	group    *backend.Group
-	book     laneBook
+	book     laneCache
 	allowed  float64
 	passedOn time.Time
 	received time.Time
@@ -55,7 +55,7 @@
 	due.addDomain("a")
 	for i.allowed += sharedProbes * probePeriod.Seconds(); i.allowed >= 1; i.allowed-- {
 		s := due.draw(now, d.random.Float64())
-		if s == nil || !s.MayAsk(now) {
+		if s == nil || !s.TryQuery(now) {
 			continue
 		}
 		d.queries++
@@ -78,8 +78,8 @@
 
 func passReports(from, to *backend.Group, after, now time.Time, ownOnly bool) {
 	for i, s := range from.Servers() {
-		if w, ok := s.Word(after, now, ownOnly); ok {
-			to.Servers()[i].Hear(w, now)
+		if w, ok := s.SharedReport(after, now, ownOnly); ok {
+			to.Servers()[i].ApplySharedReport(w, now)
 		}
 	}
 }
--- a/forward/resumable_test.go
+++ b/forward/resumable_test.go
@@ -15,17 +15,17 @@
 // count, the long ones would use up every round.
 func TestStreamsThatMayNotBeResumedDoNotKeepOthersFromLeaving(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
-	for n := range 2 * mostTries {
+	h, clock := testHandler(t, newFakeEngineClient(g))
+	for n := range 2 * maxEvacuationTries {
 		f, _ := connected(t, h, g, fmt.Sprint(n), 0, 1)
 		route := *f.r.route
-		route.Repeat = 0
-		f.r.route, f.life = &route, 2*time.Minute
+		route.RetryPolicy = 0
+		f.r.route, f.expectedLifetime = &route, 2*time.Minute
 	}
 	f, conn := connected(t, h, g, "one", 0, 1)
-	goodbye(g.Servers()[0], clock)
+	sendLeaveNotice(g.Servers()[0], clock)
 	leaving := departures{}
-	for range spotNotice / watchPeriod {
+	for range minLeaveNotice / watchPeriod {
 		clock.Advance(watchPeriod)
 		h.watch.evacuate(t.Context(), leaving, func(string) *backend.Group { return g })
 	}
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -19,10 +19,10 @@
 	requeryPeriod = 250 * time.Millisecond
 )
 
-// awaitOnward returns the path on which a stream that has begun is resumed. It waits for as long as the caller does, whatever
+// awaitResumePath returns the path on which a stream that has begun is resumed. It waits for as long as the caller does, whatever
 // is in the way: an answer that has begun is better late than cut. If it returns false, the reason tells what was in the way.
-func (h *Handler) awaitOnward(ctx context.Context, f *inflight) (chain.Path, models.Reason, bool) {
-	if f.refusals > 0 && !h.clock.Sleep(ctx, retry.Doubled(initialResumePause, maxResumePause, f.refusals-1)) {
+func (h *Handler) awaitResumePath(ctx context.Context, f *inflight) (chain.Path, models.Reason, bool) {
+	if f.refusals > 0 && !h.clock.Sleep(ctx, retry.Backoff(initialResumePause, maxResumePause, f.refusals-1)) {
 		return chain.Path{}, models.ReasonNoRoom, false
 	}
 	reported := models.Reason("")
@@ -33,7 +33,7 @@
 		if reason == "" {
 			return path, "", true
 		}
-		if reason == models.ReasonAttempts && h.clock.Since(queried) >= requeryPeriod {
+		if reason == models.ReasonAttemptsUsedUp && h.clock.Since(queried) >= requeryPeriod {
 			if !h.mayStillEnd(ctx, f) {
 				return chain.Path{}, reason, false
 			}
@@ -43,8 +43,8 @@
 			reported = reason
 			h.stats.Counter("onward_waits_total{reason=\"" + string(reason) + "\"}").Inc(1)
 			h.record.Failure(f.r.meta.ID, "waits to go on", h.fields(f.r, decision.Fields{
-				"reason": reason, "last_event": f.events.last, "still_ms": f.pause(h).Milliseconds(), "standing": f.r.standing(),
-				"most_runs": f.r.route.MaxAttempts, "instances": h.census.Instances(),
+				"reason": reason, "last_event": f.events.last, "still_ms": f.pause(h).Milliseconds(), "standing": f.r.activeRuns(),
+				"most_runs": f.r.route.MaxAttempts, "instances": h.instances.Instances(),
 			}))
 		}
 		if !h.clock.Sleep(ctx, roomPoll) {
@@ -60,33 +60,33 @@
 		if s.Ended() {
 			continue
 		}
-		ask, cancel := context.WithTimeout(ctx, askTime)
+		ask, cancel := context.WithTimeout(ctx, queryTimeout)
 		report, err := h.caller.Report(ask, s.Addr())
 		cancel()
-		h.believe(s, report, err, "run that broke")
-		if err != nil && s.Gone() && s.LeavingFor(h.clock.Now()) > h.terms.Load().DrainTime {
+		h.applyReport(s, report, err, "run that broke")
+		if err != nil && s.Gone() && s.LeavingFor(h.clock.Now()) > h.settings.Load().DrainTime {
 			// It has no entry and does not answer: it is partitioned or dead.
-			s.End()
+			s.MarkEnded()
 		}
 		if s.Ended() || s.Leaving() {
 			return true
 		}
 	}
-	return f.r.standing() < f.r.route.MaxAttempts
+	return f.r.activeRuns() < f.r.route.MaxAttempts
 }
 
 // resumePath returns a path for a stream that has begun, or the reason why there is none; it takes one retry from the
 // service's budget unless one is granted already.
 func (h *Handler) resumePath(f *inflight) (chain.Path, models.Reason) {
-	if f.r.standing() >= f.r.route.MaxAttempts {
-		return chain.Path{}, models.ReasonAttempts
+	if f.r.activeRuns() >= f.r.route.MaxAttempts {
+		return chain.Path{}, models.ReasonAttemptsUsedUp
 	}
 	path, ok := h.choosePath(f)
 	if !ok {
 		return chain.Path{}, models.ReasonNoRoom
 	}
 	if !h.maySend(f.r) {
-		return chain.Path{}, models.ReasonNoBudget
+		return chain.Path{}, models.ReasonRetryBudgetSpent
 	}
 	return path, ""
 }
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -14,9 +14,9 @@
 	"junctioncross/retry"
 )
 
-// begun returns a stream whose answer started on some servers of a group; its route lets at most attempts servers run one
+// newBegunStream returns a stream whose answer started on some servers of a group; its route lets at most attempts servers run one
 // request.
-func begun(g *backend.Group, attempts int, ran ...int) *inflight {
+func newBegunStream(g *backend.Group, attempts int, ran ...int) *inflight {
 	route := &catalog.Route{PauseObjective: 200 * time.Millisecond, Timeout: time.Minute, MaxAttempts: attempts}
 	f := &inflight{r: &request{x: &front.Exchange{}, group: g, route: route}}
 	for _, n := range ran {
@@ -28,13 +28,13 @@
 // TestTerminatedServersDoNotCountAsAttempts has a stream run on two servers, of which one terminates.
 func TestTerminatedServersDoNotCountAsAttempts(t *testing.T) {
 	g := twoCopies()
-	h, _ := testHandler(t, newEngines(g, 0))
-	h.SetTerms(Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 10}})
-	f := begun(g, 2, 0, 2)
+	h, _ := testHandler(t, newFakeEngineClient(g, 0))
+	h.ApplySettings(Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 10}})
+	f := newBegunStream(g, 2, 0, 2)
 	_, obstacle := h.resumePath(f)
-	require.Equal(t, models.ReasonAttempts, obstacle)
+	require.Equal(t, models.ReasonAttemptsUsedUp, obstacle)
 	require.True(t, h.mayStillEnd(t.Context(), f), "the queries show that a server has terminated")
-	require.Equal(t, 1, f.r.standing())
+	require.Equal(t, 1, f.r.activeRuns())
 	_, obstacle = h.resumePath(f)
 	require.Empty(t, obstacle)
 	require.Equal(t, 2, f.r.runs, "the request may have run on both all the same")
@@ -44,7 +44,7 @@
 // leaves.
 func TestAServerThatAnnouncedLeavingHasEndedOnceRemoved(t *testing.T) {
 	servers := twoCopies().Servers()
-	leave(servers[0])
+	announceLeaving(servers[0])
 	for _, s := range servers[:2] {
 		s.Remove()
 	}
@@ -55,16 +55,16 @@
 // TestAStreamIsResumedWhenThereIsRoomAgain makes every server unusable for longer than callers are thought to wait.
 func TestAStreamIsResumedWhenThereIsRoomAgain(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
-	h.SetTerms(Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 10}})
-	f := begun(g, 2, 0)
+	h, clock := testHandler(t, newFakeEngineClient(g))
+	h.ApplySettings(Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 10}})
+	f := newBegunStream(g, 2, 0)
 	away := clock.Now().Add(4 * time.Second)
 	for _, s := range g.Servers() {
 		s.SetAside(away)
 	}
 	done := make(chan bool, 1)
 	go func() {
-		_, _, ok := h.awaitOnward(t.Context(), f)
+		_, _, ok := h.awaitResumePath(t.Context(), f)
 		done <- ok
 	}()
 	require.Eventually(t, func() bool {
@@ -83,8 +83,8 @@
 // TestAStreamIsBrokenOffAtOnceIfItsServersAreAllRunning has both servers that a stream ran on answer that they are well.
 func TestAStreamIsBrokenOffAtOnceIfItsServersAreAllRunning(t *testing.T) {
 	g := twoCopies()
-	h, _ := testHandler(t, newEngines(g))
-	_, why, ok := h.awaitOnward(context.Background(), begun(g, 2, 0, 2))
+	h, _ := testHandler(t, newFakeEngineClient(g))
+	_, why, ok := h.awaitResumePath(context.Background(), newBegunStream(g, 2, 0, 2))
 	require.False(t, ok)
-	require.Equal(t, models.ReasonAttempts, why)
+	require.Equal(t, models.ReasonAttemptsUsedUp, why)
 }
--- a/forward/retryafter.go
+++ b/forward/retryafter.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// soon is the Retry-After time where nothing better is known.
-	soon = time.Second
+	// defaultRetryAfter is the Retry-After time where nothing better is known.
+	defaultRetryAfter = time.Second
 	// returningRoomShare is the part of the room that becomes free that is meant for returning callers; the rest is for new
 	// ones, which can still be served in time.
 	returningRoomShare = 0.5
@@ -16,11 +16,11 @@
 	maxRetryAfterShare = 1.0 / 3
 )
 
-// comeBack returns the Retry-After time for a refused caller. If all servers are backed off, it is when the first one accepts
+// retryAfter returns the Retry-After time for a refused caller. If all servers are backed off, it is when the first one accepts
 // work again. For a stream, it is when there is as likely as not room for all requests ahead of it, because the caller then
 // goes first and can wait a while; but it is not later than the caller would follow. The time is remembered, so that callers
 // refused later are sent behind this one.
-func (h *Handler) comeBack(r *request) time.Duration {
+func (h *Handler) retryAfter(r *request) time.Duration {
 	now := h.clock.Now()
 	if r.group.Graph() != nil {
 		return h.retryAfterForStream(r, now)
@@ -28,7 +28,7 @@
 	if after, known := h.usableIn(r.group, now); known {
 		return withRetryJitter(after)
 	}
-	return soon
+	return defaultRetryAfter
 }
 
 // retryAfterForStream returns the Retry-After time for the caller of a stream.
@@ -44,8 +44,8 @@
 	minimum := min(time.Duration((1-returningShare)*float64(r.meta.Wait)), limit)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	turns, _ := h.turnsIn(r.group, lanes, q.placesBeforeRetryLocked(now, limit), now)
-	after := q.timeToRoomLocked(q.forecastLocked(now, h.watch.still), now, limit)
+	turns, _ := h.rateLimitDelay(r.group, lanes, q.placesBeforeRetryLocked(now, limit), now)
+	after := q.timeToRoomLocked(q.forecastLocked(now, h.watch.stalled), now, limit)
 	switch {
 	case known:
 		after += usableIn
--- a/forward/returning.go
+++ b/forward/returning.go
@@ -12,11 +12,11 @@
 	maxRoutes = 4096
 )
 
-// waits keeps the longest time that callers of each route are ready to wait.
-type waits map[string]time.Duration
+// longestWaits keeps the longest time that callers of each route are ready to wait.
+type longestWaits map[string]time.Duration
 
 // isReturning records how long a caller is ready to wait, and reports whether it is a returning one.
-func (w waits) isReturning(route string, wait time.Duration) bool {
+func (w longestWaits) isReturning(route string, wait time.Duration) bool {
 	if len(w) >= maxRoutes {
 		clear(w)
 	}
@@ -35,5 +35,5 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.waits.isReturning(r.route.Name, r.meta.Wait)
+	return h.longestWaits.isReturning(r.route.Name, r.meta.Wait)
 }
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -12,10 +12,10 @@
 	r.ran = append(r.ran, s)
 }
 
-// standing returns the number of active runs: of the servers that may have run the request, those that have not terminated
+// activeRuns returns the number of active runs: of the servers that may have run the request, those that have not terminated
 // since. This number is bounded, since it counts what may still be at work on the request; a server that has terminated is
 // not. A server that ran the request twice counts once.
-func (r *request) standing() int { return len(activeServers(r.ran)) }
+func (r *request) activeRuns() int { return len(activeServers(r.ran)) }
 
 // activeServers returns the servers that have not terminated, each once.
 func activeServers(ran []*backend.Server) []*backend.Server {
--- a/forward/sample.go
+++ b/forward/sample.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// sampleMost is the number of durations that a sample keeps: about ten seconds of the streams of a busy instance.
-	sampleMost = 256
+	// maxSamples is the number of durations that a sample keeps: about ten seconds of the streams of a busy instance.
+	maxSamples = 256
 	// initialSamples is the number of assumed durations that a sample starts with.
 	initialSamples = 16
 )
@@ -33,11 +33,11 @@
 
 // add adds a duration and drops the oldest one when the sample is full.
 func (s *sample) add(d time.Duration) {
-	if len(s.latest) < sampleMost {
+	if len(s.latest) < maxSamples {
 		s.latest = append(s.latest, d)
 	} else {
 		oldest := s.latest[s.next]
-		s.latest[s.next], s.next = d, (s.next+1)%sampleMost
+		s.latest[s.next], s.next = d, (s.next+1)%maxSamples
 		i, _ := slices.BinarySearch(s.sorted, oldest)
 		s.sorted = slices.Delete(s.sorted, i, i+1)
 		s.sum -= oldest
--- a/forward/services_test.go
+++ b/forward/services_test.go
@@ -23,12 +23,12 @@
 		}))
 	}
 	other := backend.NewGroup(service, servers)
-	e := newEngines(g)
+	e := newFakeEngineClient(g)
 	h, clock := testHandler(t, e)
-	stalled := flying(h, g, "still", 0, 0, 1)
-	flying(h, other, "other", 0, 0, 1)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1)
+	newActiveStream(h, other, "other", 0, 0, 1)
 	clock.Advance(140 * time.Millisecond)
-	leave(servers[1])
-	h.watch.look(t.Context(), stalled.first, g, []*inflight{stalled})
+	announceLeaving(servers[1])
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.NotContains(t, e.repairs, "other")
 }
--- a/forward/startup_test.go
+++ b/forward/startup_test.go
@@ -46,23 +46,23 @@
 }
 
 // Read implements follow.Source.
-func (s lateServers) Read(ctx context.Context, feed follow.Feed) (follow.News, error) {
+func (s lateServers) Read(ctx context.Context, feed follow.Feed) (follow.Updates, error) {
 	if feed == follow.FeedConfig {
-		return follow.News{Changes: []follow.Change{follow.Configured{Catalog: s.catalog}}, At: 1, Known: time.Now()}, nil
+		return follow.Updates{Changes: []follow.Change{follow.Configured{Catalog: s.catalog}}, At: 1, AsOf: time.Now()}, nil
 	}
 	select {
 	case <-s.servers:
 	case <-ctx.Done():
-		return follow.News{}, ctx.Err()
+		return follow.Updates{}, ctx.Err()
 	}
 	entry := backend.Entry{ID: "s", Service: "plain", Addr: "127.0.0.1:1", Domain: "a", Revision: 1}
-	return follow.News{Changes: []follow.Change{follow.ServerSeen{Entry: entry}}, At: 1, Known: time.Now()}, nil
+	return follow.Updates{Changes: []follow.Change{follow.ServerSeen{Entry: entry}}, At: 1, AsOf: time.Now()}, nil
 }
 
 // Next implements follow.Source.
-func (lateServers) Next(ctx context.Context, _ follow.Feed, _ follow.Position) (follow.News, error) {
+func (lateServers) Next(ctx context.Context, _ follow.Feed, _ follow.Position) (follow.Updates, error) {
 	<-ctx.Done()
-	return follow.News{}, ctx.Err()
+	return follow.Updates{}, ctx.Err()
 }
 
 // TestARequestWaitsForTheFirstServers lets a request arrive after the configuration and before the servers: it is neither
--- a/forward/state.go
+++ b/forward/state.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// peersAtFirst is the load ratio that is assumed until answers report one: that of three instances that use the servers
+	// initialLoadRatio is the load ratio that is assumed until answers report one: that of three instances that use the servers
 	// alike.
-	peersAtFirst = 3.0
+	initialLoadRatio = 3.0
 	// maxLoadRatio bounds the load ratio.
 	maxLoadRatio = 32.0
 	// loadRatioWeight is the weight of the newest answer in the load ratio.
@@ -21,19 +21,19 @@
 	failurePenalty = 4.0
 )
 
-// peers estimates the load ratio: all work of the servers as a multiple of what this instance gives them.
-type peers struct {
-	factor float64
+// loadRatio estimates the load ratio: all work of the servers as a multiple of what this instance gives them.
+type loadRatio struct {
+	estimate float64
 }
 
 // observe updates the estimate by the load in one answer: the requests that a server runs or queues, against those of this
 // instance.
-func (p *peers) observe(load call.Load, own int) {
+func (p *loadRatio) observe(load call.Load, own int) {
 	if !load.Known || own < 1 {
 		return
 	}
 	ratio := min(max(float64(load.Running+load.Waiting)/float64(own), 1), maxLoadRatio)
-	p.factor += (ratio - p.factor) * loadRatioWeight
+	p.estimate += (ratio - p.estimate) * loadRatioWeight
 }
 
 // chainState implements chain.State for the servers of a group.
@@ -41,8 +41,8 @@
 	servers []*backend.Server
 	engine  *catalog.Engine
 	now     time.Time
-	// factor is the estimated ratio of all work on the servers to the work of this instance.
-	factor float64
+	// loadRatio is the estimated ratio of all work on the servers to the work of this instance.
+	loadRatio float64
 	// instances is the number of instances that share the rate limits of the servers.
 	instances int
 	// ignoreMemory makes all memory count as free, whatever the servers reported of it.
@@ -55,7 +55,7 @@
 }
 
 // Sequences implements chain.State.
-func (s *chainState) Sequences(i int) float64 { return float64(s.servers[i].Running()) * s.factor }
+func (s *chainState) Sequences(i int) float64 { return float64(s.servers[i].Running()) * s.loadRatio }
 
 // Room implements chain.State.
 func (s *chainState) Room(i int) float64 {
@@ -68,10 +68,10 @@
 	if s.ignoreMemory {
 		return room
 	}
-	if filled, known := server.Filled(s.now, wordAge, 1); known {
+	if filled, known := server.Filled(s.now, maxReportAge, 1); known {
 		return room * (1 - filled)
 	}
-	return room - server.Reserved()*s.factor
+	return room - server.Reserved()*s.loadRatio
 }
 
 // Penalty implements chain.State.
--- a/forward/stop.go
+++ b/forward/stop.go
@@ -21,13 +21,13 @@
 func (h *Handler) StopBy(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.stopTold, h.stopBy = h.clock.Now(), at
+	h.stopRequested, h.stopBy = h.clock.Now(), at
 }
 
 // finishes reports whether the request would finish before the process ends.
 func (h *Handler) finishes(r *request) bool {
 	h.mu.Lock()
-	stopTold, stopBy := h.stopTold, h.stopBy
+	stopTold, stopBy := h.stopRequested, h.stopBy
 	h.mu.Unlock()
 	if stopBy.IsZero() {
 		return true
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -27,7 +27,7 @@
 			last = instead
 			break
 		}
-		if k, ok := h.keptFrom(f.r); ok {
+		if k, ok := h.quarantineOf(f.r); ok {
 			last = k
 			break
 		}
@@ -42,11 +42,11 @@
 // nextPath returns the path for the next attempt, or the outcome with which the stream ends if there is none.
 func (h *Handler) nextPath(ctx context.Context, f *inflight, last outcome) (chain.Path, outcome) {
 	if next := f.takeNext(); next != nil {
-		f.r.group, f.laneLoad, f.r.granted = next.group, next.load, true
+		f.r.group, f.laneLoad, f.r.retryGranted = next.group, next.load, true
 		return next.path, nil
 	}
 	if f.r.x.Begun() {
-		path, obstacle, ok := h.awaitOnward(ctx, f)
+		path, obstacle, ok := h.awaitResumePath(ctx, f)
 		if !ok {
 			return chain.Path{}, failed{reason: obstacle}
 		}
@@ -71,7 +71,7 @@
 		return true
 	}
 	if !f.r.x.Begun() {
-		return h.again(f.r, last, attempt)
+		return h.mayRetry(f.r, last, attempt)
 	}
 	switch o := last.(type) {
 	case notRun:
@@ -79,7 +79,7 @@
 		h.stats.Retried(o.reason)
 		return true
 	case failed:
-		if !f.r.route.MayRepeat() {
+		if !f.r.route.MayRetry() {
 			return false
 		}
 		h.stats.Retried(o.reason)
@@ -95,21 +95,21 @@
 	f.assign(r.group, path.Hops)
 	defer f.release()
 	f.first = r.group.Servers()[path.Hops[0].Server]
-	f.expected.Store(int64(path.Read + path.Step))
+	f.firstEventDue.Store(int64(path.Read + path.Step))
 	f.events.dropPartial()
-	f.begin(h, path, attempt)
-	f.first.Start(1)
-	defer f.first.Start(-1)
+	f.beginAttempt(h, path, attempt)
+	f.first.AddFirstStage(1)
+	defer f.first.AddFirstStage(-1)
 	f.first.Chosen()
 	h.record.Routine(r.meta.ID, "sent", h.fields(r, decision.Fields{
-		"server": f.first.ID(), "attempt": attempt, "path": f.course().describe(), "predicted_step_us": path.Step.Microseconds(),
+		"server": f.first.ID(), "attempt": attempt, "path": f.path().describe(), "predicted_step_us": path.Step.Microseconds(),
 		"predicted_read_us": path.Read.Microseconds(), "tokens": f.need.Tokens, "lane_load": f.laneLoad, "returned": f.returned,
 		"resume_after": f.events.resumeAfter(),
 	}))
-	s, err := h.send(ctx, r, f.first, &call.Send{Path: f.course().stages(), ResumeAfter: f.events.resumeAfter()},
-		attempt > 1 || !r.route.MayRepeat())
+	s, err := h.send(ctx, r, f.first, &call.SendParams{Path: f.path().stages(), ResumeAfter: f.events.resumeAfter()},
+		attempt > 1 || !r.route.MayRetry())
 	if s == nil {
-		return h.unreached(ctx, r, f.first, err)
+		return h.unsentAttempt(ctx, r, f.first, err)
 	}
 	f.conn = s.conn
 	f.touch(h)
@@ -142,21 +142,21 @@
 	r.ranOn(f.first)
 	f.first.Observe(true)
 	f.first.Succeeded()
-	h.absolve(r)
+	h.clearEnds(r)
 	h.observeLifetime(f)
 	h.queueOf(f.first.Service()).ended(h.clock.Since(r.x.Arrived()))
 	return delivered{}
 }
 
-func (h *Handler) observeLoad(f *inflight, s *sent) {
+func (h *Handler) observeLoad(f *inflight, s *sentRequest) {
 	f.first.SetLoad(s.info.Load, h.clock.Now())
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.peers.observe(s.info.Load, f.first.Running())
+	h.loadRatio.observe(s.info.Load, f.first.Running())
 }
 
 // refusedStream returns the outcome of an answer that is not a stream, and notes the failure or refusal at the server.
-func (h *Handler) refusedStream(f *inflight, s *sent) outcome {
+func (h *Handler) refusedStream(f *inflight, s *sentRequest) outcome {
 	body, err := readWhole(s)
 	h.watch.remove(f)
 	h.finish(s, err == nil)
@@ -165,7 +165,7 @@
 		return notRun{reason: models.RetryRefused}
 	}
 	f.first.Observe(false)
-	f.first.Settled()
+	f.first.ReleaseTrial()
 	f.r.ranOn(f.first)
 	if err != nil || f.r.x.Begun() {
 		return failed{reason: models.ReasonServiceFailed}
@@ -175,7 +175,7 @@
 
 // noteRefusal keeps new work away from the server that caused a refusal: the one that the answer names, or else the first
 // one.
-func (h *Handler) noteRefusal(f *inflight, s *sent) {
+func (h *Handler) noteRefusal(f *inflight, s *sentRequest) {
 	server := f.first
 	if s.info.Fault != "" {
 		if at := f.r.group.ByAddr(s.info.Fault); at != nil {
@@ -183,9 +183,9 @@
 		}
 	}
 	h.turnedAway(f.r, server, s)
-	h.inquire(server, "refusal")
-	if f.pause(h) >= h.terms.Load().StallTime/2 {
-		server.SetAside(h.clock.Now().Add(h.terms.Load().StallTime))
+	h.queryIfActive(server, "refusal")
+	if f.pause(h) >= h.settings.Load().StallTime/2 {
+		server.SetAside(h.clock.Now().Add(h.settings.Load().StallTime))
 	}
 }
 
@@ -193,21 +193,21 @@
 func (h *Handler) brokenStream(ctx context.Context, f *inflight, err error) outcome {
 	if ctx.Err() != nil || f.r.x.Failed() {
 		f.r.ranOn(f.first)
-		f.first.Settled()
+		f.first.ReleaseTrial()
 		return callerGone{}
 	}
 	if f.next.Load() != nil {
-		return h.handedOverFrom(f, f.course().hops[0].Layers)
+		return h.handedOverFrom(f, f.path().hops[0].Layers)
 	}
 	f.r.ranOn(f.first)
 	h.noteBreak(f.first)
 	h.suspectEnd(f.r, f.first, f.ran(h))
-	if !f.r.x.Begun() && f.r.standing() >= f.r.route.MaxAttempts {
+	if !f.r.x.Begun() && f.r.activeRuns() >= f.r.route.MaxAttempts {
 		// Another attempt is allowed only if one of the servers that ran the request has terminated.
 		h.mayStillEnd(ctx, f)
 	}
 	h.record.Failure(f.r.meta.ID, "attempt broken", h.fields(f.r, decision.Fields{
-		"server": f.first.ID(), "address": f.first.Addr(), "path": f.course().describe(), "error": err.Error(), "last_event": f.events.last,
+		"server": f.first.ID(), "address": f.first.Addr(), "path": f.path().describe(), "error": err.Error(), "last_event": f.events.last,
 		"runs": f.r.runs, "gone": f.first.Gone(), "leaving_ms": f.first.LeavingFor(h.clock.Now()).Milliseconds(),
 		"fingerprint": f.r.fingerprint().String(),
 	}))
@@ -218,12 +218,12 @@
 // expected to break. It also queries the server, which shows whether it has terminated.
 func (h *Handler) noteBreak(server *backend.Server) {
 	if server.Leaving() {
-		server.Settled()
+		server.ReleaseTrial()
 	} else {
 		server.Observe(false)
 		server.Failed(h.clock.Now())
 	}
-	h.question(server, "broken stream")
+	h.queryState(server, "broken stream")
 }
 
 // concludeStream logs the outcome of the stream and answers the caller who has no answer yet. A stream that has begun and
@@ -247,11 +247,11 @@
 		h.record.Last(r.meta.ID, "finished", h.fields(r, decision.Fields{"outcome": "caller left"}))
 		return
 	}
-	h.stats.Refused(models.ReasonBroken, models.FateUnknown)
+	h.stats.Refused(models.ReasonStreamBroken, models.FateUnknown)
 	why := reasonOf(last)
 	h.stats.Counter("streams_broken_off_total{reason=\"" + string(why) + "\"}").Inc(1)
 	h.record.Last(r.meta.ID, "broken off", h.fields(r, decision.Fields{
-		"reason": models.ReasonBroken, "last_attempt": why, "last_event": f.events.last, "runs": r.runs,
+		"reason": models.ReasonStreamBroken, "last_attempt": why, "last_event": f.events.last, "runs": r.runs,
 		"most_runs": r.route.MaxAttempts, "still_ms": f.pause(h).Milliseconds(), "patience_ms": patienceOf(r.route).Milliseconds(),
 	}))
 }
@@ -263,7 +263,7 @@
 		return o.reason
 	case failed:
 		return o.reason
-	case kept:
+	case quarantined:
 		return models.ReasonQuarantined
 	default:
 		return ""
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -24,17 +24,17 @@
 }
 
 // Read implements follow.Source.
-func (c confirming) Read(_ context.Context, feed follow.Feed) (follow.News, error) {
+func (c confirming) Read(_ context.Context, feed follow.Feed) (follow.Updates, error) {
 	if feed != follow.FeedConfig {
-		return follow.News{At: 1, Known: c.at}, nil
+		return follow.Updates{At: 1, AsOf: c.at}, nil
 	}
-	return follow.News{Changes: []follow.Change{follow.Configured{Catalog: c.catalog}}, At: 1, Known: c.at}, nil
+	return follow.Updates{Changes: []follow.Change{follow.Configured{Catalog: c.catalog}}, At: 1, AsOf: c.at}, nil
 }
 
 // Next implements follow.Source.
-func (confirming) Next(ctx context.Context, _ follow.Feed, _ follow.Position) (follow.News, error) {
+func (confirming) Next(ctx context.Context, _ follow.Feed, _ follow.Position) (follow.Updates, error) {
 	<-ctx.Done()
-	return follow.News{}, ctx.Err()
+	return follow.Updates{}, ctx.Err()
 }
 
 // TestKeysAreNotTrustedAfterASuspension suspends the machine for 8 s while its monotonic clock stands still. Keys may have been
@@ -44,18 +44,18 @@
 	var asleep atomic.Int64
 	fake := clockwork.NewFakeClock()
 	begun := fake.Now()
-	clock, err := timer.NewOver(fake, func() (time.Duration, error) { return fake.Since(begun) + time.Duration(asleep.Load()), nil })
+	clock, err := timer.NewWithBootClock(fake, func() (time.Duration, error) { return fake.Since(begun) + time.Duration(asleep.Load()), nil })
 	require.NoError(t, err)
 	c, err := catalog.New(&catalog.Content{Version: 1})
 	require.NoError(t, err)
-	board, stats, log := follow.NewBoard(), metrics.New(), testlog.New(t)
-	h := New(t.Context(), Terms{Domain: "a", KeysAge: 3 * time.Second}, board, nil, nil, clock, stats, decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noTeller{})
+	board, stats, log := follow.NewFleetView(), metrics.New(), testlog.New(t)
+	h := New(t.Context(), Settings{Domain: "a", KeysAge: 3 * time.Second}, board, nil, nil, clock, stats, decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noTeller{})
 	follow.New(t.Context(), confirming{catalog: c, at: clock.Now()}, board, h.ends, clock, stats, log)
-	require.Eventually(t, h.KeysConfirmed, soonEnough, time.Millisecond)
+	require.Eventually(t, h.KeysConfirmed, testTimeout, time.Millisecond)
 	asleep.Store(int64(8 * time.Second))
-	gap, err := clock.Look()
+	gap, err := clock.CheckSuspension()
 	require.NoError(t, err)
 	require.Equal(t, 8*time.Second, gap)
 	require.False(t, h.KeysConfirmed())
-	require.Greater(t, board.KeysAge(clock.Now()), freshAge)
+	require.Greater(t, board.KeysAge(clock.Now()), freshConfigAge)
 }
--- a/forward/unreachable_test.go
+++ b/forward/unreachable_test.go
@@ -13,22 +13,22 @@
 // first, so that the stream may not run on one more server. It must go on soon after that server stops answering.
 func TestAWaitingStreamGoesOnOnceItsFormerServerHasEnded(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g)
+	e := newFakeEngineClient(g)
 	h, clock := testHandler(t, e)
-	f := begun(g, 2, 0, 2)
+	f := newBegunStream(g, 2, 0, 2)
 	leaver := g.Servers()[2]
 	leaver.NoteLeaving(clock.Now())
 	leaver.Remove()
 	done := make(chan bool, 1)
 	go func() {
-		_, _, ok := h.awaitOnward(t.Context(), f)
+		_, _, ok := h.awaitResumePath(t.Context(), f)
 		done <- ok
 	}()
 	require.Eventually(t, func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return e.asked[leaver.Addr()] > 0
-	}, soonEnough, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	e.mu.Lock()
 	e.dead[leaver.Addr()] = true
 	e.mu.Unlock()
@@ -49,20 +49,20 @@
 // TestAServerThatRanAStreamTwiceCountsOnce resumes a stream on a server that ran it before, as after a connection reset.
 func TestAServerThatRanAStreamTwiceCountsOnce(t *testing.T) {
 	g := twoCopies()
-	require.Equal(t, 1, begun(g, 2, 0, 0).r.standing())
-	require.Equal(t, 2, begun(g, 2, 0, 2, 0).r.standing())
+	require.Equal(t, 1, newBegunStream(g, 2, 0, 0).r.activeRuns())
+	require.Equal(t, 2, newBegunStream(g, 2, 0, 2, 0).r.activeRuns())
 }
 
 // TestAStreamThatGetsEventsIsNotCutWhenItsServerStopsListening has a server that accepts no new connections but finishes what
 // it has, as in an orderly shutdown.
 func TestAStreamThatGetsEventsIsNotCutWhenItsServerStopsListening(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g, 0))
+	h, clock := testHandler(t, newFakeEngineClient(g, 0))
 	stalled, stalledConn := connected(t, h, g, "still", 0, 1)
 	progressing, progressingConn := connected(t, h, g, "moving", 0, 1)
 	clock.Advance(140 * time.Millisecond)
 	progressing.touch(h)
-	h.watch.look(t.Context(), stalled.first, g, []*inflight{stalled})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.True(t, g.Servers()[0].Ended())
 	require.False(t, isOpen(stalledConn), "the stalled one goes on elsewhere")
 	require.True(t, isOpen(progressingConn), "the one that makes progress stays")
@@ -72,14 +72,14 @@
 // listen: the events that may still arrive are all that its caller can get.
 func TestAStreamThatMayNotRunAgainStaysWithASilentFirstServer(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g, 0))
+	h, clock := testHandler(t, newFakeEngineClient(g, 0))
 	f, conn := connected(t, h, g, "one", 0, 1)
 	route := *f.r.route
-	route.Repeat = 0
+	route.RetryPolicy = 0
 	f.r.route = &route
-	require.False(t, route.MayRepeat())
+	require.False(t, route.MayRetry())
 	clock.Advance(140 * time.Millisecond)
-	h.watch.look(t.Context(), f.first, g, []*inflight{f})
+	h.watch.diagnose(t.Context(), f.first, g, []*inflight{f})
 	require.True(t, isOpen(conn))
 }
 
@@ -91,10 +91,10 @@
 		ID: "far", Service: "s", Addr: "127.0.0.1:9", Domain: "b", Kind: "k", Layers: servers[0].Layers(),
 	}))
 	g = backend.NewGroup(g.Service(), servers)
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	_, conn := connected(t, h, g, "one", 0, 1)
 	clock.Advance(time.Second)
 	servers[0].Suspect(clock.Now().Add(suspectTime))
-	h.watch.giveUp(servers[0], g)
+	h.watch.moveStalledStreams(servers[0], g)
 	require.False(t, isOpen(conn))
 }
--- a/forward/usable.go
+++ b/forward/usable.go
@@ -16,9 +16,9 @@
 	var at time.Time
 	var known bool
 	if group.Graph() == nil {
-		at, known = firstUsableAt(group.Servers(), h.census.Instances(), now)
+		at, known = firstUsableAt(group.Servers(), h.instances.Instances(), now)
 	} else {
-		at, known = h.laneBook(group.Service().Name).returns(group, now)
+		at, known = h.laneCacheOf(group.Service().Name).nextLaneAt(group, now)
 	}
 	if !known {
 		return 0, false
@@ -34,7 +34,7 @@
 		if s.Usable(now) && s.WithinLimit(instances, now) {
 			return time.Time{}, false
 		}
-		if at, ok := s.ReturnsWithin(instances, now); ok && (first.IsZero() || at.Before(first)) {
+		if at, ok := s.AvailableAt(instances, now); ok && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
 	}
@@ -54,16 +54,16 @@
 	known bool
 }
 
-// returns returns when there is a lane again, if only backed-off servers are missing for one. False means that there is a lane
+// nextLaneAt nextLaneAt when there is a lane again, if only backed-off servers are missing for one. False means that there is a lane
 // now, or that other servers are missing too. The result is cached, since waiting requests ask for it again and again.
-func (b *laneBook) returns(group *backend.Group, now time.Time) (time.Time, bool) {
+func (b *laneCache) nextLaneAt(group *backend.Group, now time.Time) (time.Time, bool) {
 	lanes, _ := b.get(group, now)
 	if len(lanes) > 0 {
 		return time.Time{}, false
 	}
 	var from []backedOffServer
 	for i, s := range group.Servers() {
-		if at, ok := s.Returns(now); ok {
+		if at, ok := s.BackOffEnd(now); ok {
 			from = append(from, backedOffServer{server: i, at: at})
 		}
 	}
--- a/forward/wait.go
+++ b/forward/wait.go
@@ -107,11 +107,11 @@
 		expected.wait = q.outages.timeToEnd(outage, median, expected.left)
 		return expected
 	}
-	c := q.forecastLocked(now, h.watch.still)
+	c := q.forecastLocked(now, h.watch.stalled)
 	expected.streams = len(c.ages)
 	expected.likelihood = c.likelihood(expected.places, expected.left)
 	expected.wait = c.timeFor(expected.places, median, expected.left)
-	if turns, limited := h.turnsIn(f.r.group, lanes, expected.places, now); limited {
+	if turns, limited := h.rateLimitDelay(f.r.group, lanes, expected.places, now); limited {
 		// Besides room, the request needs the rate limit of the first servers to allow it, which happens at a known time.
 		expected.wait = max(expected.wait, turns)
 		if turns > expected.left {
--- a/forward/wait_test.go
+++ b/forward/wait_test.go
@@ -27,7 +27,7 @@
 	q.lifetimes = *constantSample(life)
 	for i := range count {
 		f := &inflight{r: &request{route: &catalog.Route{PauseObjective: time.Minute}}}
-		f.moved.Store(true)
+		f.progressed.Store(true)
 		f.touch(h)
 		q.addUnderWay(f, h.clock.Now().Add(-age(i)))
 	}
@@ -47,7 +47,7 @@
 // their ages none does.
 func TestARequestIsRefusedAtOnceWhereNoStreamEndsInTime(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	clock.Advance(time.Minute)
 	reportFilled(g, 1, clock.Now())
 	q := startStreams(h, 20, 2*time.Second, func(int) time.Duration { return 100 * time.Millisecond })
@@ -61,7 +61,7 @@
 // TestARequestWaitsWhereRoomIsLikelyToComeInTime frees the servers' memory while the request waits.
 func TestARequestWaitsWhereRoomIsLikelyToComeInTime(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	clock.Advance(time.Minute)
 	reportFilled(g, 1, clock.Now())
 	q := startStreams(h, 20, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 100 * time.Millisecond })
@@ -85,7 +85,7 @@
 // servers: streams that are stalled make no room.
 func TestAWaitEndsWhenRoomBecomesUnlikely(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	clock.Advance(time.Minute)
 	reportFilled(g, 1, clock.Now())
 	q := startStreams(h, 20, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 100 * time.Millisecond })
@@ -124,7 +124,7 @@
 // that a request waits until the present one has lasted longer.
 func TestWithoutAPathARequestWaitsAsLongAsFormerOutagesLasted(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	clock.Advance(time.Minute)
 	q := h.queueOf("s")
 	for _, s := range g.Servers() {
@@ -143,28 +143,28 @@
 // room for only some of them when they come back.
 func TestRetryAfterLeavesTimeForRequestsAhead(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	clock.Advance(time.Minute)
 	reportFilled(g, 1, clock.Now())
 	q := startStreams(h, 40, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 50 * time.Millisecond })
 	f := newUnbegun(h, g)
 	q.mu.Lock()
-	predicted := q.timeToRoomLocked(q.forecastLocked(clock.Now(), h.watch.still), clock.Now(), time.Minute)
+	predicted := q.timeToRoomLocked(q.forecastLocked(clock.Now(), h.watch.stalled), clock.Now(), time.Minute)
 	q.mu.Unlock()
-	first := h.comeBack(f.r)
+	first := h.retryAfter(f.r)
 	require.GreaterOrEqual(t, first, min(predicted, maxRetryAfter(f.r)))
 	recognised := time.Duration((1 - returningShare) * float64(f.r.meta.Wait))
 	require.GreaterOrEqual(t, first, recognised, "late enough to be recognised as returning")
 	require.LessOrEqual(t, first, max(time.Duration((1+retryJitter)*float64(predicted)), recognised))
 	for range 6 {
-		h.comeBack(f.r)
+		h.retryAfter(f.r)
 	}
 	q.mu.Lock()
-	then := q.timeToRoomLocked(q.forecastLocked(clock.Now(), h.watch.still), clock.Now(), time.Minute)
+	then := q.timeToRoomLocked(q.forecastLocked(clock.Now(), h.watch.stalled), clock.Now(), time.Minute)
 	q.mu.Unlock()
 	require.Greater(t, then, predicted+500*time.Millisecond, "callers refused before go first")
 	for range 1000 {
-		require.LessOrEqual(t, h.comeBack(f.r), maxRetryAfter(f.r), "no longer than the caller follows it")
+		require.LessOrEqual(t, h.retryAfter(f.r), maxRetryAfter(f.r), "no longer than the caller follows it")
 	}
 	clock.Advance(20 * time.Second)
 	require.Zero(t, q.dueRetriesLocked(clock.Now(), clock.Now().Add(time.Minute)), "those who should have come are forgotten")
@@ -178,7 +178,7 @@
 // TestReturningCallersGoBeforeNewCallers has refused callers who come back within the time that a new caller would wait.
 func TestReturningCallersGoBeforeNewCallers(t *testing.T) {
 	g := twoCopies()
-	h, clock := testHandler(t, newEngines(g))
+	h, clock := testHandler(t, newFakeEngineClient(g))
 	clock.Advance(time.Minute)
 	q := startStreams(h, 20, 2*time.Second, func(i int) time.Duration { return time.Duration(i) * 100 * time.Millisecond })
 	until := clock.Now().Add(400 * time.Millisecond)
@@ -195,7 +195,7 @@
 // wait for a path.
 func TestReturningCallersMayWaitAsLongAsTheirPatience(t *testing.T) {
 	g := twoCopies()
-	h, _ := testHandler(t, newEngines(g))
+	h, _ := testHandler(t, newFakeEngineClient(g))
 	q := h.queueOf("s")
 	q.firstEvents = *constantSample(80 * time.Millisecond)
 	f := newUnbegun(h, g)
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -78,11 +78,11 @@
 	delete(w.streams, f)
 }
 
-// still reports whether the stream is stalled: without progress for longer than it should be.
-func (w *watcher) still(f *inflight) bool {
+// stalled reports whether the stream is stalled: without progress for longer than it should be.
+func (w *watcher) stalled(f *inflight) bool {
 	limit := max(time.Duration(stallShare*float64(f.r.route.PauseObjective)), minStall)
-	if !f.moved.Load() {
-		limit = firstEventSlack + time.Duration(f.expected.Load())
+	if !f.progressed.Load() {
+		limit = firstEventSlack + time.Duration(f.firstEventDue.Load())
 	}
 	return f.pause(w.handler) > limit
 }
@@ -94,7 +94,7 @@
 	defer w.mu.Unlock()
 	still := map[*backend.Server][]*inflight{}
 	for f := range w.streams {
-		if w.still(f) {
+		if w.stalled(f) {
 			still[f.first] = append(still[f.first], f)
 		}
 	}
@@ -107,7 +107,7 @@
 			continue
 		}
 		w.lastDiagnosed[first] = now
-		go func() { w.look(ctx, first, group, streams) }()
+		go func() { w.diagnose(ctx, first, group, streams) }()
 	}
 	for first, at := range w.lastDiagnosed {
 		if now.Sub(at) > suspectTime {
@@ -116,25 +116,25 @@
 	}
 }
 
-// look queries the servers that may have stalled some streams. The findings are applied to all streams of the service: those
+// diagnose queries the servers that may have stalled some streams. The findings are applied to all streams of the service: those
 // that use a dead server get a new path although they have not been stalled for long themselves.
-func (w *watcher) look(ctx context.Context, first *backend.Server, group *backend.Group, streams []*inflight) {
+func (w *watcher) diagnose(ctx context.Context, first *backend.Server, group *backend.Group, streams []*inflight) {
 	w.handler.stats.Counter("looks_total").Inc(1)
-	found := w.ask(ctx, first, group, w.suspects(streams))
-	for _, s := range found.lost() {
-		w.giveUp(s, group)
+	found := w.queryServers(ctx, first, group, w.suspects(streams))
+	for _, s := range found.deadServers() {
+		w.moveStalledStreams(s, group)
 	}
 	var all sync.WaitGroup
 	for _, f := range w.active() {
 		if !f.uses(first.Service()) {
 			continue
 		}
-		if found.broken(f) || w.still(f) && f.hasLeavingStage() {
+		if found.broken(f) || w.stalled(f) && f.hasLeavingStage() {
 			all.Go(func() { w.repair(ctx, f, group, found) })
 		}
 	}
 	for _, f := range streams {
-		if !found.broken(f) && !first.Crowded(found.now, crowdedAge) && f.beginVerify() {
+		if !found.broken(f) && !first.HasQueue(found.now, crowdedAge) && f.beginVerify() {
 			all.Go(func() { w.verify(ctx, f) })
 		}
 	}
@@ -146,14 +146,14 @@
 // nothing at a server that knows it.
 func (w *watcher) verify(ctx context.Context, f *inflight) {
 	h := w.handler
-	c := f.course()
+	c := f.path()
 	if len(c.servers) == 0 {
 		return
 	}
 	ask, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
 	err := h.caller.Repair(ask, c.servers[0].Addr(), f.r.meta.ID, c.stages())
-	if errors.Is(err, backend.ErrUnknown) {
+	if errors.Is(err, backend.ErrUnknownRequest) {
 		h.stats.Counter("requests_forgotten_total").Inc(1)
 		w.cutStreams(c.servers[0], []*inflight{f})
 	}
@@ -168,17 +168,17 @@
 	lastProgress := map[*backend.Server]int64{}
 	for _, f := range w.active() {
 		at := f.lastAt.Load()
-		if !f.moved.Load() {
+		if !f.progressed.Load() {
 			continue
 		}
-		for _, s := range f.course().servers {
+		for _, s := range f.path().servers {
 			lastProgress[s] = max(lastProgress[s], at)
 		}
 	}
 	out := map[*backend.Server]bool{}
 	limit := int64(w.handler.clock.Since(w.start) - healthyTime)
 	for _, f := range streams {
-		for _, s := range f.course().servers {
+		for _, s := range f.path().servers {
 			if lastProgress[s] < limit {
 				out[s] = true
 			}
@@ -218,11 +218,11 @@
 	return out
 }
 
-// giveUp has the stalled streams of a first server that does not answer resumed elsewhere, if other servers may run them. If
+// moveStalledStreams has the stalled streams of a first server that does not answer resumed elsewhere, if other servers may run them. If
 // nothing listens at its address any more, they are cut at once. A server that is only silent may still make progress with
 // them, so that they stay with it until there is another path.
-func (w *watcher) giveUp(first *backend.Server, group *backend.Group) {
-	streams := slices.DeleteFunc(w.startingAt(first), func(f *inflight) bool { return !w.still(f) || !f.r.route.MayRepeat() })
+func (w *watcher) moveStalledStreams(first *backend.Server, group *backend.Group) {
+	streams := slices.DeleteFunc(w.startingAt(first), func(f *inflight) bool { return !w.stalled(f) || !f.r.route.MayRetry() })
 	if first.Ended() {
 		w.cutStreams(first, streams)
 		return
--- a/forward/watch_test.go
+++ b/forward/watch_test.go
@@ -36,32 +36,32 @@
 // testBook returns a book with the default quarantine terms.
 func testBook() *quarantine.Book {
 	set := config.DefaultHosted().Quarantine
-	return quarantine.NewBook(quarantine.Terms{Ends: set.Ends, EndsOfOne: set.EndsOfOne, Keep: set.Keep, Most: set.Most})
+	return quarantine.NewBook(quarantine.Settings{Ends: set.Ends, EndsOfOne: set.EndsOfOne, Keep: set.Keep, MaxRequests: set.Most})
 }
 
 type oneInstance struct{}
 
 func (oneInstance) Instances() int { return 1 }
 
-// engines is a backend.Caller that stands in for servers, of which some are dead, and records the repairs and queries.
-type engines struct {
+// fakeEngineClient is a backend.Caller that stands in for servers, of which some are dead, and records the repairs and queries.
+type fakeEngineClient struct {
 	mu   sync.Mutex
 	dead map[string]bool
-	// dark lists servers whose calls hang until end is closed, whatever the context says.
-	dark  map[string]bool
-	end   chan struct{}
-	holds map[string]models.Layers
+	// hanging lists servers whose calls hang until end is closed, whatever the context says.
+	hanging map[string]bool
+	end     chan struct{}
+	holds   map[string]models.Layers
 	// reassigned lists servers that refuse to be on a path, although neither entry nor report shows yet that they hold other
 	// layers.
 	reassigned map[string]bool
 	// forgets lists the requests that their first servers accepted and do not know.
 	forgets map[string]bool
 	asked   map[string]int
-	repairs map[string][]call.Part
+	repairs map[string][]call.Stage
 }
 
-func newEngines(g *backend.Group, dead ...int) *engines {
-	e := &engines{dead: map[string]bool{}, holds: map[string]models.Layers{}, asked: map[string]int{}, repairs: map[string][]call.Part{}}
+func newFakeEngineClient(g *backend.Group, dead ...int) *fakeEngineClient {
+	e := &fakeEngineClient{dead: map[string]bool{}, holds: map[string]models.Layers{}, asked: map[string]int{}, repairs: map[string][]call.Stage{}}
 	for _, s := range g.Servers() {
 		e.holds[s.Addr()] = s.Layers()
 	}
@@ -72,31 +72,31 @@
 }
 
 // Report implements backend.Caller.
-func (e *engines) Report(_ context.Context, addr string) (backend.Report, error) {
+func (e *fakeEngineClient) Report(_ context.Context, addr string) (backend.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.asked[addr]++
-	if e.dark[addr] {
+	if e.hanging[addr] {
 		e.mu.Unlock()
 		<-e.end
 		e.mu.Lock()
 		return backend.Report{}, backend.ErrNoAnswer
 	}
 	if e.dead[addr] {
-		return backend.Report{}, backend.NotThere(errors.New("refused"))
+		return backend.Report{}, backend.NotListening(errors.New("refused"))
 	}
 	return backend.Report{Layers: e.holds[addr], Pace: 1}, nil
 }
 
 // Place implements backend.Caller.
-func (*engines) Place(context.Context, string, string, backend.PlaceOrder) error { return nil }
+func (*fakeEngineClient) Place(context.Context, string, string, backend.PlaceOrder) error { return nil }
 
 // Repair implements backend.Caller.
-func (e *engines) Repair(_ context.Context, _, requestID string, path []call.Part) error {
+func (e *fakeEngineClient) Repair(_ context.Context, _, requestID string, path []call.Stage) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.forgets[requestID] {
-		return backend.ErrUnknown
+		return backend.ErrUnknownRequest
 	}
 	for _, p := range path {
 		if e.reassigned[p.Addr] {
@@ -107,18 +107,18 @@
 	return nil
 }
 
-func testHandler(t *testing.T, caller backend.Caller) (*Handler, *clockwork.FakeClock) {
+func testHandler(t *testing.T, caller backend.EngineClient) (*Handler, *clockwork.FakeClock) {
 	fake := clockwork.NewFakeClock()
 	clock, stats := timer.New(fake), metrics.New()
 	log := testlog.New(t)
-	h := New(t.Context(), Terms{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 100}, DrainTime: 3 * time.Second}, follow.NewBoard(), nil, caller, clock, stats,
+	h := New(t.Context(), Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 100}, DrainTime: 3 * time.Second}, follow.NewFleetView(), nil, caller, clock, stats,
 		decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noTeller{})
-	return withRepeatsSaved(h), fake
+	return withFullRetryBudget(h), fake
 }
 
-// withRepeatsSaved returns the handler as that of a process which started long enough ago for its retry budget to be full.
-func withRepeatsSaved(h *Handler) *Handler {
-	limit := h.terms.Load().Repeats
+// withFullRetryBudget returns the handler as that of a process which started long enough ago for its retry budget to be full.
+func withFullRetryBudget(h *Handler) *Handler {
+	limit := h.settings.Load().Repeats
 	h.budget = retry.NewBudget(limit, h.clock.Now().Add(-limit.Window))
 	return h
 }
@@ -138,20 +138,20 @@
 	require.Error(t, ours.SetDeadline(time.Time{}), "the connection to a dead first server is closed")
 }
 
-// flying returns a stream that is under way along a path of a group, and last made progress at the given time after the
+// newActiveStream returns a stream that is under way along a path of a group, and last made progress at the given time after the
 // handler's start.
-func flying(h *Handler, g *backend.Group, id string, lastAt time.Duration, path ...int) *inflight {
+func newActiveStream(h *Handler, g *backend.Group, id string, lastAt time.Duration, path ...int) *inflight {
 	hops := make([]chain.Hop, len(path))
 	for i, n := range path {
 		hops[i] = chain.Hop{Server: n, Layers: g.Servers()[n].Layers()}
 	}
-	route := &catalog.Route{PauseObjective: 200 * time.Millisecond, MaxAttempts: 2, Repeat: catalog.RepeatResume, Timeout: time.Minute}
+	route := &catalog.Route{PauseObjective: 200 * time.Millisecond, MaxAttempts: 2, RetryPolicy: catalog.RetryResume, Timeout: time.Minute}
 	f := &inflight{
 		r: &request{group: g, route: route, meta: call.Meta{ID: id}}, first: g.Servers()[path[0]],
 		need: chain.Need{Prompt: 10, Tokens: 20},
 	}
-	f.attemptStart, f.life = h.clock.Now(), time.Minute
-	f.moved.Store(true)
+	f.attemptStart, f.expectedLifetime = h.clock.Now(), time.Minute
+	f.progressed.Store(true)
 	f.lastAt.Store(int64(lastAt))
 	f.assign(g, hops)
 	h.watch.add(f)
@@ -162,13 +162,13 @@
 // one of them has been stalled for long enough to be diagnosed.
 func TestADeadServerIsReplacedInAllStreamsOnceOneHasFoundIt(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g, 1)
+	e := newFakeEngineClient(g, 1)
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1)
-	flying(h, g, "shorter", 80*time.Millisecond, 2, 1)
+	still := newActiveStream(h, g, "still", 0, 0, 1)
+	newActiveStream(h, g, "shorter", 80*time.Millisecond, 2, 1)
 	clock.Advance(140 * time.Millisecond)
-	flying(h, g, "elsewhere", 80*time.Millisecond, 2, 3)
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	newActiveStream(h, g, "elsewhere", 80*time.Millisecond, 2, 3)
+	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	for _, id := range []string{"still", "shorter"} {
 		require.Len(t, e.repairs[id], 2, id)
 		require.Equal(t, g.Servers()[3].Addr(), e.repairs[id][1].Addr)
@@ -180,12 +180,12 @@
 // progress after that one last did.
 func TestServersOfProgressingStreamsAreNotQueried(t *testing.T) {
 	g := fourStages()
-	e := newEngines(g, 3)
+	e := newFakeEngineClient(g, 3)
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1, 2, 3)
-	flying(h, g, "moving", 110*time.Millisecond, 1, 2)
+	still := newActiveStream(h, g, "still", 0, 0, 1, 2, 3)
+	newActiveStream(h, g, "moving", 110*time.Millisecond, 1, 2)
 	clock.Advance(140 * time.Millisecond)
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	require.Zero(t, e.asked[g.Servers()[1].Addr()])
 	require.Zero(t, e.asked[g.Servers()[2].Addr()])
 	require.NotZero(t, e.asked[g.Servers()[3].Addr()])
@@ -196,14 +196,14 @@
 // second one die.
 func TestAStreamIsRepairedAfterItsFirstServerLostItsEntry(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g, 1)
+	e := newFakeEngineClient(g, 1)
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1)
+	still := newActiveStream(h, g, "still", 0, 0, 1)
 	clock.Advance(140 * time.Millisecond)
 	first := g.Servers()[0]
 	first.Remove()
 	now := backend.NewGroup(g.Service(), g.Servers()[1:])
-	h.watch.look(t.Context(), first, now, []*inflight{still})
+	h.watch.diagnose(t.Context(), first, now, []*inflight{still})
 	require.Len(t, e.repairs["still"], 2)
 	require.Equal(t, first.Addr(), e.repairs["still"][0].Addr)
 	require.Equal(t, g.Servers()[3].Addr(), e.repairs["still"][1].Addr)
@@ -222,12 +222,12 @@
 		}))
 	}
 	g := backend.NewGroup(service, servers)
-	e := newEngines(g, 2)
+	e := newFakeEngineClient(g, 2)
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1, 2)
+	still := newActiveStream(h, g, "still", 0, 0, 1, 2)
 	clock.Advance(140 * time.Millisecond)
-	leave(servers[1])
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	announceLeaving(servers[1])
+	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	require.Len(t, e.repairs["still"], 3)
 	require.Equal(t, servers[3].Addr(), e.repairs["still"][1].Addr)
 	require.Equal(t, servers[4].Addr(), e.repairs["still"][2].Addr)
@@ -250,15 +250,15 @@
 // moment before the first diagnosis.
 func TestAServerThatDiedJustAfterProgressIsFoundByTheNextDiagnosis(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g, 1)
+	e := newFakeEngineClient(g, 1)
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1)
-	flying(h, g, "last", 130*time.Millisecond, 2, 1)
+	still := newActiveStream(h, g, "still", 0, 0, 1)
+	newActiveStream(h, g, "last", 130*time.Millisecond, 2, 1)
 	clock.Advance(140 * time.Millisecond)
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	require.Empty(t, e.repairs, "the dead server looks healthy")
 	clock.Advance(diagnosePeriod)
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	require.Len(t, e.repairs, 2)
 }
 
@@ -266,19 +266,19 @@
 // cannot open a connection.
 func TestADiagnosisDoesNotWaitForAHangingCall(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g)
-	e.dark, e.end = map[string]bool{g.Servers()[1].Addr(): true}, make(chan struct{})
+	e := newFakeEngineClient(g)
+	e.hanging, e.end = map[string]bool{g.Servers()[1].Addr(): true}, make(chan struct{})
 	t.Cleanup(func() { close(e.end) })
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1)
+	still := newActiveStream(h, g, "still", 0, 0, 1)
 	clock.Advance(140 * time.Millisecond)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		h.watch.look(t.Context(), still.first, g, []*inflight{still})
+		h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	}()
 	require.Eventually(t, func() bool {
-		clock.Advance(secondQuestion)
+		clock.Advance(secondQueryDelay)
 		select {
 		case <-done:
 			return true
@@ -293,14 +293,14 @@
 // queried.
 func TestAServerIsReplacedOnceItsEntryNamesOtherLayers(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g)
+	e := newFakeEngineClient(g)
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1)
+	still := newActiveStream(h, g, "still", 0, 0, 1)
 	clock.Advance(140 * time.Millisecond)
 	moved := g.Servers()[1]
-	moved.MayAsk(clock.Now())
+	moved.TryQuery(clock.Now())
 	moved.Update(backend.Entry{Layers: models.Layers{First: 0, End: 4}})
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	require.Zero(t, e.asked[moved.Addr()])
 	require.Len(t, e.repairs["still"], 2)
 }
@@ -309,19 +309,19 @@
 // report does not yet.
 func TestAReportOlderThanTheEntryIsIgnored(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g)
+	e := newFakeEngineClient(g)
 	loaded := g.Servers()[1]
 	e.holds[loaded.Addr()] = models.Layers{}
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1)
+	still := newActiveStream(h, g, "still", 0, 0, 1)
 	clock.Advance(140 * time.Millisecond)
 	loaded.NoteLayers(clock.Now())
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	require.NotZero(t, e.asked[loaded.Addr()])
 	require.Empty(t, e.repairs)
 	require.True(t, loaded.Usable(clock.Now()))
 	clock.Advance(time.Second)
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	require.Len(t, e.repairs["still"], 2, "a report of a second later is newer than the entry")
 }
 
@@ -329,13 +329,13 @@
 // stalled.
 func TestProgressingStreamsStayOnAServerWithoutAnEntry(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g)
+	e := newFakeEngineClient(g)
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1)
-	flying(h, g, "moving", 130*time.Millisecond, 2, 1)
+	still := newActiveStream(h, g, "still", 0, 0, 1)
+	newActiveStream(h, g, "moving", 130*time.Millisecond, 2, 1)
 	clock.Advance(140 * time.Millisecond)
 	g.Servers()[1].Remove()
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	require.Len(t, e.repairs["still"], 2)
 	require.NotContains(t, e.repairs, "moving", "it is evacuated later")
 }
@@ -353,12 +353,12 @@
 		}))
 	}
 	g = backend.NewGroup(service, servers)
-	e := newEngines(g, 2)
+	e := newFakeEngineClient(g, 2)
 	e.reassigned = map[string]bool{servers[1].Addr(): true}
 	h, clock := testHandler(t, e)
-	still := flying(h, g, "still", 0, 0, 1, 2)
+	still := newActiveStream(h, g, "still", 0, 0, 1, 2)
 	clock.Advance(140 * time.Millisecond)
-	h.watch.look(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
 	require.Len(t, e.repairs["still"], 3)
 	require.NotEqual(t, servers[1].Addr(), e.repairs["still"][1].Addr)
 	require.Equal(t, servers[4].Addr(), e.repairs["still"][2].Addr)
@@ -368,21 +368,21 @@
 // them.
 func TestAStreamForgottenByItsServerIsResumedElsewhere(t *testing.T) {
 	g := twoCopies()
-	e := newEngines(g)
+	e := newFakeEngineClient(g)
 	e.forgets = map[string]bool{"forgotten": true}
 	h, clock := testHandler(t, e)
 	conns := map[string]net.Conn{}
 	var streams []*inflight
 	for _, id := range []string{"forgotten", "queued"} {
-		f := flying(h, g, id, 0, 0, 1)
-		f.moved.Store(false)
+		f := newActiveStream(h, g, id, 0, 0, 1)
+		f.progressed.Store(false)
 		ours, theirs := net.Pipe()
 		t.Cleanup(func() { _ = theirs.Close() })
 		f.conn, conns[id] = &backend.Conn{Conn: ours}, ours
 		streams = append(streams, f)
 	}
 	clock.Advance(time.Second)
-	h.watch.look(t.Context(), g.Servers()[0], g, streams)
+	h.watch.diagnose(t.Context(), g.Servers()[0], g, streams)
 	require.Error(t, conns["forgotten"].SetDeadline(time.Time{}), "its connection is closed, so that it is resumed elsewhere")
 	require.NoError(t, conns["queued"].SetDeadline(time.Time{}))
 }
--- a/front/conn.go
+++ b/front/conn.go
@@ -160,7 +160,7 @@
 	}
 	// If the machine was suspended, what the instance knows is older than the clock says until the suspension is detected, and this
 	// request may come before the periodic check.
-	if _, err := c.server.clock.Look(); err != nil {
+	if _, err := c.server.clock.CheckSuspension(); err != nil {
 		c.server.stats.Counter("clock_failures_total").Inc(1)
 	}
 	x.arrived = c.server.clock.Now()
--- a/front/server.go
+++ b/front/server.go
@@ -49,7 +49,7 @@
 
 // deadlineIn returns the deadline that is limit from now, in the monotonic time that connections use for deadlines.
 func (s *Server) deadlineIn(limit time.Duration) time.Time {
-	return s.clock.Steady(s.clock.Now().Add(limit))
+	return s.clock.MonotonicTime(s.clock.Now().Add(limit))
 }
 
 // Listen starts to accept connections on an IPv4 address and port.
--- a/gossip/table.go
+++ b/gossip/table.go
@@ -13,26 +13,26 @@
 	Body    []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// Known is how far the entries of an origin, the instance that published them, are known: up to a version of an incarnation.
+// Progress is how far the entries of an origin, the instance that published them, are known: up to a version of an incarnation.
 // An instance has a new incarnation after each start.
-type Known struct {
+type Progress struct {
 	Incarnation uint64 `cbor:"1,keyasint"`
 	Version     uint64 `cbor:"2,keyasint"`
 }
 
 // Digest tells for each origin, by name, how far its entries are known.
-type Digest map[string]Known
+type Digest map[string]Progress
 
 // Update carries the entries of one origin that the receiver lacks.
 type Update struct {
-	Origin  string  `cbor:"1,keyasint"`
-	Known   Known   `cbor:"2,keyasint"`
-	Entries []Entry `cbor:"3,keyasint,omitempty"`
+	Origin   string   `cbor:"1,keyasint"`
+	Progress Progress `cbor:"2,keyasint"`
+	Entries  []Entry  `cbor:"3,keyasint,omitempty"`
 }
 
 // originState is what the table holds of one origin.
 type originState struct {
-	progress Known
+	progress Progress
 	entries  map[string]Entry
 	// updatedAt is when the last update of the origin, or this instance's last heartbeat, was applied.
 	updatedAt time.Time
@@ -47,7 +47,7 @@
 // New returns a Table for the instance with the given name; incarnation must grow with each start of the instance.
 func New(self string, incarnation uint64, now time.Time) *Table {
 	t := &Table{self: self, states: map[string]*originState{}}
-	t.states[self] = &originState{progress: Known{Incarnation: incarnation}, entries: map[string]Entry{}, updatedAt: now}
+	t.states[self] = &originState{progress: Progress{Incarnation: incarnation}, entries: map[string]Entry{}, updatedAt: now}
 	return t
 }
 
@@ -61,8 +61,8 @@
 	own.entries[key] = Entry{Key: key, Version: own.progress.Version, Body: body}
 }
 
-// Beat is the heartbeat of this instance: it advances its version, so that the others see that it is alive.
-func (t *Table) Beat(now time.Time) {
+// Heartbeat is the heartbeat of this instance: it advances its version, so that the others see that it is alive.
+func (t *Table) Heartbeat(now time.Time) {
 	own := t.states[t.self]
 	own.progress.Version++
 	own.updatedAt = now
@@ -85,7 +85,7 @@
 		if !newer(o.progress, progress) {
 			continue
 		}
-		u := Update{Origin: name, Known: o.progress}
+		u := Update{Origin: name, Progress: o.progress}
 		for _, e := range o.entries {
 			if progress.Incarnation != o.progress.Incarnation || e.Version > progress.Version {
 				u.Entries = append(u.Entries, e)
@@ -97,7 +97,7 @@
 }
 
 // newer reports whether a is ahead of b.
-func newer(a, b Known) bool {
+func newer(a, b Progress) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
@@ -112,16 +112,16 @@
 			continue
 		}
 		o := t.states[u.Origin]
-		if o != nil && !newer(u.Known, o.progress) {
+		if o != nil && !newer(u.Progress, o.progress) {
 			continue
 		}
-		if o == nil || o.progress.Incarnation != u.Known.Incarnation {
+		if o == nil || o.progress.Incarnation != u.Progress.Incarnation {
 			o = &originState{entries: map[string]Entry{}}
 			t.states[u.Origin] = o
 			changed = true
 		}
 		o.updatedAt = now
-		o.progress = u.Known
+		o.progress = u.Progress
 		for _, e := range u.Entries {
 			if e.Version > o.entries[e.Key].Version {
 				o.entries[e.Key] = e
@@ -145,9 +145,9 @@
 type Origin struct {
 	Name        string
 	Incarnation uint64
-	// Silent is the time since the last update; it is 0 for this instance itself.
-	Silent  time.Duration
-	entries map[string]Entry
+	// SinceUpdate is the time since the last update; it is 0 for this instance itself.
+	SinceUpdate time.Duration
+	entries     map[string]Entry
 }
 
 // Entry returns the entry with the given key and whether there is one.
@@ -171,7 +171,7 @@
 		if name == t.self {
 			silent = 0
 		}
-		out = append(out, Origin{Name: name, Incarnation: o.progress.Incarnation, Silent: silent, entries: o.entries})
+		out = append(out, Origin{Name: name, Incarnation: o.progress.Incarnation, SinceUpdate: silent, entries: o.entries})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
--- a/gossip/table_test.go
+++ b/gossip/table_test.go
@@ -48,7 +48,7 @@
 				truth[a][key] = fmt.Sprint(step)
 				tables[a].Set(key, []byte(truth[a][key]))
 			case 4:
-				tables[a].Beat(now)
+				tables[a].Heartbeat(now)
 			default:
 				exchange(a, b)
 			}
--- a/intent/document.go
+++ b/intent/document.go
@@ -64,8 +64,8 @@
 	Layers models.Layers `json:"layers" yaml:"-"`
 }
 
-// Call marks the calls of a plain service whose method and path prefix match.
-type Call struct {
+// CallRule marks the calls of a plain service whose method and path prefix match.
+type CallRule struct {
 	Method     string `json:"method" yaml:"method" validate:"oneof=GET POST PUT PATCH DELETE"`
 	Path       string `json:"path" yaml:"path" validate:"required"`
 	Repeatable bool   `json:"repeatable" yaml:"repeatable"`
@@ -73,9 +73,9 @@
 
 // Service is one plain service; a call that no entry of Calls matches is not repeatable.
 type Service struct {
-	Name  string   `json:"name" yaml:"name" validate:"required"`
-	Addrs []string `json:"addrs" yaml:"addrs" validate:"min=1,dive,ipport"`
-	Calls []Call   `json:"calls" yaml:"calls" validate:"dive"`
+	Name  string     `json:"name" yaml:"name" validate:"required"`
+	Addrs []string   `json:"addrs" yaml:"addrs" validate:"min=1,dive,ipport"`
+	Calls []CallRule `json:"calls" yaml:"calls" validate:"dive"`
 }
 
 // Document is the whole configuration that operators agree on.
--- a/keys/ring.go
+++ b/keys/ring.go
@@ -20,9 +20,9 @@
 	Key         string
 }
 
-// Ring holds the certificate of this process and that of its authority, and loads the files again when the certificate file
+// CertReloader holds the certificate of this process and that of its authority, and loads the files again when the certificate file
 // has changed. It implements link.Trust. It is safe for concurrent use.
-type Ring struct {
+type CertReloader struct {
 	files Files
 
 	mu    sync.Mutex
@@ -34,16 +34,16 @@
 	modTime time.Time
 }
 
-// NewRing loads the files; the error names the file that is missing or invalid.
-func NewRing(files Files) (*Ring, error) {
-	r := &Ring{files: files}
+// NewCertReloader loads the files; the error names the file that is missing or invalid.
+func NewCertReloader(files Files) (*CertReloader, error) {
+	r := &CertReloader{files: files}
 	if err := r.load(); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-func (r *Ring) load() error {
+func (r *CertReloader) load() error {
 	cert, err := tls.LoadX509KeyPair(r.files.Certificate, r.files.Key)
 	if err != nil {
 		return errors.Wrapf(err, "keys: certificate %s", r.files.Certificate)
@@ -61,7 +61,7 @@
 }
 
 // certificateModTime returns the modification time of the certificate file, or the zero time if that cannot be read.
-func (r *Ring) certificateModTime() time.Time {
+func (r *CertReloader) certificateModTime() time.Time {
 	info, err := os.Stat(r.files.Certificate)
 	if err != nil {
 		return time.Time{}
@@ -71,7 +71,7 @@
 
 // current returns the certificate and the authority, loaded again if the certificate file has changed. If loading fails, the
 // former ones stay in use.
-func (r *Ring) current() (*tls.Certificate, *x509.CertPool) {
+func (r *CertReloader) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Since(r.checkedAt) > checkInterval {
@@ -84,7 +84,7 @@
 }
 
 // Server returns the TLS configuration of a listener that requires a client certificate of the same authority.
-func (r *Ring) Server(protocols ...string) *tls.Config {
+func (r *CertReloader) Server(protocols ...string) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: protocols}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		cert, roots := r.current()
@@ -98,7 +98,7 @@
 
 // Client returns the TLS configuration for connections to peers that have a certificate of the same authority, whatever their
 // address.
-func (r *Ring) Client(protocols ...string) *tls.Config {
+func (r *CertReloader) Client(protocols ...string) *tls.Config {
 	cert, roots := r.current()
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, NextProtos: protocols, Certificates: []tls.Certificate{*cert},
@@ -119,7 +119,7 @@
 }
 
 // Callers returns the TLS configuration of a listener for callers, who need no client certificate.
-func (r *Ring) Callers() *tls.Config {
+func (r *CertReloader) Callers() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
--- a/kv/client.go
+++ b/kv/client.go
@@ -66,7 +66,7 @@
 	}
 	record, err := decodeRecord(body)
 	if err != nil {
-		return 0, errors.Wrap(ErrUnsure, err.Error())
+		return 0, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	return record.Revision, nil
 }
@@ -114,7 +114,7 @@
 	if once.NeverSent(err) {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
-	return errors.Wrap(ErrUnsure, err.Error())
+	return errors.Wrap(ErrOutcomeUnknown, err.Error())
 }
 
 func (c *Client) responseBody(resp *fasthttp.Response) ([]byte, error) {
@@ -128,13 +128,13 @@
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
 		return nil, errors.Wrapf(ErrUnavailable, "status %d", code)
 	default:
-		return nil, errors.Wrapf(ErrUnsure, "status %d", code)
+		return nil, errors.Wrapf(ErrOutcomeUnknown, "status %d", code)
 	}
 }
 
 // readError turns ErrUnsure into ErrUnavailable for reads, which have no side effects.
 func readError(err error) error {
-	if errors.Is(err, ErrUnsure) {
+	if errors.Is(err, ErrOutcomeUnknown) {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return err
--- a/kv/store.go
+++ b/kv/store.go
@@ -27,8 +27,8 @@
 	ErrConflict = errors.New("kv: revision conflict")
 	// ErrUnavailable means that the service did not accept the call; nothing took effect.
 	ErrUnavailable = errors.New("kv: service unavailable")
-	// ErrUnsure means that the call may have taken effect, since its answer was lost or not understood.
-	ErrUnsure = errors.New("kv: outcome unsure")
+	// ErrOutcomeUnknown means that the call may have taken effect, since its answer was lost or not understood.
+	ErrOutcomeUnknown = errors.New("kv: outcome unsure")
 )
 
 // Put describes one conditional write.
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -43,8 +43,8 @@
 	maxColdQuietWait = 4 * time.Second
 )
 
-// Place describes where the instance gets its feed updates from.
-type Place interface {
+// Upstream describes where the instance gets its feed updates from.
+type Upstream interface {
 	// Direct reports whether the instance follows the platform's store itself. Only such instances compete for leadership:
 	// they learn of changes first, and each waiting call costs the store resources.
 	Direct() bool
@@ -52,11 +52,11 @@
 
 // Leader competes for leadership of the fleet and gives orders to servers while it has it.
 type Leader struct {
-	lock     Claim
-	upstream Place
+	lock     Lock
+	upstream Upstream
 	holder   string
-	fleet    *follow.Board
-	caller   backend.Caller
+	fleet    *follow.FleetView
+	caller   backend.EngineClient
 	clock    *timer.Service
 	stats    *metrics.Registry
 	log      *logrus.Logger
@@ -70,7 +70,7 @@
 // New returns a Leader and starts it; it runs until ctx ends or Stop is called. Holder identifies this run of the instance
 // in the lock.
 func New(
-	ctx context.Context, lock Claim, upstream Place, holder string, fleet *follow.Board, caller backend.Caller, clock *timer.Service,
+	ctx context.Context, lock Lock, upstream Upstream, holder string, fleet *follow.FleetView, caller backend.EngineClient, clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
 ) *Leader {
 	g := &Leader{
@@ -168,7 +168,7 @@
 	switch {
 	case err == nil:
 		g.lease.renewed(sentAt)
-	case errors.Is(err, ErrOver):
+	case errors.Is(err, ErrLeaseEnded):
 		g.lease.drop()
 	default:
 		g.log.WithError(err).Warn("right to give orders not renewed")
--- a/leader/lease.go
+++ b/leader/lease.go
@@ -13,8 +13,8 @@
 var (
 	// ErrTaken means that another instance holds the leader lock.
 	ErrTaken = errors.New("leader: lock is held by another instance")
-	// ErrOver means that the lease of the lock has ended.
-	ErrOver = errors.New("leader: lease of the lock has ended")
+	// ErrLeaseEnded means that the lease of the lock has ended.
+	ErrLeaseEnded = errors.New("leader: lease of the lock has ended")
 	// ErrUnavailable means that the store did not answer or rejected the call.
 	ErrUnavailable = errors.New("leader: store is unavailable")
 )
@@ -25,9 +25,9 @@
 	TTL   time.Duration
 }
 
-// Claim is the leader lock in the platform's store: the right to give orders to servers, held by one instance at a time
+// Lock is the leader lock in the platform's store: the right to give orders to servers, held by one instance at a time
 // under a lease.
-type Claim interface {
+type Lock interface {
 	// Await returns true as soon as the lock is free, and false when wait has passed; it returns ErrUnavailable.
 	Await(ctx context.Context, wait time.Duration) (bool, error)
 	// Take acquires the lock for holder; it returns ErrTaken or ErrUnavailable.
--- a/leader/term_test.go
+++ b/leader/term_test.go
@@ -52,7 +52,7 @@
 }
 
 // Repair implements backend.Caller.
-func (*fakeServers) Repair(context.Context, string, string, []call.Part) error { return nil }
+func (*fakeServers) Repair(context.Context, string, string, []call.Stage) error { return nil }
 
 func engine() *catalog.Engine {
 	return &catalog.Engine{
@@ -81,7 +81,7 @@
 	})
 }
 
-func newTestTerm(t *testing.T, caller backend.Caller) (*term, *clockwork.FakeClock) {
+func newTestTerm(t *testing.T, caller backend.EngineClient) (*term, *clockwork.FakeClock) {
 	fake := clockwork.NewFakeClock()
 	log := testlog.New(t)
 	return newTerm(&Leader{caller: caller, clock: timer.New(fake), stats: metrics.New(), log: log}), fake
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -22,11 +22,11 @@
 const testTimeout = 15 * time.Second
 
 // newRing returns the keys of an identity with a certificate of the authority a.
-func newRing(t *testing.T, a *keys.Authority, role keys.Role, name string) *keys.Ring {
+func newRing(t *testing.T, a *keys.Authority, role keys.Role, name string) *keys.CertReloader {
 	dir := t.TempDir()
 	require.NoError(t, a.Write(dir))
 	require.NoError(t, a.Issue(dir, keys.NewIdentity(role, "east", name), time.Now()))
-	r, err := keys.NewRing(keys.Files{
+	r, err := keys.NewCertReloader(keys.Files{
 		Authority: filepath.Join(dir, keys.FileAuthority), Certificate: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+"-key.pem"),
 	})
 	require.NoError(t, err)
@@ -40,7 +40,7 @@
 }
 
 // startServer starts a server with a handler for KindHead and returns its address.
-func startServer(t *testing.T, r *keys.Ring) string {
+func startServer(t *testing.T, r *keys.CertReloader) string {
 	addrs, err := ports.Free(1)
 	require.NoError(t, err)
 	mux := link.NewMux()
@@ -59,7 +59,7 @@
 }
 
 // call makes one call over a new connection.
-func call(t *testing.T, addr string, r *keys.Ring, kind link.Kind, q string) (string, error) {
+func call(t *testing.T, addr string, r *keys.CertReloader, kind link.Kind, q string) (string, error) {
 	c := link.NewClient(r, metrics.New())
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
--- a/link/wire.go
+++ b/link/wire.go
@@ -44,12 +44,12 @@
 	KindStatus
 	// KindClaim decides a claim at the instance that owns its partition.
 	KindClaim
-	// KindNews returns the head of the configuration in force if it is newer than the caller's.
-	KindNews
-	// KindFollow polls for updates of a feed.
-	KindFollow
-	// KindRoll returns the registration records of the instances.
-	KindRoll
+	// KindNewerHead returns the head of the configuration in force if it is newer than the caller's.
+	KindNewerHead
+	// KindPoll polls for updates of a feed.
+	KindPoll
+	// KindRecords returns the registration records of the instances.
+	KindRecords
 )
 
 // Errors of calls.
--- a/models/fate.go
+++ b/models/fate.go
@@ -71,12 +71,12 @@
 	ReasonNoServer Reason = "no_server"
 	// ReasonNoRoom means that no path has enough free memory for the stream.
 	ReasonNoRoom Reason = "no_room"
-	// ReasonBroken means that a stream broke off after its caller had received a part of it.
-	ReasonBroken Reason = "broken"
-	// ReasonAttempts means that the request has used up the attempts that its route allows.
-	ReasonAttempts Reason = "attempts_used_up"
-	// ReasonNoBudget means that the service's retry budget is used up.
-	ReasonNoBudget Reason = "repeat_budget_spent"
+	// ReasonStreamBroken means that a stream broke off after its caller had received a part of it.
+	ReasonStreamBroken Reason = "broken"
+	// ReasonAttemptsUsedUp means that the request has used up the attempts that its route allows.
+	ReasonAttemptsUsedUp Reason = "attempts_used_up"
+	// ReasonRetryBudgetSpent means that the service's retry budget is used up.
+	ReasonRetryBudgetSpent Reason = "repeat_budget_spent"
 	// ReasonQuarantined means that the request is quarantined, since backend servers terminated while they ran it.
 	ReasonQuarantined Reason = "quarantined"
 )
--- a/once/keepalive.go
+++ b/once/keepalive.go
@@ -17,10 +17,10 @@
 	keepAliveProbes = 2
 )
 
-// AliveDialer returns a dialer whose connections are closed when sent data or keep-alive probes remain unacknowledged for
+// KeepAliveDialer returns a dialer whose connections are closed when sent data or keep-alive probes remain unacknowledged for
 // userTimeout (TCP_USER_TIMEOUT). This detects that the other end has vanished without a reset. dialTimeout bounds the opening
 // of a connection.
-func AliveDialer(dialTimeout, userTimeout time.Duration) *net.Dialer {
+func KeepAliveDialer(dialTimeout, userTimeout time.Duration) *net.Dialer {
 	control := func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
 		err := raw.Control(func(fd uintptr) {
--- a/operator/client.go
+++ b/operator/client.go
@@ -23,7 +23,7 @@
 }
 
 // NewClient returns a Client of the instance at addr that shows the ring's certificate.
-func NewClient(addr string, ring *keys.Ring) *Client {
+func NewClient(addr string, ring *keys.CertReloader) *Client {
 	return &Client{base: "https://" + addr, http: &fasthttp.Client{
 		TLSConfig: ring.Client(), MaxIdemponentCallAttempts: 1, MaxResponseBodySize: 64 << 20,
 	}}
--- a/operator/failure.go
+++ b/operator/failure.go
@@ -41,7 +41,7 @@
 		return fasthttp.StatusUnprocessableEntity, Failure{Message: err.Error(), Settled: true, Problems: rejected.problems}
 	case errors.Is(err, revision.ErrNoPlan), errors.Is(err, revision.ErrNoIntent):
 		return fasthttp.StatusNotFound, Failure{Message: err.Error(), Settled: true}
-	case errors.Is(err, revision.ErrUnsure):
+	case errors.Is(err, revision.ErrOutcomeUnknown):
 		return fasthttp.StatusGatewayTimeout, Failure{Message: err.Error(), Settled: false}
 	case errors.Is(err, revision.ErrUnavailable):
 		return fasthttp.StatusServiceUnavailable, Failure{Message: err.Error(), Settled: true}
--- a/order/leader.go
+++ b/order/leader.go
@@ -43,7 +43,7 @@
 type Leader struct {
 	fleet  Fleet
 	lease  *Lease
-	caller *engine.Caller
+	caller *engine.Client
 	clock  *timer.Service
 	stats  *metrics.Registry
 	log    *logrus.Logger
@@ -53,7 +53,7 @@
 }
 
 // New returns a Leader and starts it; it runs Step every Period until ctx ends.
-func New(ctx context.Context, fleet Fleet, lease *Lease, caller *engine.Caller, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger) *Leader {
+func New(ctx context.Context, fleet Fleet, lease *Lease, caller *engine.Client, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger) *Leader {
 	l := &Leader{
 		fleet: fleet, lease: lease, caller: caller, clock: clock, stats: stats, log: log,
 		moving: map[string]time.Time{},
--- a/order/lease.go
+++ b/order/lease.go
@@ -67,7 +67,7 @@
 	case err == nil:
 		l.recordWrite(revision, expect, before)
 		return nil
-	case errors.Is(err, kv.ErrConflict), errors.Is(err, kv.ErrUnsure):
+	case errors.Is(err, kv.ErrConflict), errors.Is(err, kv.ErrOutcomeUnknown):
 		return l.readBack(ctx, before)
 	default:
 		return err
--- a/pipeline/runner.go
+++ b/pipeline/runner.go
@@ -37,8 +37,8 @@
 	Account string
 	Model   string
 	Prompt  string
-	// Limit is the maximum length of the answer in tokens.
-	Limit int
+	// MaxTokens is the maximum length of the answer in tokens.
+	MaxTokens int
 	// Priority is passed to the engines with each frame; they run higher priorities first.
 	Priority int
 	// Graph returns the graph of the model's servers that are known at the time of the call.
@@ -159,7 +159,7 @@
 	if err := emit(token); err != nil {
 		return false, &emitError{cause: err}
 	}
-	if result.End || e.produced >= e.request.Limit {
+	if result.End || e.produced >= e.request.MaxTokens {
 		e.fire("last")
 		return true, nil
 	}
--- a/pipeline/runner_test.go
+++ b/pipeline/runner_test.go
@@ -60,7 +60,7 @@
 	go func() { _ = s.http.Serve(listener) }()
 	t.Cleanup(func() { _ = s.http.Shutdown() })
 	// Shutdown has no effect on a server that does not serve yet: it would start to serve afterwards.
-	_, err = engine.NewCaller().Report(s.addr, 5*time.Second)
+	_, err = engine.NewClient().Report(s.addr, 5*time.Second)
 	require.NoError(t, err)
 	return s
 }
@@ -125,7 +125,7 @@
 func newTestbed(t testing.TB) *testbed {
 	b := &testbed{stats: metrics.New()}
 	clock := timer.NewReal()
-	p := pool.New(engine.NewCaller(), clock, b.stats)
+	p := pool.New(engine.NewClient(), clock, b.stats)
 	var nodes []route.Node
 	for i, r := range []models.Layers{{First: 0, End: 4}, {First: 4, End: 8}, {First: 0, End: 4}, {First: 4, End: 8}} {
 		s := startServer(t, r)
@@ -142,7 +142,7 @@
 // run returns the text of the answer.
 func (b *testbed) run(id, prompt string, limit int) (string, error) {
 	var text strings.Builder
-	q := &pipeline.Request{ID: id, Model: modelName, Prompt: prompt, Limit: limit, Graph: func() *route.Graph { return b.graph }}
+	q := &pipeline.Request{ID: id, Model: modelName, Prompt: prompt, MaxTokens: limit, Graph: func() *route.Graph { return b.graph }}
 	err := b.runner.Run(context.Background(), q, func(t pipeline.Token) error {
 		text.WriteString(t.Piece)
 		return nil
@@ -194,7 +194,7 @@
 		b.servers[3].refuses.Store(refuses)
 	}
 	var text strings.Builder
-	q := &pipeline.Request{ID: "r", Model: modelName, Prompt: "hello there", Limit: 10, Graph: func() *route.Graph { return b.graph }}
+	q := &pipeline.Request{ID: "r", Model: modelName, Prompt: "hello there", MaxTokens: 10, Graph: func() *route.Graph { return b.graph }}
 	err := b.runner.Run(t.Context(), q, func(token pipeline.Token) error {
 		if text.Len() == 0 {
 			refuse(true)
@@ -250,7 +250,7 @@
 
 func TestADisconnectedCallerEndsTheRunAndFreesTheServers(t *testing.T) {
 	b := newTestbed(t)
-	q := &pipeline.Request{ID: "r", Model: modelName, Prompt: "x", Limit: 50, Graph: func() *route.Graph { return b.graph }}
+	q := &pipeline.Request{ID: "r", Model: modelName, Prompt: "x", MaxTokens: 50, Graph: func() *route.Graph { return b.graph }}
 	err := b.runner.Run(t.Context(), q, func(pipeline.Token) error { return errors.New("gone") })
 	var f *pipeline.Failure
 	require.True(t, errors.As(err, &f))
--- a/plan/compare.go
+++ b/plan/compare.go
@@ -11,7 +11,7 @@
 func Compare(before, after *intent.Document) []string {
 	var out []string
 	for _, m := range after.Models {
-		rateBefore, rateAfter := Bound(before, m.Name), Bound(after, m.Name)
+		rateBefore, rateAfter := ThroughputBound(before, m.Name), ThroughputBound(after, m.Name)
 		if rateBefore != rateAfter {
 			out = append(out, fmt.Sprintf("model %s: bound %.0f -> %.0f tokens a second", m.Name, rateBefore, rateAfter))
 		}
--- a/plan/rate.go
+++ b/plan/rate.go
@@ -15,9 +15,9 @@
 	return float64(layers) * (k.LayerMicros + k.SequenceMicros*float64(sequences))
 }
 
-// Bound returns the tokens a second that the placed backend servers could deliver for one model if work could be split
+// ThroughputBound returns the tokens a second that the placed backend servers could deliver for one model if work could be split
 // among them without loss: the sum of their layer rates divided by the number of layers. It is 0 for an unknown model.
-func Bound(d *intent.Document, model string) float64 {
+func ThroughputBound(d *intent.Document, model string) float64 {
 	m := d.Model(model)
 	if m == nil {
 		return 0
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -31,7 +31,7 @@
 
 // Pool holds the servers by index; an index is never reused for another server.
 type Pool struct {
-	client *engine.Caller
+	client *engine.Client
 	clock  *timer.Service
 	stats  *metrics.Registry
 	list   atomic.Pointer[[]*Server]
@@ -43,7 +43,7 @@
 }
 
 // New returns an empty Pool and starts the checks for stalled servers.
-func New(client *engine.Caller, clock *timer.Service, stats *metrics.Registry) *Pool {
+func New(client *engine.Client, clock *timer.Service, stats *metrics.Registry) *Pool {
 	p := &Pool{client: client, clock: clock, stats: stats, byName: map[string]int{}, busy: make(chan struct{}, 1)}
 	p.list.Store(&[]*Server{})
 	go func() { p.watchProgress() }()
@@ -100,7 +100,7 @@
 func (p *Pool) Server(i int) *Server { return (*p.list.Load())[i] }
 
 // Client returns the client for single calls to servers.
-func (p *Pool) Client() *engine.Caller { return p.client }
+func (p *Pool) Client() *engine.Client { return p.client }
 
 // Avoid lists the servers, by index, that the next attempt at a request should not use because they failed an earlier attempt.
 type Avoid struct {
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -23,7 +23,7 @@
 // attempts could go to the one that cannot answer.
 func TestAServerThatGaveNoAnswerIsTheLastToBeTriedAgain(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	p := pool.New(engine.NewCaller(), timer.New(clock), metrics.New())
+	p := pool.New(engine.NewClient(), timer.New(clock), metrics.New())
 	var nodes []route.Node
 	for _, name := range []string{"ended", "busy"} {
 		nodes = append(nodes, route.Node{Server: p.Ensure(pool.Spec{Name: name, Addr: name}), Layers: models.Layers{End: 4}, Weight: 1})
@@ -45,7 +45,7 @@
 		require.Equal(t, nodes[1].Server, path[0].Server, "the server that answers")
 		p.Server(path[0].Server).EndAttempt()
 	}
-	p.Server(nodes[1].Server).Bar(true)
+	p.Server(nodes[1].Server).SetExcluded(true)
 	path, ok := p.Choose(g, avoid)
 	require.True(t, ok, "the server without an answer is tried before the request is refused")
 	require.Equal(t, nodes[0].Server, path[0].Server)
--- a/pool/server.go
+++ b/pool/server.go
@@ -24,7 +24,7 @@
 	assigned atomic.Int64
 
 	mu      sync.Mutex
-	circuit retry.Guard
+	circuit retry.SyncCircuit
 }
 
 // Name returns the server's name.
@@ -51,8 +51,8 @@
 	return g
 }
 
-// Bar excludes the server from new work or admits it again.
-func (s *Server) Bar(excluded bool) { s.excluded.Store(excluded) }
+// SetExcluded excludes the server from new work or admits it again.
+func (s *Server) SetExcluded(excluded bool) { s.excluded.Store(excluded) }
 
 // Excluded reports whether the server must get no new work, even if no other server is left.
 func (s *Server) Excluded() bool {
@@ -68,7 +68,7 @@
 // BeginAttempt records that the path of a new attempt includes the server.
 func (s *Server) BeginAttempt() {
 	s.assigned.Add(1)
-	s.circuit.Admit()
+	s.circuit.StartTrial()
 }
 
 // Failed records for the circuit breaker that a frame failed.
@@ -83,5 +83,5 @@
 // EndAttempt records that an attempt no longer uses the server.
 func (s *Server) EndAttempt() {
 	s.assigned.Add(-1)
-	s.circuit.Settled()
+	s.circuit.ReleaseTrial()
 }
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -11,8 +11,8 @@
 // occurred in an attempt other than a given one.
 const maxAttempts = 2
 
-// Terms say when a request is quarantined, that is, sent to no server any more.
-type Terms struct {
+// Settings say when a request is quarantined, that is, sent to no server any more.
+type Settings struct {
 	// Ends is the number of servers that must have terminated under a request of which the caller has made several
 	// attempts.
 	Ends int
@@ -22,8 +22,8 @@
 	EndsOfOne int
 	// Keep is how long an end counts.
 	Keep time.Duration
-	// Most is the greatest number of requests whose ends are kept.
-	Most int
+	// MaxRequests is the greatest number of requests whose ends are kept.
+	MaxRequests int
 }
 
 // minPublishedClear is the number of ends from which the other instances are told that a request is harmless. A single
@@ -57,7 +57,7 @@
 
 // Book records which servers terminated under which requests, and decides which requests are quarantined.
 type Book struct {
-	terms Terms
+	terms Settings
 
 	mu       sync.Mutex
 	requests map[Fingerprint]*requestRecord
@@ -86,7 +86,7 @@
 }
 
 // NewBook returns a Book without ends.
-func NewBook(terms Terms) *Book {
+func NewBook(terms Settings) *Book {
 	return &Book{
 		terms: terms, requests: map[Fingerprint]*requestRecord{}, released: map[Fingerprint]time.Time{}, republish: make(chan struct{}, 1),
 	}
@@ -102,8 +102,8 @@
 // the end must be published.
 func (b *Book) Confirm(e End, now time.Time) bool { return b.add(e, confirmed, now) }
 
-// Hear adds an end that was read from the store, and reports whether it was not known as such.
-func (b *Book) Hear(e End, now time.Time) bool { return b.add(e, listed, now) }
+// AddListed adds an end that was read from the store, and reports whether it was not known as such.
+func (b *Book) AddListed(e End, now time.Time) bool { return b.add(e, listed, now) }
 
 // add raises an end to a state, and reports whether it was below that state.
 func (b *Book) add(e End, to endState, now time.Time) bool {
@@ -153,7 +153,7 @@
 	current := make(map[End]bool, len(ends))
 	for _, e := range ends {
 		current[End{Request: e.Request, Server: e.Server}] = true
-		b.Hear(e, now)
+		b.AddListed(e, now)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -166,16 +166,16 @@
 	}
 }
 
-// Absolve clears a request, removing all its ends, since a server has run it without terminating: a request that
+// Clear clears a request, removing all its ends, since a server has run it without terminating: a request that
 // terminates every server that begins it never gets so far. It returns the number of removed ends.
-func (b *Book) Absolve(request Fingerprint) int {
+func (b *Book) Clear(request Fingerprint) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[request]
 	if r == nil {
 		return 0
 	}
-	if len(r.ends) >= minPublishedClear && len(b.cleared) < b.terms.Most {
+	if len(r.ends) >= minPublishedClear && len(b.cleared) < b.terms.MaxRequests {
 		for server := range r.ends {
 			b.cleared = append(b.cleared, End{Request: request, Server: server})
 		}
@@ -185,8 +185,8 @@
 	return len(r.ends)
 }
 
-// Kept reports whether an attempt at a request is quarantined, and for how long at most.
-func (b *Book) Kept(request Fingerprint, attempt string, now time.Time) (time.Duration, bool) {
+// Quarantined reports whether an attempt at a request is quarantined, and for how long at most.
+func (b *Book) Quarantined(request Fingerprint, attempt string, now time.Time) (time.Duration, bool) {
 	if b.Size() == 0 {
 		return 0, false
 	}
@@ -217,9 +217,9 @@
 	return 0
 }
 
-// Untold returns ends that have to be written to the store, and cleared ones that have to be removed from it, up to a
+// Unpublished returns ends that have to be written to the store, and cleared ones that have to be removed from it, up to a
 // total number.
-func (b *Book) Untold(limit int) (ends, cleared []End) {
+func (b *Book) Unpublished(limit int) (ends, cleared []End) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	cleared = slices.Clone(b.cleared[:min(limit, len(b.cleared))])
@@ -236,8 +236,8 @@
 	return ends, cleared
 }
 
-// Told records that what Untold returned was written.
-func (b *Book) Told(ends, cleared []End) {
+// MarkPublished records that what Untold returned was written.
+func (b *Book) MarkPublished(ends, cleared []End) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range ends {
@@ -248,9 +248,9 @@
 	b.cleared = b.cleared[len(cleared):]
 }
 
-// TellAgain has the ends that this instance wrote written once more, since the store may have lost them. Ends that other
+// Republish has the ends that this instance wrote written once more, since the store may have lost them. Ends that other
 // instances wrote are left to them, and count here as before.
-func (b *Book) TellAgain() {
+func (b *Book) Republish() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range b.requests {
@@ -266,8 +266,8 @@
 	}
 }
 
-// Tidy removes the ends that have expired, and forgets requests that were released long ago.
-func (b *Book) Tidy(now time.Time) {
+// Expire removes the ends that have expired, and forgets requests that were released long ago.
+func (b *Book) Expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for request, r := range b.requests {
@@ -292,7 +292,7 @@
 		return
 	}
 	expired := now.Sub(r.ends[server].at) >= time.Duration(minKeepShare*float64(b.terms.Keep))
-	if _, wasReleased := b.released[request]; expired && (wasReleased || len(r.ends) >= b.terms.Ends) && len(b.released) < b.terms.Most {
+	if _, wasReleased := b.released[request]; expired && (wasReleased || len(r.ends) >= b.terms.Ends) && len(b.released) < b.terms.MaxRequests {
 		b.released[request] = now
 	}
 	b.forgetLocked(request, server)
@@ -303,7 +303,7 @@
 	if r := b.requests[request]; r != nil {
 		return r
 	}
-	if len(b.requests) >= b.terms.Most {
+	if len(b.requests) >= b.terms.MaxRequests {
 		b.evictLocked()
 	}
 	r := &requestRecord{ends: map[string]*endRecord{}}
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -14,7 +14,7 @@
 // startTime is the time at which the tests start.
 var startTime = time.Unix(1000, 0)
 
-var settings = quarantine.Terms{Ends: 3, EndsOfOne: 4, Keep: time.Minute, Most: 100}
+var settings = quarantine.Settings{Ends: 3, EndsOfOne: 4, Keep: time.Minute, MaxRequests: 100}
 
 func request(n int) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(nil, fmt.Append(nil, n), "", nil)
@@ -26,7 +26,7 @@
 
 // quarantined reports whether an attempt is quarantined at startTime.
 func quarantined(b *quarantine.Book, r quarantine.Fingerprint, attempt string) bool {
-	_, ok := b.Kept(r, quarantine.Short(attempt), startTime)
+	_, ok := b.Quarantined(r, quarantine.ShortDigest(attempt), startTime)
 	return ok
 }
 
@@ -40,7 +40,7 @@
 	}
 	require.True(t, quarantined(b, r, "later"))
 	require.False(t, quarantined(b, r, "first"), "a single attempt may only have run beside the harmful request")
-	b.Hear(end(r, 3, "first"), startTime)
+	b.AddListed(end(r, 3, "first"), startTime)
 	require.True(t, quarantined(b, r, "first"))
 	require.False(t, quarantined(b, request(2), "later"))
 }
@@ -57,7 +57,7 @@
 func TestAnEndReportedBySeveralInstancesCountsOnce(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
 	for n := range 10 {
-		b.Hear(end(r, 1, fmt.Sprint(n)), startTime)
+		b.AddListed(end(r, 1, fmt.Sprint(n)), startTime)
 	}
 	require.Equal(t, 1, b.Ends(r))
 	require.False(t, quarantined(b, r, "later"))
@@ -79,46 +79,46 @@
 // request, and servers terminate for other reasons while they run it.
 func TestOneSuccessfulRunClearsARequest(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
-	b.Hear(end(r, 0, "a"), startTime)
-	b.Hear(end(r, 1, "b"), startTime)
-	require.Equal(t, 2, b.Absolve(r))
+	b.AddListed(end(r, 0, "a"), startTime)
+	b.AddListed(end(r, 1, "b"), startTime)
+	require.Equal(t, 2, b.Clear(r))
 	require.Zero(t, b.Size())
-	ends, cleared := b.Untold(10)
+	ends, cleared := b.Unpublished(10)
 	require.Empty(t, ends)
 	require.Len(t, cleared, 2, "their records have to be removed from the store")
-	b.Told(ends, cleared)
-	_, cleared = b.Untold(10)
+	b.MarkPublished(ends, cleared)
+	_, cleared = b.Unpublished(10)
 	require.Empty(t, cleared)
-	b.Hear(end(r, 2, "c"), startTime)
+	b.AddListed(end(r, 2, "c"), startTime)
 	require.False(t, quarantined(b, r, "later"))
 }
 
 func TestClearingASingleEndIsNotPublished(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
-	b.Hear(end(r, 0, "a"), startTime)
-	require.Equal(t, 1, b.Absolve(r))
-	_, cleared := b.Untold(10)
+	b.AddListed(end(r, 0, "a"), startTime)
+	require.Equal(t, 1, b.Clear(r))
+	_, cleared := b.Unpublished(10)
 	require.Empty(t, cleared)
 }
 
 func TestEndsArePublishedOnce(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
 	b.Suspect(end(r, 0, "a"), startTime)
-	ends, _ := b.Untold(10)
+	ends, _ := b.Unpublished(10)
 	require.Empty(t, ends, "it is not known whether the server has ended")
 	require.True(t, b.Confirm(end(r, 0, "a"), startTime))
 	require.False(t, b.Confirm(end(r, 0, "b"), startTime))
-	ends, cleared := b.Untold(10)
+	ends, cleared := b.Unpublished(10)
 	require.Equal(t, []quarantine.End{end(r, 0, "a")}, ends)
-	b.Told(ends, cleared)
-	ends, _ = b.Untold(10)
+	b.MarkPublished(ends, cleared)
+	ends, _ = b.Unpublished(10)
 	require.Empty(t, ends)
 }
 
 func TestAFullReadDropsUnlistedEnds(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
-	b.Hear(end(r, 0, "a"), startTime)
-	b.Hear(end(r, 1, "a"), startTime)
+	b.AddListed(end(r, 0, "a"), startTime)
+	b.AddListed(end(r, 1, "a"), startTime)
 	b.Confirm(end(r, 2, "a"), startTime)
 	b.Replace([]quarantine.End{end(r, 1, "a"), end(request(2), 1, "b")}, startTime)
 	require.Equal(t, 2, b.Ends(r), "the listed one and the own one that is not published yet")
@@ -128,12 +128,12 @@
 func TestEndsExpire(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
 	for n := range 3 {
-		b.Hear(end(r, n, "a"), startTime)
+		b.AddListed(end(r, n, "a"), startTime)
 	}
-	left, ok := b.Kept(r, quarantine.Short("later"), startTime.Add(settings.Keep/4))
+	left, ok := b.Quarantined(r, quarantine.ShortDigest("later"), startTime.Add(settings.Keep/4))
 	require.True(t, ok)
 	require.Equal(t, settings.Keep*3/4, left)
-	b.Tidy(startTime.Add(settings.Keep + 1))
+	b.Expire(startTime.Add(settings.Keep + 1))
 	require.Zero(t, b.Size())
 }
 
@@ -142,12 +142,12 @@
 func TestAFloodOfRequestsEvictsNoQuarantinedRequest(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(-1)
 	for n := range 3 {
-		b.Hear(end(r, n, "a"), startTime)
+		b.AddListed(end(r, n, "a"), startTime)
 	}
-	for n := range 10 * settings.Most {
-		b.Hear(end(request(n), 1, "a"), startTime)
+	for n := range 10 * settings.MaxRequests {
+		b.AddListed(end(request(n), 1, "a"), startTime)
 	}
-	require.Equal(t, settings.Most, b.Size())
+	require.Equal(t, settings.MaxRequests, b.Size())
 	require.True(t, quarantined(b, r, "later"))
 }
 
@@ -167,7 +167,7 @@
 		for range 3 {
 			b := quarantine.NewBook(settings)
 			for _, e := range rapid.Permutation(append(ends, ends...)).Draw(t, "order") {
-				b.Hear(e, startTime)
+				b.AddListed(e, startTime)
 			}
 			if got := quarantined(b, r, "a"); got != want {
 				t.Fatalf("quarantined: %v, want %v", got, want)
@@ -182,7 +182,7 @@
 	for _, removed := range []bool{true, false} {
 		b, r := quarantine.NewBook(settings), request(1)
 		for n := range 3 {
-			b.Hear(end(r, n, "a"), startTime)
+			b.AddListed(end(r, n, "a"), startTime)
 		}
 		later := startTime.Add(settings.Keep + 1)
 		for n := range 3 {
@@ -190,15 +190,15 @@
 				b.Forget(end(r, n, "a"), later)
 			}
 		}
-		b.Tidy(later)
-		_, isQuarantined := b.Kept(r, quarantine.Short("again"), later)
+		b.Expire(later)
+		_, isQuarantined := b.Quarantined(r, quarantine.ShortDigest("again"), later)
 		require.False(t, isQuarantined, "it has been released")
 		b.Suspect(end(r, 7, "again"), later)
-		_, isQuarantined = b.Kept(r, quarantine.Short("again"), later)
+		_, isQuarantined = b.Quarantined(r, quarantine.ShortDigest("again"), later)
 		require.True(t, isQuarantined)
-		b.Absolve(r)
+		b.Clear(r)
 		b.Suspect(end(r, 8, "again"), later)
-		_, isQuarantined = b.Kept(r, quarantine.Short("again"), later)
+		_, isQuarantined = b.Quarantined(r, quarantine.ShortDigest("again"), later)
 		require.False(t, isQuarantined, "it has been cleared")
 	}
 }
@@ -207,11 +207,11 @@
 func TestARequestWhoseEndsWereRemovedEarlyIsNotReleased(t *testing.T) {
 	b, r := quarantine.NewBook(settings), request(1)
 	for n := range 3 {
-		b.Hear(end(r, n, "a"), startTime)
+		b.AddListed(end(r, n, "a"), startTime)
 	}
 	for n := range 3 {
 		b.Forget(end(r, n, "a"), startTime.Add(time.Second))
 	}
-	b.Hear(end(r, 7, "b"), startTime)
+	b.AddListed(end(r, 7, "b"), startTime)
 	require.False(t, quarantined(b, r, "c"))
 }
--- a/quarantine/end.go
+++ b/quarantine/end.go
@@ -20,11 +20,11 @@
 // NewEnd returns the End of a server under an attempt of a caller, given the names of the server's incarnation and of
 // the attempt.
 func NewEnd(request Fingerprint, server, attempt string) End {
-	return End{Request: request, Server: Short(server), Attempt: Short(attempt)}
+	return End{Request: request, Server: ShortDigest(server), Attempt: ShortDigest(attempt)}
 }
 
-// Short returns a digest of a name, in hexadecimal digits and of fixed length.
-func Short(name string) string {
+// ShortDigest returns a digest of a name, in hexadecimal digits and of fixed length.
+func ShortDigest(name string) string {
 	digest := sha256.Sum256([]byte(name))
 	return hex.EncodeToString(digest[:digestBytes])
 }
--- a/quarantine/publisher.go
+++ b/quarantine/publisher.go
@@ -25,27 +25,27 @@
 	callTimeout = 700 * time.Millisecond
 )
 
-// Register writes to the store, where all instances read which servers terminated under which requests.
-type Register interface {
+// EndStore writes to the store, where all instances read which servers terminated under which requests.
+type EndStore interface {
 	// Tell writes ends, which last for as long as ends count, and removes the records of cleared ones.
 	Tell(ctx context.Context, ends, cleared []End) error
 }
 
-// Teller publishes the ends that a Book learns of: it writes them to the store, where all instances read them.
-type Teller struct {
+// Publisher publishes the ends that a Book learns of: it writes them to the store, where all instances read them.
+type Publisher struct {
 	book     *Book
-	register Register
+	register EndStore
 	clock    *timer.Service
 	stats    *metrics.Registry
 	log      *logrus.Logger
 	wake     chan struct{}
 }
 
-// NewTeller returns a Teller and starts it; it stops when ctx ends.
-func NewTeller(
-	ctx context.Context, book *Book, register Register, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
-) *Teller {
-	t := &Teller{book: book, register: register, clock: clock, stats: stats, log: log, wake: make(chan struct{}, 1)}
+// NewPublisher returns a Teller and starts it; it stops when ctx ends.
+func NewPublisher(
+	ctx context.Context, book *Book, register EndStore, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
+) *Publisher {
+	t := &Publisher{book: book, register: register, clock: clock, stats: stats, log: log, wake: make(chan struct{}, 1)}
 	go func() {
 		for {
 			select {
@@ -63,7 +63,7 @@
 }
 
 // Wake starts publishing soon, since there is something to publish; it does not block.
-func (t *Teller) Wake() {
+func (t *Publisher) Wake() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
@@ -71,16 +71,16 @@
 }
 
 // Untold returns ends that could not be published yet, so that other instances can publish them.
-func (t *Teller) Untold() []End {
+func (t *Publisher) Untold() []End {
 	if t.book.Size() == 0 {
 		return nil
 	}
-	ends, _ := t.book.Untold(batchSize)
+	ends, _ := t.book.Unpublished(batchSize)
 	return ends
 }
 
 // Adopt adds ends that another instance could not publish, in order to publish them.
-func (t *Teller) Adopt(ends []End) {
+func (t *Publisher) Adopt(ends []End) {
 	for _, e := range ends {
 		if t.book.Confirm(e, t.clock.Now()) {
 			t.Wake()
@@ -89,9 +89,9 @@
 }
 
 // publishAll writes until nothing is left to publish.
-func (t *Teller) publishAll(ctx context.Context) {
+func (t *Publisher) publishAll(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; {
-		ends, cleared := t.book.Untold(batchSize)
+		ends, cleared := t.book.Unpublished(batchSize)
 		if len(ends)+len(cleared) == 0 {
 			return
 		}
@@ -100,16 +100,16 @@
 				t.log.WithField("ends", len(ends)).WithError(err).Warn("ends of servers not told")
 			}
 			t.stats.Counter("quarantine_tells_failed_total").Inc(1)
-			t.clock.Sleep(ctx, retry.Doubled(minBackoff, maxBackoff, failures))
+			t.clock.Sleep(ctx, retry.Backoff(minBackoff, maxBackoff, failures))
 			failures++
 			continue
 		}
 		failures = 0
-		t.book.Told(ends, cleared)
+		t.book.MarkPublished(ends, cleared)
 	}
 }
 
-func (t *Teller) publishBatch(ctx context.Context, ends, cleared []End) error {
+func (t *Publisher) publishBatch(ctx context.Context, ends, cleared []End) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	t.stats.Counter("quarantine_tells_total").Inc(1)
--- a/quarantine/publisher_test.go
+++ b/quarantine/publisher_test.go
@@ -45,14 +45,14 @@
 
 func TestEndsArePublishedOnceTheStoreAcceptsThem(t *testing.T) {
 	b, r := quarantine.NewBook(settings), &fakeStore{failures: 2}
-	publisher := quarantine.NewTeller(t.Context(), b, r, timer.NewReal(), metrics.New(), testlog.New(t))
+	publisher := quarantine.NewPublisher(t.Context(), b, r, timer.NewReal(), metrics.New(), testlog.New(t))
 	one := request(1)
 	for n := range 30 {
 		b.Confirm(end(one, n, "a"), startTime)
 	}
 	publisher.Wake()
 	require.Eventually(t, func() bool { ends, _ := r.counts(); return ends == 30 }, testTimeout, 5*time.Millisecond)
-	b.Absolve(one)
+	b.Clear(one)
 	publisher.Wake()
 	require.Eventually(t, func() bool { _, cleared := r.counts(); return cleared == 30 }, testTimeout, 5*time.Millisecond)
 }
@@ -62,8 +62,8 @@
 func TestEndsOfAnIsolatedInstanceArePublished(t *testing.T) {
 	isolatedBook, connectedBook := quarantine.NewBook(settings), quarantine.NewBook(settings)
 	store := &fakeStore{}
-	isolated := quarantine.NewTeller(t.Context(), isolatedBook, &fakeStore{failures: 1 << 30}, timer.NewReal(), metrics.New(), testlog.New(t))
-	connected := quarantine.NewTeller(t.Context(), connectedBook, store, timer.NewReal(), metrics.New(), testlog.New(t))
+	isolated := quarantine.NewPublisher(t.Context(), isolatedBook, &fakeStore{failures: 1 << 30}, timer.NewReal(), metrics.New(), testlog.New(t))
+	connected := quarantine.NewPublisher(t.Context(), connectedBook, store, timer.NewReal(), metrics.New(), testlog.New(t))
 	require.Empty(t, isolated.Untold())
 	isolatedBook.Confirm(end(request(1), 1, "a"), startTime)
 	isolated.Wake()
@@ -78,16 +78,16 @@
 func TestEndsThatTheStoreLostAreRepublishedByTheirWriter(t *testing.T) {
 	writerBook, readerBook := quarantine.NewBook(settings), quarantine.NewBook(settings)
 	writerStore, readerStore := &fakeStore{}, &fakeStore{}
-	writer := quarantine.NewTeller(t.Context(), writerBook, writerStore, timer.NewReal(), metrics.New(), testlog.New(t))
-	quarantine.NewTeller(t.Context(), readerBook, readerStore, timer.NewReal(), metrics.New(), testlog.New(t))
+	writer := quarantine.NewPublisher(t.Context(), writerBook, writerStore, timer.NewReal(), metrics.New(), testlog.New(t))
+	quarantine.NewPublisher(t.Context(), readerBook, readerStore, timer.NewReal(), metrics.New(), testlog.New(t))
 	one := end(request(1), 1, "a")
 	writerBook.Confirm(one, startTime)
 	writer.Wake()
 	require.Eventually(t, func() bool { ends, _ := writerStore.counts(); return ends == 1 }, testTimeout, 5*time.Millisecond)
-	writerBook.Hear(one, startTime)
-	readerBook.Hear(one, startTime)
-	writerBook.TellAgain()
-	readerBook.TellAgain()
+	writerBook.AddListed(one, startTime)
+	readerBook.AddListed(one, startTime)
+	writerBook.Republish()
+	readerBook.Republish()
 	require.Eventually(t, func() bool { ends, _ := writerStore.counts(); return ends == 2 }, testTimeout, 5*time.Millisecond)
 	ends, _ := readerStore.counts()
 	require.Zero(t, ends)
--- a/relay/breaker.go
+++ b/relay/breaker.go
@@ -121,11 +121,11 @@
 // mayAskStore decides for one poll whether the store may be asked. The relay of a domain always asks it. The breaker of the
 // standby relay ignores what relays say, since the rest of the domain learns through these two that the store is back.
 func (s *Source) mayAskStore(feed follow.Feed) bool {
-	if upstreams := s.ways(); len(upstreams) == 0 || upstreams[0].direct() {
+	if upstreams := s.upstreams(); len(upstreams) == 0 || upstreams[0].direct() {
 		return true
 	}
 	first := s.asksStoreEarly()
-	_, known := s.logs[follow.FeedConfig].reached()
+	_, known := s.logs[follow.FeedConfig].progress()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
@@ -149,7 +149,7 @@
 
 // asksStoreEarly reports whether the instance asks the store before it asks the relays of other domains.
 func (s *Source) asksStoreEarly() bool {
-	for i, u := range s.ways() {
+	for i, u := range s.upstreams() {
 		if u.direct() {
 			return i < ownRelaysAsked
 		}
--- a/relay/breaker_test.go
+++ b/relay/breaker_test.go
@@ -20,11 +20,11 @@
 	fake := clockwork.NewFakeClock()
 	early := 0
 	for _, m := range all {
-		self := Self{Name: m.Name, Domain: m.Domain, From: 2, ApplyTime: promise}
-		s := New(self, nil, known(all), nil, nil, nil, timer.New(fake), metrics.New(), nil)
+		self := Self{Name: m.Name, Domain: m.Domain, RelaysFrom: 2, ApplyTime: applyDeadline}
+		s := New(self, nil, staticFleet(all), nil, nil, nil, timer.New(fake), metrics.New(), nil)
 		// The configuration was confirmed just now, so that an instance has time before its first probe.
-		s.logs[follow.FeedConfig].extend(heard{at: 1, known: fake.Now()}, false)
-		for _, u := range s.ways() {
+		s.logs[follow.FeedConfig].append(update{position: 1, known: fake.Now()}, false)
+		for _, u := range s.upstreams() {
 			if !u.direct() {
 				s.backoffs[u.addr] = backoff{until: fake.Now(), refused: true}
 			}
@@ -35,8 +35,8 @@
 		}
 	}
 	require.Equal(t, 6, early, "two of each domain")
-	one := New(Self{Name: all[5].Name, Domain: all[5].Domain, From: 2, ApplyTime: promise}, nil, known(all), nil, nil, nil, timer.New(fake), metrics.New(), nil)
-	for _, u := range one.ways() {
+	one := New(Self{Name: all[5].Name, Domain: all[5].Domain, RelaysFrom: 2, ApplyTime: applyDeadline}, nil, staticFleet(all), nil, nil, nil, timer.New(fake), metrics.New(), nil)
+	for _, u := range one.upstreams() {
 		one.backoffs[u.addr] = backoff{until: fake.Now().Add(-refusalAge), refused: true}
 	}
 	require.True(t, one.mayAskStore(follow.FeedConfig), "refusals of long ago")
@@ -55,7 +55,7 @@
 	)
 	begun := time.Unix(100, 0)
 	for i := range instances {
-		b := storeBreaker{apply: promise}
+		b := storeBreaker{apply: applyDeadline}
 		calls := 0
 		for at := time.Duration(0); at < outage; at += pause {
 			s := breakerInput{now: begun.Add(at), refusals: refusalsToOpen, known: begun, random: float64(i) / instances}
@@ -74,8 +74,8 @@
 // TestAnAnsweredProbeClosesTheBreakerForAllFeeds lets the store answer the second probe of the configuration feed.
 func TestAnAnsweredProbeClosesTheBreakerForAllFeeds(t *testing.T) {
 	now := time.Unix(100, 0)
-	s := breakerInput{now: now, refusals: refusalsToOpen, known: now.Add(probeTime - promise)}
-	b := storeBreaker{apply: promise}
+	s := breakerInput{now: now, refusals: refusalsToOpen, known: now.Add(probeTime - applyDeadline)}
+	b := storeBreaker{apply: applyDeadline}
 	require.False(t, b.allows(follow.FeedServers, s))
 	require.True(t, b.allows(follow.FeedConfig, s), "the configuration is old")
 	b.storeFailed(now)
@@ -93,7 +93,7 @@
 // outage draws a new first probe.
 func TestBreakerOpensOnlyAfterEnoughRefusals(t *testing.T) {
 	now := time.Unix(100, 0)
-	b := storeBreaker{apply: promise}
+	b := storeBreaker{apply: applyDeadline}
 	s := breakerInput{now: now, refusals: refusalsToOpen - 1, known: now, random: 0.5}
 	require.True(t, b.allows(follow.FeedConfig, s))
 	require.True(t, b.allows(follow.FeedServers, s))
@@ -108,9 +108,9 @@
 // TestRelaysAreNotUsedWithAShortApplyTime compares values of ApplyTime: relays take almost minApplyTime to report that they
 // have lost the store.
 func TestRelaysAreNotUsedWithAShortApplyTime(t *testing.T) {
-	require.True(t, Self{From: 2, ApplyTime: minApplyTime}.relays(2, 2))
-	require.True(t, Self{From: 2, ApplyTime: minApplyTime}.relays(1, 2), "one of two has a record")
-	require.False(t, Self{From: 2, ApplyTime: minApplyTime}.relays(0, 2), "no member is known")
-	require.False(t, Self{From: 2, ApplyTime: minApplyTime}.relays(1, 1))
-	require.False(t, Self{From: 2, ApplyTime: minApplyTime - time.Second}.relays(100, 100))
+	require.True(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.relays(2, 2))
+	require.True(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.relays(1, 2), "one of two has a record")
+	require.False(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.relays(0, 2), "no member is known")
+	require.False(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.relays(1, 1))
+	require.False(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime - time.Second}.relays(100, 100))
 }
--- a/relay/compress.go
+++ b/relay/compress.go
@@ -77,7 +77,7 @@
 	return out.Bytes(), nil
 }
 
-func unpack(packed []byte) ([]Record, error) {
+func decompress(packed []byte) ([]Record, error) {
 	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDecompressedSize))
 	if err != nil {
 		return nil, errors.Wrap(err, "relay: decompress records")
--- a/relay/compress_test.go
+++ b/relay/compress_test.go
@@ -25,7 +25,7 @@
 	packed, err := p.get(span{at: 1, whole: true}, records)
 	require.NoError(t, err)
 	require.LessOrEqual(t, float64(len(packed)), most*float64(size))
-	back, err := unpack(packed)
+	back, err := decompress(packed)
 	require.NoError(t, err)
 	require.Equal(t, records, back)
 	again, err := p.get(span{at: 1, whole: true}, records)
@@ -38,6 +38,6 @@
 
 // TestDecompressRejectsDamagedRecords decompresses bytes that no relay has written.
 func TestDecompressRejectsDamagedRecords(t *testing.T) {
-	_, err := unpack([]byte("damaged"))
+	_, err := decompress([]byte("damaged"))
 	require.Error(t, err)
 }
--- a/relay/ends_test.go
+++ b/relay/ends_test.go
@@ -78,7 +78,7 @@
 	ends := map[string]*fakeEnds{"i-0": {}, "i-1": {}, "i-2": {unpublished: []quarantine.End{one}}}
 	s.silence("i-2", true)
 	runWith(t, 3, func(int) string { return "east" }, func(caller string) relay.Store { return view{store: s, caller: caller} },
-		func(string) relay.Words { return follow.NewBoard() }, func(caller string) relay.Ends { return ends[caller] })
+		func(string) relay.SharedReports { return follow.NewFleetView() }, func(caller string) relay.Ends { return ends[caller] })
 	soon(t, func() bool { return ends["i-0"].has(one) || ends["i-1"].has(one) })
 }
 
--- a/relay/fleetstart_test.go
+++ b/relay/fleetstart_test.go
@@ -79,8 +79,8 @@
 	at time.Time
 }
 
-// beginning simulates a fleet whose instances all start at once while the store holds no registration records.
-type beginning struct {
+// startSimulation simulates a fleet whose instances all start at once while the store holds no registration records.
+type startSimulation struct {
 	members []census.Instance
 	index   map[string]int
 	// config and entries are the contents of the configuration and servers feeds.
@@ -98,13 +98,13 @@
 	revision int64
 	// calls is the sum of the costs of the calls to the store.
 	calls   float64
-	boards  []*census.Board
+	boards  []*census.View
 	sources []*Source
-	rolls   []*Rolls
+	rolls   []*Registry
 }
 
 // slowStoreAnswer is how long a store takes for an answer that is sixty times slower than usual.
-const slowStoreAnswer = 60 * storeAnswer
+const slowStoreAnswer = 60 * storeLatency
 
 // compressibleBytes returns bytes that compress about as well as the entries of servers.
 func compressibleBytes(size int) []byte {
@@ -116,8 +116,8 @@
 	return out
 }
 
-func newBeginning(domains, each, strong, servers int) *beginning {
-	b := &beginning{index: map[string]int{}, config: compressibleBytes(configBytes), entries: compressibleBytes(servers * entryBytes), log: logrus.New(), begun: time.Now(), store: &netLink{rate: storeRate}, records: map[string]storedRecord{}}
+func newStartSimulation(domains, each, strong, servers int) *startSimulation {
+	b := &startSimulation{index: map[string]int{}, config: compressibleBytes(configBytes), entries: compressibleBytes(servers * entryBytes), log: logrus.New(), begun: time.Now(), store: &netLink{rate: storeRate}, records: map[string]storedRecord{}}
 	b.log.SetOutput(io.Discard)
 	b.log.SetLevel(logrus.PanicLevel)
 	for d := range domains {
@@ -132,35 +132,35 @@
 		}
 	}
 	n := len(b.members)
-	b.boards, b.sources, b.rolls = make([]*census.Board, n), make([]*Source, n), make([]*Rolls, n)
+	b.boards, b.sources, b.rolls = make([]*census.View, n), make([]*Source, n), make([]*Registry, n)
 	return b
 }
 
 // start runs all instances with real code except for their connections.
-func (b *beginning) start(ctx context.Context) {
+func (b *startSimulation) start(ctx context.Context) {
 	const whole = 24
 	clock, stats := timer.NewReal(), metrics.New()
 	for i, m := range b.members {
-		self := Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: whole, ApplyTime: promise}
-		b.boards[i] = census.NewBoard(whole)
-		b.sources[i] = New(self, simStore{b}, b.boards[i], follow.NewBoard(), noEnds{}, nil, clock, stats, b.log)
+		self := Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: whole, ApplyTime: applyDeadline}
+		b.boards[i] = census.NewView(whole)
+		b.sources[i] = New(self, simStore{b}, b.boards[i], follow.NewFleetView(), noEnds{}, nil, clock, stats, b.log)
 		b.sources[i].peers = simPeers{b, i}
-		b.rolls[i] = NewRolls(self, simRegister{b}, b.boards[i], nil, clock)
+		b.rolls[i] = NewRegistry(self, simRegister{b}, b.boards[i], nil, clock)
 		b.rolls[i].peers = simPeers{b, i}
 	}
 	for i, m := range b.members {
 		newKey := func() ([]byte, error) { return []byte(m.Name), nil }
 		census.New(ctx, b.boards[i], b.rolls[i], m, newKey, clock, stats, b.log)
-		follow.New(ctx, b.sources[i], follow.NewBoard(), quarantine.NewBook(quarantine.Terms{Keep: time.Hour, Most: 10}), clock, stats, b.log)
+		follow.New(ctx, b.sources[i], follow.NewFleetView(), quarantine.NewBook(quarantine.Settings{Keep: time.Hour, MaxRequests: 10}), clock, stats, b.log)
 	}
 }
 
 // unready returns the number of instances that do not know both the configuration and the servers.
-func (b *beginning) unready() int {
+func (b *startSimulation) unready() int {
 	n := 0
 	for _, s := range b.sources {
 		for _, feed := range []follow.Feed{follow.FeedConfig, follow.FeedServers} {
-			if at, _ := s.logs[feed].reached(); at == 0 {
+			if at, _ := s.logs[feed].progress(); at == 0 {
 				n++
 				break
 			}
@@ -170,7 +170,7 @@
 }
 
 // awaitReady waits until all instances know both feeds or the limit has passed, and returns the time since the start.
-func (b *beginning) awaitReady(limit time.Duration) time.Duration {
+func (b *startSimulation) awaitReady(limit time.Duration) time.Duration {
 	for time.Since(b.begun) < limit && b.unready() > 0 {
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -178,7 +178,7 @@
 }
 
 // call simulates a call to the store with an answer of so many bytes.
-func (b *beginning) call(ctx context.Context, cost, bytes float64) error {
+func (b *startSimulation) call(ctx context.Context, cost, bytes float64) error {
 	b.mu.Lock()
 	b.calls += cost
 	b.mu.Unlock()
@@ -186,7 +186,7 @@
 		<-ctx.Done()
 		return errors.Wrap(follow.ErrUnavailable, ctx.Err().Error())
 	}
-	latency := storeAnswer
+	latency := storeLatency
 	if time.Since(b.begun) < b.slowUntil {
 		latency = slowStoreAnswer
 	}
@@ -243,16 +243,16 @@
 	for _, c := range starts {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			var b *beginning
+			var b *startSimulation
 			var took time.Duration
 			synctest.Test(t, func(*testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				b = newBeginning(c.domains, c.each, c.strong, c.servers)
+				b = newStartSimulation(c.domains, c.each, c.strong, c.servers)
 				b.slowUntil, b.silentUntil = c.slow, c.silent
 				b.start(ctx)
 				took = b.awaitReady(c.slow + c.silent + 2*c.within)
 				cancel()
-				time.Sleep(settled + readTime)
+				time.Sleep(warmUpTime + readTime)
 			})
 			t.Logf("%s, %d without both feeds, %.0f calls, %.2f MB from the store", took, b.unready(), b.calls, b.store.total/1e6)
 			require.Zero(t, b.unready())
--- a/relay/fleetstore_test.go
+++ b/relay/fleetstore_test.go
@@ -14,7 +14,7 @@
 )
 
 // simRegister is the simulated store's registration records as seen by an instance; it implements census.Register.
-type simRegister struct{ b *beginning }
+type simRegister struct{ b *startSimulation }
 
 // Join implements census.Register.
 func (r simRegister) Join(ctx context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
@@ -41,9 +41,9 @@
 }
 
 // List implements census.Register.
-func (r simRegister) List(ctx context.Context) (census.Roll, error) {
+func (r simRegister) List(ctx context.Context) (census.Snapshot, error) {
 	r.b.mu.Lock()
-	roll := census.Roll{Key: r.b.key}
+	roll := census.Snapshot{Key: r.b.key}
 	for _, w := range r.b.records {
 		if time.Since(w.at) >= storeLag {
 			roll.Records = append(roll.Records, w.Record)
@@ -67,7 +67,7 @@
 }
 
 // simStore is the feeds of the simulated store; it implements Store.
-type simStore struct{ b *beginning }
+type simStore struct{ b *startSimulation }
 
 // Reach implements Store.
 func (f simStore) Reach(ctx context.Context) error { return f.b.call(ctx, lowCost, recordBytes) }
@@ -90,7 +90,7 @@
 			return nil, 0, err
 		}
 	}
-	return []Record{{Key: keyOfConfig, Value: value, Revision: 1}}, 1, nil
+	return []Record{{Key: configKey, Value: value, Revision: 1}}, 1, nil
 }
 
 // WatchFeed implements Store.
@@ -122,18 +122,18 @@
 
 // simPeers connects instance i to the other instances, each over its own network link; it implements peers.
 type simPeers struct {
-	b *beginning
+	b *startSimulation
 	i int
 }
 
-func (o simPeers) poll(ctx context.Context, addr string, q poll) (told, error) {
-	if err := o.reach(ctx, addr); err != nil {
-		return told{}, err
+func (o simPeers) poll(ctx context.Context, addr string, q poll) (pollReply, error) {
+	if err := o.connect(ctx, addr); err != nil {
+		return pollReply{}, err
 	}
 	j := o.b.index[addr]
 	t, err := o.b.sources[j].serve(ctx, q)
 	if err != nil {
-		return told{}, errors.Wrap(link.ErrRefused, err.Error())
+		return pollReply{}, errors.Wrap(link.ErrRefused, err.Error())
 	}
 	bytes := 2.0 + float64(len(t.Packed))
 	for _, r := range t.Records {
@@ -142,14 +142,14 @@
 	return t, o.transfer(ctx, j, bytes)
 }
 
-func (o simPeers) roll(ctx context.Context, addr string, q rollAsked) (rollTold, error) {
-	if err := o.reach(ctx, addr); err != nil {
-		return rollTold{}, err
+func (o simPeers) records(ctx context.Context, addr string, q recordsRequest) (recordsReply, error) {
+	if err := o.connect(ctx, addr); err != nil {
+		return recordsReply{}, err
 	}
 	j := o.b.index[addr]
 	t, err := o.b.rolls[j].serve(ctx, q)
 	if err != nil {
-		return rollTold{}, errors.Wrap(link.ErrRefused, err.Error())
+		return recordsReply{}, errors.Wrap(link.ErrRefused, err.Error())
 	}
 	return t, o.transfer(ctx, j, float64(1+len(t.Records)))
 }
@@ -165,9 +165,9 @@
 	return nil
 }
 
-// reach is refused while one of the two instances does not know the fleet key.
-func (o simPeers) reach(_ context.Context, addr string) error {
-	time.Sleep(linkAnswer)
+// connect is refused while one of the two instances does not know the fleet key.
+func (o simPeers) connect(_ context.Context, addr string) error {
+	time.Sleep(linkLatency)
 	if len(o.b.boards[o.i].Key()) == 0 || len(o.b.boards[o.b.index[addr]].Key()) == 0 {
 		return link.ErrRefused
 	}
--- a/relay/log.go
+++ b/relay/log.go
@@ -46,19 +46,19 @@
 	return &feedLog{changed: make(chan struct{}), content: map[string]Record{}}
 }
 
-// restart takes over the result of a full read of the feed. Its differences from the former content are added to the
+// reset takes over the result of a full read of the feed. Its differences from the former content are added to the
 // history, so that other instances need not read the whole feed from the store after the store has dropped its own history.
-func (l *feedLog) restart(u heard, direct bool) {
+func (l *feedLog) reset(u update, direct bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.position == 0 {
-		l.floor = u.at
+		l.floor = u.position
 		l.apply(u.records)
 		l.advance(u, direct)
 		return
 	}
 	out := l.diffLocked(u)
-	l.addGap(u.at)
+	l.addGap(u.position)
 	l.appendLocked(out)
 	l.advance(u, direct)
 }
@@ -83,7 +83,7 @@
 }
 
 // diffLocked returns the changes that lead from the present content to that of a full read; the caller holds the lock.
-func (l *feedLog) diffLocked(u heard) []Record {
+func (l *feedLog) diffLocked(u update) []Record {
 	var out []Record
 	listed := make(map[string]bool, len(u.records))
 	for _, r := range u.records {
@@ -93,9 +93,9 @@
 			// A store that has lost writes gives unchanged content new positions.
 			continue
 		}
-		if r.Revision.Era() != u.at.Era() && !bytes.Equal(r.Value, held.Value) {
+		if r.Revision.Era() != u.position.Era() && !bytes.Equal(r.Value, held.Value) {
 			// The instance that passed this record on has held it since before the loss, while the value that is held here was lost.
-			r.Revision = u.at
+			r.Revision = u.position
 		}
 		if r.Revision > held.Revision {
 			out = append(out, r)
@@ -104,26 +104,26 @@
 	for key := range l.content {
 		if !listed[key] {
 			// When the key was removed is unknown, but it was no later than the full read.
-			out = append(out, Record{Key: key, Revision: u.at, Gone: true})
+			out = append(out, Record{Key: key, Revision: u.position, Gone: true})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Revision < out[j].Revision })
 	return out
 }
 
-// missing returns the changes that lead from the present content to that of a full read.
-func (l *feedLog) missing(u heard) []Record {
+// diff returns the changes that lead from the present content to that of a full read.
+func (l *feedLog) diff(u update) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.diffLocked(u)
 }
 
-// extend adds an update.
-func (l *feedLog) extend(u heard, direct bool) {
+// append adds an update.
+func (l *feedLog) append(u update, direct bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if u.skips || u.at.Era() != l.position.Era() {
-		l.addGap(u.at)
+	if u.hasGap || u.position.Era() != l.position.Era() {
+		l.addGap(u.position)
 	}
 	l.appendLocked(u.records)
 	l.advance(u, direct)
@@ -152,8 +152,8 @@
 }
 
 // advance updates the position and wakes the waiting polls; the caller holds the lock.
-func (l *feedLog) advance(u heard, direct bool) {
-	l.position = max(l.position, u.at)
+func (l *feedLog) advance(u update, direct bool) {
+	l.position = max(l.position, u.position)
 	if u.known.After(l.known) {
 		l.known = u.known
 	}
@@ -173,37 +173,37 @@
 	l.changed = make(chan struct{})
 }
 
-// lose notes that this instance does not follow the feed in the store at present.
-func (l *feedLog) lose() {
+// clearDirect notes that this instance does not follow the feed in the store at present.
+func (l *feedLog) clearDirect() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.direct = false
 	l.notifyLocked()
 }
 
-// followed reports whether this instance follows the feed in the store itself.
-func (l *feedLog) followed() bool {
+// isDirect reports whether this instance follows the feed in the store itself.
+func (l *feedLog) isDirect() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.direct
 }
 
-// packed returns the compressed records of a span of the feed; it returns nil if they are too small to be worth compressing.
-func (l *feedLog) packed(part span, records []Record) ([]byte, error) {
+// compressed returns the compressed records of a span of the feed; it returns nil if they are too small to be worth compressing.
+func (l *feedLog) compressed(part span, records []Record) ([]byte, error) {
 	l.cacheMu.Lock()
 	defer l.cacheMu.Unlock()
 	return l.cache.get(part, records)
 }
 
-// news returns a channel that is closed at the next update.
-func (l *feedLog) news() <-chan struct{} {
+// nextChange returns a channel that is closed at the next update.
+func (l *feedLog) nextChange() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// reached returns the position up to which the feed is known, and the time up to which that is known to be current.
-func (l *feedLog) reached() (at follow.Position, known time.Time) {
+// progress returns the position up to which the feed is known, and the time up to which that is known to be current.
+func (l *feedLog) progress() (at follow.Position, known time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.position, l.known
@@ -211,18 +211,18 @@
 
 // view is the content or the changes of a feedLog at one moment.
 type view struct {
-	heard
-	// whole is false if changes after the requested position are missing.
-	whole   bool
-	direct  bool
-	changed <-chan struct{}
+	update
+	// complete is false if changes after the requested position are missing.
+	complete bool
+	direct   bool
+	changed  <-chan struct{}
 }
 
 // all returns the full content.
 func (l *feedLog) all() view {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := view{heard: heard{at: l.position, known: l.known}, whole: true, direct: l.direct, changed: l.changed}
+	v := view{update: update{position: l.position, known: l.known}, complete: true, direct: l.direct, changed: l.changed}
 	for _, r := range l.content {
 		v.records = append(v.records, r)
 	}
@@ -242,7 +242,7 @@
 func (l *feedLog) since(after follow.Position) view {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := view{heard: heard{at: l.position, known: l.known}, whole: l.coversLocked(after), direct: l.direct, changed: l.changed}
+	v := view{update: update{position: l.position, known: l.known}, complete: l.coversLocked(after), direct: l.direct, changed: l.changed}
 	for _, r := range l.history {
 		if r.Revision > after {
 			v.records = append(v.records, r)
--- a/relay/log_test.go
+++ b/relay/log_test.go
@@ -18,19 +18,19 @@
 	"junctioncross/timer"
 )
 
-func updateAt(revision follow.Position, records ...Record) heard {
-	return heard{records: records, at: revision, known: time.Unix(int64(revision), 0)}
+func updateAt(revision follow.Position, records ...Record) update {
+	return update{records: records, position: revision, known: time.Unix(int64(revision), 0)}
 }
 
 // TestRereadingAddsTheDifferencesToTheHistory changes, adds and removes keys between two full reads of a feed.
 func TestRereadingAddsTheDifferencesToTheHistory(t *testing.T) {
 	l := newFeedLog()
-	l.restart(updateAt(5, Record{Key: "a", Revision: 1}, Record{Key: "b", Revision: 2}, Record{Key: "c", Revision: 3}), true)
-	l.restart(updateAt(9, Record{Key: "a", Revision: 1}, Record{Key: "b", Revision: 7}, Record{Key: "d", Revision: 8}), true)
+	l.reset(updateAt(5, Record{Key: "a", Revision: 1}, Record{Key: "b", Revision: 2}, Record{Key: "c", Revision: 3}), true)
+	l.reset(updateAt(9, Record{Key: "a", Revision: 1}, Record{Key: "b", Revision: 7}, Record{Key: "d", Revision: 8}), true)
 	v := l.since(5)
-	require.True(t, v.whole)
+	require.True(t, v.complete)
 	require.Equal(t, []Record{{Key: "b", Revision: 7}, {Key: "d", Revision: 8}, {Key: "c", Revision: 9, Gone: true}}, v.records)
-	require.False(t, l.since(4).whole, "the history begins with the first full read")
+	require.False(t, l.since(4).complete, "the history begins with the first full read")
 }
 
 // TestFollowersOfALogHaveItsContent draws random changes and full reads, and a follower that asks at random times.
@@ -38,7 +38,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		store, revision := map[string]Record{}, follow.Position(1)
 		l := newFeedLog()
-		l.restart(updateAt(revision), true)
+		l.reset(updateAt(revision), true)
 		follower, heardTo := map[string]Record{}, revision
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			revision++
@@ -50,17 +50,17 @@
 				for _, one := range store {
 					all = append(all, one)
 				}
-				l.restart(updateAt(revision, all...), true)
+				l.reset(updateAt(revision, all...), true)
 			} else {
-				l.extend(updateAt(revision, r), true)
+				l.append(updateAt(revision, r), true)
 			}
 			if rapid.Bool().Draw(t, "asks") {
 				v := l.since(heardTo)
-				require.True(t, v.whole)
+				require.True(t, v.complete)
 				for _, one := range v.records {
 					apply(follower, one)
 				}
-				heardTo = v.at
+				heardTo = v.position
 				require.Equal(t, store, follower)
 			}
 		}
@@ -84,27 +84,27 @@
 	for i := range servers {
 		all = append(all, Record{Key: key(i), Revision: follow.Position(i + 1)})
 	}
-	l.restart(updateAt(servers, all...), true)
+	l.reset(updateAt(servers, all...), true)
 	revision := follow.Position(servers)
 	for _, gone := range []bool{true, false} {
 		for i := range servers {
 			revision++
-			l.extend(updateAt(revision, Record{Key: key(i), Revision: revision, Gone: gone}), true)
+			l.append(updateAt(revision, Record{Key: key(i), Revision: revision, Gone: gone}), true)
 		}
 	}
 	v := l.since(servers)
-	require.True(t, v.whole)
+	require.True(t, v.complete)
 	require.Len(t, v.records, 2*servers)
 }
 
 // laterRelay is a relay that has read a feed later than the instance that polls it; it implements peers.
 type laterRelay struct{ peers }
 
-func (laterRelay) poll(_ context.Context, _ string, p poll) (told, error) {
-	if !p.Whole {
-		return told{Behind: true}, nil
+func (laterRelay) poll(_ context.Context, _ string, p poll) (pollReply, error) {
+	if !p.Full {
+		return pollReply{Behind: true}, nil
 	}
-	return told{Records: []Record{{Key: "kept", Revision: 2}, {Key: "new", Revision: 8}}, At: 9}, nil
+	return pollReply{Records: []Record{{Key: "kept", Revision: 2}, {Key: "new", Revision: 8}}, At: 9}, nil
 }
 
 // TestInstanceBehindItsRelaysHistoryRequestsTheFullFeed polls a relay whose history begins after the instance's position.
@@ -112,14 +112,14 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	all := instances(1, 30)
-	self := Self{Name: all[9].Name, Domain: all[9].Domain, From: 24, ApplyTime: promise}
-	s := New(self, scenarioStore{p: newPlay(all, day{})}, known(all), nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
+	self := Self{Name: all[9].Name, Domain: all[9].Domain, RelaysFrom: 24, ApplyTime: applyDeadline}
+	s := New(self, scenarioStore{p: newSimulation(all, scenario{})}, staticFleet(all), nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
 	s.peers = laterRelay{}
-	s.logs[follow.FeedConfig].restart(updateAt(5, Record{Key: "kept", Revision: 2}, Record{Key: "gone", Revision: 3}), false)
-	h, err := s.catchUp(t.Context(), s.ways()[0], follow.FeedConfig, 5)
+	s.logs[follow.FeedConfig].reset(updateAt(5, Record{Key: "kept", Revision: 2}, Record{Key: "gone", Revision: 3}), false)
+	h, err := s.catchUp(t.Context(), s.upstreams()[0], follow.FeedConfig, 5)
 	require.NoError(t, err)
 	require.Equal(t, []Record{{Key: "new", Revision: 8}, {Key: "gone", Revision: 9, Gone: true}}, h.records)
-	_, err = s.catchUp(t.Context(), s.ways()[0], follow.FeedConfig, 10)
+	_, err = s.catchUp(t.Context(), s.upstreams()[0], follow.FeedConfig, 10)
 	require.ErrorIs(t, err, follow.ErrUnavailable, "a relay that knows less cannot serve")
 }
 
@@ -134,17 +134,17 @@
 func TestChangesUnderReusedRevisionsArePassedOn(t *testing.T) {
 	l := newFeedLog()
 	same, lost := []byte("same"), []byte("lost")
-	l.restart(updateAt(positionOf(1, 800), Record{Key: "a", Value: same, Revision: positionOf(1, 700)}), true)
-	l.extend(updateAt(positionOf(1, 900), Record{Key: "b", Value: lost, Revision: positionOf(1, 900)}), true)
-	l.restart(updateAt(positionOf(2, 870), Record{Key: "a", Value: same, Revision: positionOf(2, 700)}), true)
+	l.reset(updateAt(positionOf(1, 800), Record{Key: "a", Value: same, Revision: positionOf(1, 700)}), true)
+	l.append(updateAt(positionOf(1, 900), Record{Key: "b", Value: lost, Revision: positionOf(1, 900)}), true)
+	l.reset(updateAt(positionOf(2, 870), Record{Key: "a", Value: same, Revision: positionOf(2, 700)}), true)
 	changed := Record{Key: "a", Value: []byte("other"), Revision: positionOf(2, 880)}
-	l.extend(updateAt(positionOf(2, 880), changed), true)
+	l.append(updateAt(positionOf(2, 880), changed), true)
 	v := l.since(positionOf(1, 900))
-	require.True(t, v.whole)
+	require.True(t, v.complete)
 	require.Equal(t, []Record{{Key: "b", Revision: positionOf(2, 870), Gone: true}, changed}, v.records, "unchanged records are not passed on again")
-	require.True(t, l.since(positionOf(1, 850)).whole)
-	require.False(t, l.since(positionOf(1, 901)).whole, "a follower that knows more of the former era needs a full read")
-	require.False(t, l.since(positionOf(3, 1)).whole, "the log cannot serve a follower of a later era")
+	require.True(t, l.since(positionOf(1, 850)).complete)
+	require.False(t, l.since(positionOf(1, 901)).complete, "a follower that knows more of the former era needs a full read")
+	require.False(t, l.since(positionOf(3, 1)).complete, "the log cannot serve a follower of a later era")
 }
 
 // lossyStore is a store that may lose its latest writes.
@@ -189,33 +189,33 @@
 // updateLog updates a log from the store as a relay does: with the changes after its position, or with a full read after the
 // store has lost writes.
 func (s *lossyStore) updateLog(l *feedLog) {
-	held, _ := l.reached()
+	held, _ := l.progress()
 	if held.Era() != s.at.Era() {
-		l.restart(heard{records: slices.Collect(maps.Values(s.content)), at: s.at}, true)
+		l.reset(update{records: slices.Collect(maps.Values(s.content)), position: s.at}, true)
 		return
 	}
-	h := heard{at: s.at}
+	h := update{position: s.at}
 	for _, r := range s.history {
 		if r.Revision > held {
 			h.records = append(h.records, r)
 		}
 	}
-	l.extend(h, true)
+	l.append(h, true)
 }
 
 // followLog updates a log from another one, as an instance that follows a relay does.
 func followLog(l, from *feedLog) {
-	held, _ := l.reached()
+	held, _ := l.progress()
 	v := from.since(held)
-	h := v.heard
-	if !v.whole {
-		h = from.all().heard
-		if h.at < held {
+	h := v.update
+	if !v.complete {
+		h = from.all().update
+		if h.position < held {
 			return
 		}
-		h.records, h.skips = l.missing(h), true
+		h.records, h.hasGap = l.diff(h), true
 	}
-	l.extend(h, false)
+	l.append(h, false)
 }
 
 func values(l *feedLog) map[string]string {
@@ -234,7 +234,7 @@
 		kept := store.copy()
 		relays, follower := []*feedLog{newFeedLog(), newFeedLog()}, newFeedLog()
 		for _, l := range append(relays, follower) {
-			l.restart(heard{at: store.at}, true)
+			l.reset(update{position: store.at}, true)
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			one := relays[rapid.IntRange(0, 1).Draw(t, "relay")]
@@ -270,15 +270,15 @@
 // removed.
 func TestFollowerInsideAGapReadsTheFullFeed(t *testing.T) {
 	l := newFeedLog()
-	l.restart(updateAt(5), true)
-	l.restart(updateAt(9), true)
-	require.True(t, l.since(5).whole)
-	require.False(t, l.since(7).whole)
-	require.True(t, l.since(9).whole)
+	l.reset(updateAt(5), true)
+	l.reset(updateAt(9), true)
+	require.True(t, l.since(5).complete)
+	require.False(t, l.since(7).complete)
+	require.True(t, l.since(9).complete)
 	for n := range follow.Position(2 * maxGaps) {
-		l.restart(updateAt(20+10*n), true)
+		l.reset(updateAt(20+10*n), true)
 	}
-	require.False(t, l.since(15).whole, "the history begins after a gap that has been dropped")
+	require.False(t, l.since(15).complete, "the history begins after a gap that has been dropped")
 }
 
 // TestEntryRestoredFromABackupKeepsItsRevision removes a key and restores the store from a backup that still holds it. The
@@ -286,9 +286,9 @@
 func TestEntryRestoredFromABackupKeepsItsRevision(t *testing.T) {
 	l := newFeedLog()
 	old := Record{Key: "a", Value: []byte("old"), Revision: positionOf(1, 700)}
-	l.restart(updateAt(positionOf(1, 800), old), true)
-	l.extend(updateAt(positionOf(1, 900), Record{Key: "a", Revision: positionOf(1, 900), Gone: true}), true)
+	l.reset(updateAt(positionOf(1, 800), old), true)
+	l.append(updateAt(positionOf(1, 900), Record{Key: "a", Revision: positionOf(1, 900), Gone: true}), true)
 	old.Revision = positionOf(2, 700)
-	l.restart(updateAt(positionOf(2, 870), old), true)
+	l.reset(updateAt(positionOf(2, 870), old), true)
 	require.Equal(t, []Record{old}, l.since(positionOf(1, 900)).records)
 }
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -16,40 +16,40 @@
 )
 
 // drawDay draws the faults of a scenario at random; members must be grouped by domain.
-func drawDay(random *rand.Rand, members []census.Instance, promise time.Duration) day {
-	d := day{length: 30 * time.Second, promise: promise}
+func drawDay(random *rand.Rand, members []census.Instance, promise time.Duration) scenario {
+	d := scenario{length: 30 * time.Second, applyDeadline: promise}
 	for range 1 + random.IntN(3) {
 		d.faults = append(d.faults, drawFault(random, members))
 	}
-	for at := settled; at < d.length-promise; at += time.Duration((0.3 + 2*random.Float64()) * float64(time.Second)) {
+	for at := warmUpTime; at < d.length-promise; at += time.Duration((0.3 + 2*random.Float64()) * float64(time.Second)) {
 		if !d.down(at, len(members)) {
-			d.accepted = append(d.accepted, at)
+			d.acceptedAt = append(d.acceptedAt, at)
 		}
 	}
 	for range random.IntN(2) {
-		d.forgotten = append(d.forgotten, settled+time.Duration(random.Float64()*float64(20*time.Second)))
+		d.historyLostAt = append(d.historyLostAt, warmUpTime+time.Duration(random.Float64()*float64(20*time.Second)))
 	}
 	return d
 }
 
 func drawFault(random *rand.Rand, members []census.Instance) fault {
-	f := fault{hits: make([]bool, len(members)), from: settled + time.Duration(random.Float64()*float64(15*time.Second))}
+	f := fault{affected: make([]bool, len(members)), from: warmUpTime + time.Duration(random.Float64()*float64(15*time.Second))}
 	f.until = f.from + time.Duration((0.5+8*random.Float64())*float64(time.Second))
 	share := []float64{0.05, 0.35, 0.7, 0.95, 1}[random.IntN(5)]
-	for i := range f.hits {
-		f.hits[i] = random.Float64() < share
+	for i := range f.affected {
+		f.affected[i] = random.Float64() < share
 	}
 	switch n := random.IntN(8); n {
 	case 0:
 		f.killed = true
 	case 1:
-		f.cut = true
-		inDomain(f.hits, members, random)
+		f.partitioned = true
+		inDomain(f.affected, members, random)
 	case 2:
-		f.cut, f.kind = true, silent
-		inDomain(f.hits, members, random)
+		f.partitioned, f.access = true, silent
+		inDomain(f.affected, members, random)
 	default:
-		f.kind = []access{slow, refused, silent, refused, silent}[n-3]
+		f.access = []access{slow, refused, silent, refused, silent}[n-3]
 	}
 	return f
 }
@@ -115,35 +115,35 @@
 
 // playOutages simulates the scenario of a seed. Each twentieth scenario has 295 instances in 5 domains, the others 72 in 3.
 func playOutages(t *testing.T, seed uint64) {
-	members, within := instances(3, 24), promise
+	members, within := instances(3, 24), applyDeadline
 	if seed%20 == 19 {
-		members, within = instances(5, 59), longPromise
+		members, within = instances(5, 59), largeFleetApplyDeadline
 	}
-	var p *play
+	var p *simulation
 	var broken []string
 	synctest.Test(t, func(*testing.T) {
-		p = newPlay(members, drawDay(rand.New(rand.NewPCG(seed, 1)), members, within))
+		p = newSimulation(members, drawDay(rand.New(rand.NewPCG(seed, 1)), members, within))
 		broken = p.run()
 	})
 	if len(broken) > 0 {
 		t.Errorf("%d times, first %s; %s", len(broken), broken[0], p.describe())
 	}
-	if most := slices.Max(p.calls); most > mostCalls {
+	if most := slices.Max(p.calls); most > maxCalls {
 		t.Errorf("%d calls of one instance; %s", most, p.describe())
 	}
 }
 
 // describe returns the faults of a scenario in a line.
-func (d day) describe() string {
+func (d scenario) describe() string {
 	var out string
 	for _, f := range d.faults {
 		hit := 0
-		for _, h := range f.hits {
+		for _, h := range f.affected {
 			if h {
 				hit++
 			}
 		}
-		out += fmt.Sprintf("[%s to %s: %d hit, store %d, killed %t, cut %t] ", f.from, f.until, hit, f.kind, f.killed, f.cut)
+		out += fmt.Sprintf("[%s to %s: %d hit, store %d, killed %t, cut %t] ", f.from, f.until, hit, f.access, f.killed, f.partitioned)
 	}
 	return out
 }
--- a/relay/peers.go
+++ b/relay/peers.go
@@ -9,22 +9,24 @@
 // peers calls other instances; its errors are those of package link.
 type peers interface {
 	// poll polls the relay at addr for updates of a feed.
-	poll(ctx context.Context, addr string, p poll) (told, error)
-	// roll requests the registration records from the relay at addr.
-	roll(ctx context.Context, addr string, q rollAsked) (rollTold, error)
-	// reach connects to the instance at addr unless there is a connection already.
-	reach(ctx context.Context, addr string) error
+	poll(ctx context.Context, addr string, p poll) (pollReply, error)
+	// records requests the registration records from the relay at addr.
+	records(ctx context.Context, addr string, q recordsRequest) (recordsReply, error)
+	// connect connects to the instance at addr unless there is a connection already.
+	connect(ctx context.Context, addr string) error
 }
 
-// linked calls other instances over the connections of package link; it implements peers.
-type linked struct{ client *link.Client }
+// linkPeers calls other instances over the connections of package link; it implements peers.
+type linkPeers struct{ client *link.Client }
 
-func (l linked) poll(ctx context.Context, addr string, p poll) (told, error) {
-	return link.Call[poll, told](ctx, l.client, addr, link.KindFollow, p)
+func (l linkPeers) poll(ctx context.Context, addr string, p poll) (pollReply, error) {
+	return link.Call[poll, pollReply](ctx, l.client, addr, link.KindPoll, p)
 }
 
-func (l linked) roll(ctx context.Context, addr string, q rollAsked) (rollTold, error) {
-	return link.Call[rollAsked, rollTold](ctx, l.client, addr, link.KindRoll, q)
+func (l linkPeers) records(ctx context.Context, addr string, q recordsRequest) (recordsReply, error) {
+	return link.Call[recordsRequest, recordsReply](ctx, l.client, addr, link.KindRecords, q)
 }
 
-func (l linked) reach(ctx context.Context, addr string) error { return l.client.Reach(ctx, addr) }
+func (l linkPeers) connect(ctx context.Context, addr string) error {
+	return l.client.Connect(ctx, addr)
+}
--- a/relay/platform_test.go
+++ b/relay/platform_test.go
@@ -15,7 +15,7 @@
 
 // scenarioStore is the simulated store as one instance sees it; it implements Store.
 type scenarioStore struct {
-	p *play
+	p *simulation
 	i int
 }
 
@@ -26,11 +26,11 @@
 	s.p.mu.Unlock()
 	switch s.p.access(s.i, s.p.now()) {
 	case served:
-		time.Sleep(storeAnswer)
+		time.Sleep(storeLatency)
 	case slow:
 		time.Sleep(slowStoreLatency)
 	case refused:
-		time.Sleep(storeAnswer)
+		time.Sleep(storeLatency)
 		return follow.ErrUnavailable
 	case silent:
 		<-ctx.Done()
@@ -46,7 +46,7 @@
 
 // ReadFeed implements Store.
 func (s scenarioStore) ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error) {
-	ctx, cancel := context.WithTimeout(ctx, PageTime)
+	ctx, cancel := context.WithTimeout(ctx, PageTimeout)
 	defer cancel()
 	if err := s.ask(ctx); err != nil {
 		return nil, 0, err
@@ -61,7 +61,7 @@
 func recordsOf(feed follow.Feed, after, version int64) []Record {
 	switch feed {
 	case follow.FeedConfig:
-		return []Record{{Key: keyOfConfig, Revision: follow.Position(version)}}
+		return []Record{{Key: configKey, Revision: follow.Position(version)}}
 	case follow.FeedQuarantine:
 		var out []Record
 		for v := after + 1; v <= version; v++ {
@@ -73,8 +73,8 @@
 	}
 }
 
-// keyOfConfig is the key of the configuration; all other records are ends.
-const keyOfConfig = "configuration"
+// configKey is the key of the configuration; all other records are ends.
+const configKey = "configuration"
 
 // endOfVersion returns the end that was written with a version.
 func endOfVersion(version int64) quarantine.End {
@@ -116,7 +116,7 @@
 func (s scenarioStore) Decode(records []Record) []follow.Change {
 	var out []follow.Change
 	for _, r := range records {
-		if r.Key != keyOfConfig {
+		if r.Key != configKey {
 			out = append(out, follow.EndSeen{End: endOfVersion(int64(r.Revision))})
 			continue
 		}
@@ -131,20 +131,20 @@
 
 // scenarioPeers are the other instances of a simulation as one instance sees them; it implements peers.
 type scenarioPeers struct {
-	p *play
+	p *simulation
 	i int
 }
 
-func (o scenarioPeers) poll(ctx context.Context, addr string, q poll) (told, error) {
-	if err := o.reach(ctx, addr); err != nil {
-		return told{}, err
+func (o scenarioPeers) poll(ctx context.Context, addr string, q poll) (pollReply, error) {
+	if err := o.connect(ctx, addr); err != nil {
+		return pollReply{}, err
 	}
 	j := o.p.index[addr]
 	o.p.mu.Lock()
 	s := o.p.sources[j]
 	o.p.mu.Unlock()
 	if s == nil {
-		return told{}, link.ErrLost
+		return pollReply{}, link.ErrLost
 	}
 	t, err := s.serve(ctx, q)
 	if o.p.partitioned(o.i, j, o.p.now()) {
@@ -152,23 +152,23 @@
 	}
 	switch {
 	case ctx.Err() != nil:
-		return told{}, errors.Wrap(link.ErrLost, ctx.Err().Error())
+		return pollReply{}, errors.Wrap(link.ErrLost, ctx.Err().Error())
 	case err != nil:
-		return told{}, errors.Wrap(link.ErrRefused, err.Error())
+		return pollReply{}, errors.Wrap(link.ErrRefused, err.Error())
 	}
 	return t, nil
 }
 
-func (o scenarioPeers) roll(context.Context, string, rollAsked) (rollTold, error) {
-	return rollTold{}, link.ErrRefused
+func (o scenarioPeers) records(context.Context, string, recordsRequest) (recordsReply, error) {
+	return recordsReply{}, link.ErrRefused
 }
 
-func (o scenarioPeers) reach(ctx context.Context, addr string) error {
+func (o scenarioPeers) connect(ctx context.Context, addr string) error {
 	j, now := o.p.index[addr], o.p.now()
 	if o.p.partitioned(o.i, j, now) || o.p.killed(j, now) {
 		<-ctx.Done()
 		return errors.Wrap(link.ErrUnreachable, ctx.Err().Error())
 	}
-	time.Sleep(linkAnswer)
+	time.Sleep(linkLatency)
 	return nil
 }
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -39,10 +39,10 @@
 type poll struct {
 	Feed  follow.Feed     `cbor:"1,keyasint"`
 	After follow.Position `cbor:"2,keyasint"`
-	// Whole asks for the full content of the feed.
-	Whole bool `cbor:"3,keyasint,omitempty"`
-	// Words holds the polling instance's own reports on servers.
-	Words []backend.Word `cbor:"4,keyasint,omitempty"`
+	// Full asks for the full content of the feed.
+	Full bool `cbor:"3,keyasint,omitempty"`
+	// Reports holds the polling instance's own reports on servers.
+	Reports []backend.SharedReport `cbor:"4,keyasint,omitempty"`
 	// Mark is the Mark of the last answer.
 	Mark time.Duration `cbor:"5,keyasint,omitempty"`
 	// NoWait asks for an answer at once, even if there are no updates.
@@ -56,16 +56,16 @@
 	Domain string `cbor:"10,keyasint,omitempty"`
 }
 
-// told is the answer to a poll.
-type told struct {
+// pollReply is the answer to a poll.
+type pollReply struct {
 	Records []Record        `cbor:"1,keyasint,omitempty"`
 	At      follow.Position `cbor:"2,keyasint"`
 	// Known is the moment up to which the feed holds no other changes, as time since the poll arrived; it may be negative.
 	Known time.Duration `cbor:"3,keyasint"`
 	// Behind is true when the relay's history does not reach back to the position.
 	Behind bool `cbor:"4,keyasint,omitempty"`
-	// Words holds the reports on servers that the relay has learned of since the polling instance's Mark.
-	Words []backend.Word `cbor:"5,keyasint,omitempty"`
+	// Reports holds the reports on servers that the relay has learned of since the polling instance's Mark.
+	Reports []backend.SharedReport `cbor:"5,keyasint,omitempty"`
 	// Mark says up to when the reports go, as time since the relay's start.
 	Mark time.Duration `cbor:"6,keyasint,omitempty"`
 	// ReferTo is the address of an instance that follows the store; an instance that does not follow it sets it in place of
@@ -79,23 +79,23 @@
 
 // Register adds the handler of polls to the calls that the instance answers.
 func (s *Source) Register(mux *link.Mux) {
-	link.Handle(mux, link.KindFollow, func(ctx context.Context, _ keys.Identity, p poll) (told, error) {
+	link.Handle(mux, link.KindPoll, func(ctx context.Context, _ keys.Identity, p poll) (pollReply, error) {
 		return s.serve(ctx, p)
 	})
 }
 
 // serve holds a poll until there are updates or its hold time has passed.
-func (s *Source) serve(ctx context.Context, p poll) (told, error) {
+func (s *Source) serve(ctx context.Context, p poll) (pollReply, error) {
 	if p.Feed < 0 || int(p.Feed) >= len(s.logs) {
-		return told{}, errors.New("relay: unknown feed")
+		return pollReply{}, errors.New("relay: unknown feed")
 	}
 	arrived := s.clock.Now()
-	if p.Whole {
+	if p.Full {
 		return s.serveFull(ctx, p.Feed, arrived)
 	}
-	s.overhear(p.Words)
+	s.applyPolledReports(p.Reports)
 	s.ends.Adopt(p.Ends)
-	s.noteAsker(p)
+	s.notePoller(p)
 	s.noteDirectPeer(p.DirectAddr, arrived)
 	wait := s.clock.After(s.holdTime(p.Feed))
 	for {
@@ -103,8 +103,8 @@
 		switch {
 		case s.stopped.Load() || !v.direct || !s.fresh():
 			return s.refer()
-		case !v.whole:
-			return told{Behind: true}, nil
+		case !v.complete:
+			return pollReply{Behind: true}, nil
 		case p.NoWait || len(v.records) > 0 || p.Feed == follow.FeedServers && s.turnedWorse(p.Mark):
 			return s.replyWithUpdates(p, v, arrived)
 		}
@@ -116,7 +116,7 @@
 		case <-wait:
 			return s.replyWithUpdates(p, s.logs[p.Feed].since(p.After), arrived)
 		case <-ctx.Done():
-			return told{}, ctx.Err()
+			return pollReply{}, ctx.Err()
 		}
 	}
 }
@@ -124,20 +124,20 @@
 // holdTime returns the longest that a poll is held.
 func (s *Source) holdTime(feed follow.Feed) time.Duration {
 	if feed == follow.FeedServers {
-		return min(max(wordsWait, time.Duration(s.tally.size())*wordsShare), pollHold)
+		return min(max(reportsHoldTime, time.Duration(s.pollers.count())*holdTimePerPoller), pollHold)
 	}
 	return pollHold
 }
 
 // replyWithUpdates returns the answer to a poll for updates.
-func (s *Source) replyWithUpdates(p poll, v view, arrived time.Time) (told, error) {
-	t, err := s.replyWithRecords(p.Feed, v, arrived, span{after: p.After, at: v.at})
+func (s *Source) replyWithUpdates(p poll, v view, arrived time.Time) (pollReply, error) {
+	t, err := s.replyWithRecords(p.Feed, v, arrived, span{after: p.After, at: v.position})
 	if err != nil {
-		return told{}, err
+		return pollReply{}, err
 	}
 	switch p.Feed {
 	case follow.FeedServers:
-		t.Words, t.Mark = s.pass(p.Mark)
+		t.Reports, t.Mark = s.reportsSince(p.Mark)
 	case follow.FeedConfig:
 		t.Counts = s.counts()
 	case follow.FeedQuarantine:
@@ -146,26 +146,26 @@
 }
 
 // serveFull answers with the full content of a feed. An instance that is starting may have to read the feed first.
-func (s *Source) serveFull(ctx context.Context, feed follow.Feed, arrived time.Time) (told, error) {
+func (s *Source) serveFull(ctx context.Context, feed follow.Feed, arrived time.Time) (pollReply, error) {
 	wait := s.clock.After(fullFeedHold)
 	for {
-		config := s.logs[follow.FeedConfig].news()
+		config := s.logs[follow.FeedConfig].nextChange()
 		v := s.logs[feed].all()
 		switch {
-		case !s.stopped.Load() && v.at > 0 && s.fresh():
+		case !s.stopped.Load() && v.position > 0 && s.fresh():
 			// An instance that has the feed from a relay may serve it as well: the polling instance knows nothing yet, so it
 			// cannot get its own updates back.
-			return s.replyWithRecords(feed, v, arrived, span{at: v.at, whole: true})
+			return s.replyWithRecords(feed, v, arrived, span{at: v.position, whole: true})
 		case s.stopped.Load() || !s.starting():
-			return told{}, errNotDirect
+			return pollReply{}, errNotDirect
 		}
 		select {
 		case <-v.changed:
 		case <-config:
 		case <-wait:
-			return told{}, errNotDirect
+			return pollReply{}, errNotDirect
 		case <-ctx.Done():
-			return told{}, ctx.Err()
+			return pollReply{}, ctx.Err()
 		}
 	}
 }
@@ -173,7 +173,7 @@
 // starting reports whether some feed has not been read yet.
 func (s *Source) starting() bool {
 	for _, l := range s.logs {
-		if at, _ := l.reached(); at == 0 {
+		if at, _ := l.progress(); at == 0 {
 			return true
 		}
 	}
@@ -181,11 +181,11 @@
 }
 
 // replyWithRecords returns an answer with the records of a view, which cover the given span of a feed.
-func (s *Source) replyWithRecords(feed follow.Feed, v view, arrived time.Time, part span) (told, error) {
-	t := told{At: v.at, Known: v.known.Sub(arrived)}
-	packed, err := s.logs[feed].packed(part, v.records)
+func (s *Source) replyWithRecords(feed follow.Feed, v view, arrived time.Time, part span) (pollReply, error) {
+	t := pollReply{At: v.position, Known: v.known.Sub(arrived)}
+	packed, err := s.logs[feed].compressed(part, v.records)
 	if err != nil {
-		return told{}, err
+		return pollReply{}, err
 	}
 	if packed != nil {
 		t.Packed = packed
@@ -197,22 +197,22 @@
 
 // fresh reports whether the configuration was confirmed lately, which shows that the store still answers.
 func (s *Source) fresh() bool {
-	_, known := s.logs[follow.FeedConfig].reached()
+	_, known := s.logs[follow.FeedConfig].progress()
 	return s.clock.Since(known) <= freshTime
 }
 
 // freshFor returns how long the configuration stays fresh if it is not confirmed again.
 func (s *Source) freshFor() time.Duration {
-	_, known := s.logs[follow.FeedConfig].reached()
+	_, known := s.logs[follow.FeedConfig].progress()
 	return max(freshTime-s.clock.Since(known), 0) + time.Millisecond
 }
 
 // ask polls the instance at addr.
-func (s *Source) ask(ctx context.Context, addr string, p poll) (heard, error) {
+func (s *Source) ask(ctx context.Context, addr string, p poll) (update, error) {
 	s.stats.Counter("relay_polls_total").Inc(1)
 	limit := pollHold + peerTimeout
 	switch {
-	case p.Whole:
+	case p.Full:
 		limit = fullFeedHold + fullFeedTimeout
 	case p.NoWait:
 		limit = peerTimeout
@@ -220,34 +220,34 @@
 	ctx, cancel := s.clock.WithTimeout(ctx, limit)
 	defer cancel()
 	asked := s.clock.Now()
-	s.attach(&p, addr, asked)
+	s.attachReports(&p, addr, asked)
 	if p.Feed == follow.FeedQuarantine {
 		p.Ends = s.ends.Untold()
 	}
 	p.DirectAddr = s.directAddr()
-	if p.Feed == follow.FeedConfig && !p.Whole {
+	if p.Feed == follow.FeedConfig && !p.Full {
 		p.Name, p.Domain = s.self.Name, s.self.Domain
 	}
 	t, err := s.peers.poll(ctx, addr, p)
 	switch {
 	case errors.Is(err, link.ErrRefused):
-		return heard{}, refusal{cause: err}
+		return update{}, refusal{cause: err}
 	case err != nil:
-		return heard{}, errors.Wrap(follow.ErrUnavailable, err.Error())
+		return update{}, errors.Wrap(follow.ErrUnavailable, err.Error())
 	}
 	if t.ReferTo != "" {
-		return heard{}, refusal{cause: errNotDirect, referTo: t.ReferTo}
+		return update{}, refusal{cause: errNotDirect, referTo: t.ReferTo}
 	}
 	if t.Behind {
-		return heard{}, errBehind
+		return update{}, errBehind
 	}
 	if t.Packed != nil {
-		if t.Records, err = unpack(t.Packed); err != nil {
-			return heard{}, errors.Wrap(follow.ErrUnavailable, err.Error())
+		if t.Records, err = decompress(t.Packed); err != nil {
+			return update{}, errors.Wrap(follow.ErrUnavailable, err.Error())
 		}
 	}
-	s.learn(p, t, addr, asked)
+	s.applyReply(p, t, addr, asked)
 	s.fleet.NoteCounts(t.Counts)
 	// The poll arrived after it was sent, so counting from when it was sent makes Known a little too old rather than too new.
-	return heard{records: t.Records, at: t.At, known: asked.Add(t.Known)}, nil
+	return update{records: t.Records, position: t.At, known: asked.Add(t.Known)}, nil
 }
--- a/relay/pollers.go
+++ b/relay/pollers.go
@@ -16,9 +16,9 @@
 	pollerTTL = 60 * time.Second
 )
 
-// tally counts the instances of a domain that poll its relay, because most instances of a large fleet have no record in the
+// pollerCounter counts the instances of a domain that poll its relay, because most instances of a large fleet have no record in the
 // store.
-type tally struct {
+type pollerCounter struct {
 	clock *timer.Service
 
 	mu        sync.Mutex
@@ -28,12 +28,12 @@
 	sweptAt  time.Time
 }
 
-func newTally(clock *timer.Service) *tally {
-	return &tally{clock: clock, lastPoll: map[string]time.Time{}}
+func newPollerCounter(clock *timer.Service) *pollerCounter {
+	return &pollerCounter{clock: clock, lastPoll: map[string]time.Time{}}
 }
 
 // add notes a poll of an instance.
-func (t *tally) add(name string) {
+func (t *pollerCounter) add(name string) {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// size returns the number of polling instances, and 0 while it is unknown.
-func (t *tally) size() int {
+// count returns the number of polling instances, and 0 while it is unknown.
+func (t *pollerCounter) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.startedAt.IsZero() || t.clock.Since(t.startedAt) < pollerCountDelay {
@@ -62,16 +62,16 @@
 	return len(t.lastPoll)
 }
 
-// noteAsker counts the polling instance if it belongs to the domain of this instance.
-func (s *Source) noteAsker(p poll) {
+// notePoller counts the polling instance if it belongs to the domain of this instance.
+func (s *Source) notePoller(p poll) {
 	if p.Domain == s.self.Domain && p.Name != "" {
-		s.tally.add(p.Name)
+		s.pollers.add(p.Name)
 	}
 }
 
 // counts returns the number of instances of each domain, as far as it is known.
 func (s *Source) counts() map[string]int {
-	if n := s.tally.size(); n > 0 && s.relay() {
+	if n := s.pollers.count(); n > 0 && s.relay() {
 		// The relay itself polls nobody.
 		s.fleet.NoteCounts(map[string]int{s.self.Domain: n + 1})
 	}
--- a/relay/rank.go
+++ b/relay/rank.go
@@ -60,11 +60,11 @@
 	return u.addr
 }
 
-// waysOf returns the upstreams of an instance in the order in which they are asked: the relay of its domain, the standby
+// upstreamsOf returns the upstreams of an instance in the order in which they are asked: the relay of its domain, the standby
 // relay, some relays of other domains, which help when the first two cannot reach the store, and last the store, which counts
 // each call of each instance. The relay itself asks the store first, the standby relay asks it right after the relay, and
 // both then ask the relays of all other domains.
-func waysOf(self string, domain string, members []census.Instance) []upstream {
+func upstreamsOf(self string, domain string, members []census.Instance) []upstream {
 	byDomain := ranked(members)
 	var upstreams []upstream
 	for i, m := range byDomain[domain] {
--- a/relay/rank_test.go
+++ b/relay/rank_test.go
@@ -27,7 +27,7 @@
 	all := members(12)
 	relays := map[string]int{}
 	for _, m := range all {
-		upstreams := waysOf(m.Name, m.Domain, all)
+		upstreams := upstreamsOf(m.Name, m.Domain, all)
 		if upstreams[0].direct() {
 			relays[m.Domain]++
 			continue
@@ -43,7 +43,7 @@
 	all := members(12)
 	asked := map[string]int{}
 	for _, m := range all {
-		upstreams := waysOf(m.Name, m.Domain, all)
+		upstreams := upstreamsOf(m.Name, m.Domain, all)
 		relays := ranked(all)[m.Domain]
 		own := []upstream{{addr: relays[0].Addr}, {addr: relays[1].Addr}}
 		switch m.Name {
--- a/relay/record.go
+++ b/relay/record.go
@@ -16,8 +16,8 @@
 	Gone bool `cbor:"4,keyasint,omitempty"`
 }
 
-// PageTime is how long a store may take for each page of a feed: a hundred times what it takes under normal load.
-const PageTime = 2 * time.Second
+// PageTimeout is how long a store may take for each page of a feed: a hundred times what it takes under normal load.
+const PageTimeout = 2 * time.Second
 
 // Store is the part of the platform's store that package relay needs.
 type Store interface {
@@ -34,13 +34,13 @@
 	Decode(records []Record) []follow.Change
 }
 
-// heard is the result of one call to the store or to a relay.
-type heard struct {
-	records []Record
-	at      follow.Position
+// update is the result of one call to the store or to a relay.
+type update struct {
+	records  []Record
+	position follow.Position
 	// known is the time up to which the records are known to be current.
 	known time.Time
-	// skips is true if the records are only the net changes between the former content and that at the position; keys that were
+	// hasGap is true if the records are only the net changes between the former content and that at the position; keys that were
 	// added and removed in between are missing.
-	skips bool
+	hasGap bool
 }
--- a/relay/referral.go
+++ b/relay/referral.go
@@ -56,7 +56,7 @@
 // lately.
 func (s *Source) followsStore() bool {
 	for _, l := range s.logs {
-		if !l.followed() {
+		if !l.isDirect() {
 			return false
 		}
 	}
@@ -82,13 +82,13 @@
 }
 
 // refer answers a poll that this instance cannot serve itself: it names a direct peer if it knows one, and fails otherwise.
-func (s *Source) refer() (told, error) {
+func (s *Source) refer() (pollReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if addr := s.directPeers.pick(s.clock.Now(), s.random()); addr != "" {
-		return told{ReferTo: addr}, nil
+		return pollReply{ReferTo: addr}, nil
 	}
-	return told{}, errNotDirect
+	return pollReply{}, errNotDirect
 }
 
 // insertReferral adds the instance that a refusal names to the upstreams that are still to be asked, unless one was added
@@ -96,7 +96,7 @@
 // both stop following the store.
 func (s *Source) insertReferral(upstreams []upstream, next int, feed follow.Feed, err error) []upstream {
 	var r refusal
-	if !errors.As(err, &r) || r.referTo == "" || s.logs[feed].followed() || !s.acceptReferral(feed, r.referTo) {
+	if !errors.As(err, &r) || r.referTo == "" || s.logs[feed].isDirect() || !s.acceptReferral(feed, r.referTo) {
 		return upstreams
 	}
 	return slices.Insert(upstreams, next, upstream{addr: r.referTo})
@@ -116,7 +116,7 @@
 // withReferral inserts the referral of a feed after the first upstream. Without a referral it uses one of the direct peers
 // that the instance knows, as a relay does that refers others to them. The caller holds the lock.
 func (s *Source) withReferral(upstreams []upstream, feed follow.Feed) []upstream {
-	if s.logs[feed].followed() {
+	if s.logs[feed].isDirect() {
 		return upstreams
 	}
 	if s.referral[feed] == (upstream{}) {
--- a/relay/referral_test.go
+++ b/relay/referral_test.go
@@ -33,35 +33,35 @@
 		found    = 4 * time.Second
 		interval = 200 * time.Millisecond
 	)
-	f := fault{kind: refused, from: settled, until: settled + outage, hits: make([]bool, len(members))}
+	f := fault{access: refused, from: warmUpTime, until: warmUpTime + outage, affected: make([]bool, len(members))}
 	for i, m := range members {
-		upstreams := waysOf(m.Name, m.Domain, members)
+		upstreams := upstreamsOf(m.Name, m.Domain, members)
 		early := upstreams[0].direct() || upstreams[1].direct()
-		f.hits[i] = early && len(members) > 8 || i%3 == 0
+		f.affected[i] = early && len(members) > 8 || i%3 == 0
 	}
-	p := newPlay(members, day{faults: []fault{f}, length: 30 * time.Second, promise: promise})
-	p.turn()
+	p := newSimulation(members, scenario{faults: []fault{f}, length: 30 * time.Second, applyDeadline: applyDeadline})
+	p.advance()
 	oldest, whose := time.Duration(0), ""
 	worst := time.Duration(0)
 	for p.now() < f.until {
 		time.Sleep(min(interval, f.until-p.now()))
 		if p.now() == f.from || p.now() == f.until {
-			p.turn()
+			p.advance()
 		}
 		synctest.Wait()
 		if p.now() < f.from {
 			continue
 		}
 		for i, m := range members {
-			_, known := p.sources[i].logs[follow.FeedConfig].reached()
+			_, known := p.sources[i].logs[follow.FeedConfig].progress()
 			age := time.Since(known)
 			worst = max(worst, age)
 			if age > oldest && p.now() >= f.from+found {
-				oldest, whose = age, fmt.Sprintf("%s at %s, hit %t", m.Name, p.now(), f.hits[i])
+				oldest, whose = age, fmt.Sprintf("%s at %s, hit %t", m.Name, p.now(), f.affected[i])
 			}
 		}
 	}
-	p.end()
+	p.stopAll()
 	require.LessOrEqual(t, oldest, keysAge, whose)
 	require.Less(t, worst, revoked)
 }
--- a/relay/registry.go
+++ b/relay/registry.go
@@ -31,14 +31,14 @@
 // errNoRecords means that the records could not be read on behalf of another instance.
 var errNoRecords = errors.New("relay: instances not counted")
 
-// rollAsked requests the registration records from another instance.
-type rollAsked struct {
+// recordsRequest requests the registration records from another instance.
+type recordsRequest struct {
 	// Known is the digest of the records that the requesting instance knows.
 	Known uint64 `cbor:"1,keyasint"`
 }
 
-// rollTold is the answer to a request for the records.
-type rollTold struct {
+// recordsReply is the answer to a request for the records.
+type recordsReply struct {
 	// Same is true if the requesting instance knows all records already; Records is empty then.
 	Same    bool            `cbor:"1,keyasint,omitempty"`
 	Records []census.Record `cbor:"2,keyasint,omitempty"`
@@ -46,10 +46,10 @@
 	Counts map[string]int `cbor:"3,keyasint,omitempty"`
 }
 
-// Rolls is a census.Register that reads the registration records through the relay of the domain, so that they are read from
+// Registry is a census.Register that reads the registration records through the relay of the domain, so that they are read from
 // the store once for each domain and not by each instance.
-type Rolls struct {
-	census.Register
+type Registry struct {
+	census.Registry
 	self  Self
 	fleet Fleet
 	peers peers
@@ -57,34 +57,34 @@
 
 	// readLock is a semaphore that is held during a read; snapshot and readAt are the result and the time of the last read.
 	readLock chan struct{}
-	snapshot census.Roll
+	snapshot census.Snapshot
 	readAt   time.Time
 	// lostRecords holds the records from before the store lost writes; they count up to lostUntil.
 	lostRecords []census.Record
 	lostUntil   time.Time
 }
 
-// NewRolls wraps the registry of the store: it lists the records through relays and passes all other calls on.
-func NewRolls(self Self, records census.Register, fleet Fleet, links *link.Client, clock *timer.Service) *Rolls {
-	return &Rolls{
-		Register: records, self: self, fleet: fleet, peers: linked{client: links}, clock: clock, readLock: make(chan struct{}, 1),
+// NewRegistry wraps the registry of the store: it lists the records through relays and passes all other calls on.
+func NewRegistry(self Self, records census.Registry, fleet Fleet, links *link.Client, clock *timer.Service) *Registry {
+	return &Registry{
+		Registry: records, self: self, fleet: fleet, peers: linkPeers{client: links}, clock: clock, readLock: make(chan struct{}, 1),
 	}
 }
 
 // AddTo registers the call for the records with those that the instance serves.
-func (r *Rolls) AddTo(mux *link.Mux) {
-	link.Handle(mux, link.KindRoll, func(ctx context.Context, _ keys.Identity, q rollAsked) (rollTold, error) {
+func (r *Registry) AddTo(mux *link.Mux) {
+	link.Handle(mux, link.KindRecords, func(ctx context.Context, _ keys.Identity, q recordsRequest) (recordsReply, error) {
 		return r.serve(ctx, q)
 	})
 }
 
 // List implements census.Register.
-func (r *Rolls) List(ctx context.Context) (census.Roll, error) {
+func (r *Registry) List(ctx context.Context) (census.Snapshot, error) {
 	members := r.fleet.Members()
 	if !r.self.relays(len(members), r.fleet.Instances()) || len(r.fleet.Key()) == 0 {
 		return r.readRecords(ctx, 0)
 	}
-	for i, w := range waysOf(r.self.Name, r.self.Domain, members) {
+	for i, w := range upstreamsOf(r.self.Name, r.self.Domain, members) {
 		if w.direct() && i == 0 {
 			r.fetchCounts(ctx, members)
 		}
@@ -92,17 +92,17 @@
 			break
 		}
 		if records, err := r.fetchRecords(ctx, w.addr, r.fleet.Records()); err == nil {
-			return census.Roll{Records: records, Key: r.fleet.Key()}, nil
+			return census.Snapshot{Records: records, Key: r.fleet.Key()}, nil
 		}
 	}
 	return r.readRecords(ctx, 0)
 }
 
 // fetchRecords requests the records from the instance at addr; known is returned if they are unchanged.
-func (r *Rolls) fetchRecords(ctx context.Context, addr string, known []census.Record) ([]census.Record, error) {
+func (r *Registry) fetchRecords(ctx context.Context, addr string, known []census.Record) ([]census.Record, error) {
 	ctx, cancel := r.clock.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
-	reply, err := r.peers.roll(ctx, addr, rollAsked{Known: digest(known)})
+	reply, err := r.peers.records(ctx, addr, recordsRequest{Known: digest(known)})
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 }
 
 // fetchCounts asks the relay of each other domain for the number of instances that it counts there.
-func (r *Rolls) fetchCounts(ctx context.Context, members []census.Instance) {
+func (r *Registry) fetchCounts(ctx context.Context, members []census.Instance) {
 	ctx, cancel := r.clock.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
 	var all sync.WaitGroup
@@ -123,7 +123,7 @@
 			continue
 		}
 		all.Go(func() {
-			reply, err := r.peers.roll(ctx, list[0].Addr, rollAsked{Known: digest(r.fleet.Records())})
+			reply, err := r.peers.records(ctx, list[0].Addr, recordsRequest{Known: digest(r.fleet.Records())})
 			if err == nil {
 				r.fleet.NoteCounts(map[string]int{domain: reply.Counts[domain]})
 			}
@@ -132,33 +132,33 @@
 	all.Wait()
 }
 
-func (r *Rolls) serve(ctx context.Context, q rollAsked) (rollTold, error) {
+func (r *Registry) serve(ctx context.Context, q recordsRequest) (recordsReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
 	snapshot, err := r.readRecords(ctx, maxSnapshotAge)
 	switch {
 	case err != nil || len(snapshot.Records) == 0:
-		return rollTold{}, errNoRecords
+		return recordsReply{}, errNoRecords
 	case digest(snapshot.Records) == q.Known:
-		return rollTold{Same: true, Counts: r.fleet.Counts()}, nil
+		return recordsReply{Same: true, Counts: r.fleet.Counts()}, nil
 	default:
-		return rollTold{Records: snapshot.Records, Counts: r.fleet.Counts()}, nil
+		return recordsReply{Records: snapshot.Records, Counts: r.fleet.Counts()}, nil
 	}
 }
 
 // readRecords returns a snapshot of at most the given age; concurrent calls share one read.
-func (r *Rolls) readRecords(ctx context.Context, age time.Duration) (census.Roll, error) {
+func (r *Registry) readRecords(ctx context.Context, age time.Duration) (census.Snapshot, error) {
 	select {
 	case r.readLock <- struct{}{}:
 	case <-ctx.Done():
-		return census.Roll{}, errors.Wrap(errNoRecords, ctx.Err().Error())
+		return census.Snapshot{}, errors.Wrap(errNoRecords, ctx.Err().Error())
 	}
 	defer func() { <-r.readLock }()
 	if !r.readAt.IsZero() && len(r.snapshot.Records) > 0 && len(r.snapshot.Key) > 0 && r.clock.Since(r.readAt) < age {
 		return r.snapshot, nil
 	}
 	startedAt := r.clock.Now()
-	snapshot, err := r.Register.List(ctx)
+	snapshot, err := r.Registry.List(ctx)
 	if err == nil {
 		snapshot = r.withLostRecords(snapshot)
 		r.snapshot, r.readAt = snapshot, startedAt
@@ -169,7 +169,7 @@
 // withLostRecords adds the records that the store has lost until lostUntil: shared limits must not be divided by only the
 // instances whose records are left. Their slots are marked as free, since no other record is known there. The caller holds
 // readLock.
-func (r *Rolls) withLostRecords(snapshot census.Roll) census.Roll {
+func (r *Registry) withLostRecords(snapshot census.Snapshot) census.Snapshot {
 	now := r.clock.Now()
 	if !r.readAt.IsZero() && snapshot.Era > r.snapshot.Era {
 		r.lostRecords, r.lostUntil = r.snapshot.Records, now.Add(lostRecordTTL)
--- a/relay/registry_test.go
+++ b/relay/registry_test.go
@@ -24,20 +24,20 @@
 
 // fakeRegistry holds the records of a fleet in memory, as one instance reads them from the store.
 type fakeRegistry struct {
-	census.Register
+	census.Registry
 	mu    sync.Mutex
-	roll  census.Roll
+	roll  census.Snapshot
 	down  bool
 	reads int
 }
 
 // List implements census.Register.
-func (r *fakeRegistry) List(context.Context) (census.Roll, error) {
+func (r *fakeRegistry) List(context.Context) (census.Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reads++
 	if r.down {
-		return census.Roll{}, errors.New("down")
+		return census.Snapshot{}, errors.New("down")
 	}
 	return r.roll, nil
 }
@@ -66,7 +66,7 @@
 type registryFleet struct {
 	members []census.Instance
 	records []*fakeRegistry
-	rolls   []*relay.Rolls
+	rolls   []*relay.Registry
 	servers []*link.Server
 }
 
@@ -85,9 +85,9 @@
 	for _, m := range c.members {
 		links := link.NewClient(trust, metrics.New())
 		t.Cleanup(links.Close)
-		own := &fakeRegistry{roll: census.Roll{Records: recordsOf(c.members), Key: key}}
-		self := relay.Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 2, ApplyTime: 3 * time.Second}
-		rolls := relay.NewRolls(self, own, fleet{members: c.members, key: key}, links, timer.NewReal())
+		own := &fakeRegistry{roll: census.Snapshot{Records: recordsOf(c.members), Key: key}}
+		self := relay.Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: 2, ApplyTime: 3 * time.Second}
+		rolls := relay.NewRegistry(self, own, fleet{members: c.members, key: key}, links, timer.NewReal())
 		mux := link.NewMux()
 		rolls.AddTo(mux)
 		server, err := link.Listen(m.Addr, trust, mux, metrics.New(), log)
@@ -142,9 +142,9 @@
 		for n := range 8 {
 			members = append(members, census.Instance{Name: fmt.Sprint(n), Domain: "east", Power: 1})
 		}
-		r := &fakeRegistry{roll: census.Roll{Era: 1}}
+		r := &fakeRegistry{roll: census.Snapshot{Era: 1}}
 		r.setMembers(members)
-		rolls := relay.NewRolls(relay.Self{Name: "0", Domain: "east", From: 24}, r, census.NewBoard(24), nil, timer.NewReal())
+		rolls := relay.NewRegistry(relay.Self{Name: "0", Domain: "east", RelaysFrom: 24}, r, census.NewView(24), nil, timer.NewReal())
 		count := func() []census.Record {
 			roll, err := rolls.List(t.Context())
 			require.NoError(t, err)
--- a/relay/rejecting_test.go
+++ b/relay/rejecting_test.go
@@ -51,9 +51,9 @@
 	links := link.NewClient(trust, metrics.New())
 	t.Cleanup(links.Close)
 	s := newStore()
-	self := relay.Self{Name: "self", Domain: "east", From: 2, ApplyTime: 3 * time.Second}
+	self := relay.Self{Name: "self", Domain: "east", RelaysFrom: 2, ApplyTime: 3 * time.Second}
 	clock := timer.New(clockwork.NewFakeClock())
-	one := relay.New(self, rejectingStore{view{store: s, caller: "self"}}, f, follow.NewBoard(), noEnds{}, links, clock, metrics.New(), log)
+	one := relay.New(self, rejectingStore{view{store: s, caller: "self"}}, f, follow.NewFleetView(), noEnds{}, links, clock, metrics.New(), log)
 	for n := range 4 {
 		_, err := one.Next(t.Context(), follow.FeedServers, 1)
 		require.ErrorIs(t, err, follow.ErrUnavailable)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -99,12 +99,12 @@
 	}
 }
 
-func (i *instance) record(feed follow.Feed, news follow.News) {
+func (i *instance) record(feed follow.Feed, news follow.Updates) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	switch feed {
 	case follow.FeedConfig:
-		i.known = news.Known
+		i.known = news.AsOf
 		return
 	case follow.FeedQuarantine:
 		i.ends += len(news.Changes)
@@ -127,13 +127,13 @@
 
 // runIn starts n instances over real connections; in returns the domain of each.
 func runIn(t *testing.T, n int, in func(i int) string, over func(caller string) relay.Store) []*instance {
-	return runWith(t, n, in, over, func(string) relay.Words { return follow.NewBoard() }, func(string) relay.Ends { return noEnds{} })
+	return runWith(t, n, in, over, func(string) relay.SharedReports { return follow.NewFleetView() }, func(string) relay.Ends { return noEnds{} })
 }
 
 // runWith starts n instances over real connections; words returns the shared reports of an instance, and ends its record of
 // servers that terminated under requests.
 func runWith(
-	t *testing.T, n int, in func(i int) string, over func(caller string) relay.Store, words func(caller string) relay.Words,
+	t *testing.T, n int, in func(i int) string, over func(caller string) relay.Store, words func(caller string) relay.SharedReports,
 	ends func(caller string) relay.Ends,
 ) []*instance {
 	key, err := keys.NewFleetKey(time.Now())
@@ -153,7 +153,7 @@
 	for i, m := range f.members {
 		clock, stats := timer.NewReal(), metrics.New()
 		links := link.NewClient(trust, stats)
-		self := relay.Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 2, ApplyTime: 3 * time.Second}
+		self := relay.Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: 2, ApplyTime: 3 * time.Second}
 		one := &instance{Source: relay.New(self, over(m.Name), f, words(m.Name), ends(m.Name), links, clock, stats, log)}
 		mux := link.NewMux()
 		one.Register(mux)
--- a/relay/reports_test.go
+++ b/relay/reports_test.go
@@ -12,12 +12,12 @@
 // fakeReports holds the shared reports of one instance in memory.
 type fakeReports struct {
 	mu       sync.Mutex
-	unsent   []backend.Word
-	received map[string]backend.Word
+	unsent   []backend.SharedReport
+	received map[string]backend.SharedReport
 }
 
 // OwnWords implements relay.Words.
-func (n *fakeReports) OwnWords(_, _ time.Time) []backend.Word {
+func (n *fakeReports) OwnWords(_, _ time.Time) []backend.SharedReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	own := n.unsent
@@ -26,10 +26,10 @@
 }
 
 // Words implements relay.Words.
-func (n *fakeReports) Words(_, _ time.Time) []backend.Word {
+func (n *fakeReports) Words(_, _ time.Time) []backend.SharedReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var out []backend.Word
+	var out []backend.SharedReport
 	for _, w := range n.received {
 		out = append(out, w)
 	}
@@ -37,7 +37,7 @@
 }
 
 // Hear implements relay.Words.
-func (n *fakeReports) Hear(words []backend.Word, _ time.Time) bool {
+func (n *fakeReports) Hear(words []backend.SharedReport, _ time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	worse := false
@@ -48,7 +48,7 @@
 	return worse
 }
 
-func (n *fakeReports) add(w backend.Word) {
+func (n *fakeReports) add(w backend.SharedReport) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.unsent = append(n.unsent, w)
@@ -67,13 +67,13 @@
 	words := map[string]*fakeReports{}
 	all := runWith(t, 4, func(int) string { return "east" },
 		func(caller string) relay.Store { return view{store: s, caller: caller} },
-		func(caller string) relay.Words {
-			words[caller] = &fakeReports{received: map[string]backend.Word{}}
+		func(caller string) relay.SharedReports {
+			words[caller] = &fakeReports{received: map[string]backend.SharedReport{}}
 			return words[caller]
 		}, func(string) relay.Ends { return noEnds{} })
 	soon(t, func() bool { return all[0].Direct() && all[3].age() < time.Second })
-	words["i-3"].add(backend.Word{ID: "well", Total: 1})
-	words["i-3"].add(backend.Word{ID: "silent", Silent: true})
+	words["i-3"].add(backend.SharedReport{ID: "well", Total: 1})
+	words["i-3"].add(backend.SharedReport{ID: "silent", Silent: true})
 	for _, name := range []string{"i-0", "i-1", "i-2"} {
 		soon(t, func() bool { return words[name].knows("well") && words[name].knows("silent") })
 	}
