--- a/relay/scenario_test.go
+++ b/relay/scenario_test.go
@@ -18,32 +18,32 @@
 // fault is a period in which some instances are disturbed.
 type fault struct {
 	from, until time.Duration
-	// hits tells for each instance whether the fault affects it.
-	hits []bool
-	// kind is how the store treats the affected instances; it is served if the fault is of another kind.
-	kind access
+	// affected tells for each instance whether the fault affects it.
+	affected []bool
+	// access is how the store treats the affected instances; it is served if the fault is of another access.
+	access access
 	// killed means that the affected instances do not run during the fault.
 	killed bool
-	// cut means that the affected instances are partitioned from all others.
-	cut bool
+	// partitioned means that the affected instances are partitioned from all others.
+	partitioned bool
 }
 
 func (f fault) on(now time.Duration) bool { return f.from <= now && now < f.until }
 
-// day is what happens in one simulation.
-type day struct {
+// scenario is what happens in one simulation.
+type scenario struct {
 	faults []fault
-	// accepted holds the times at which configurations are accepted; the first of them has version 2.
-	accepted []time.Duration
-	// forgotten holds the times at which the store drops its history.
-	forgotten []time.Duration
-	length    time.Duration
-	// promise is how long after its acceptance a configuration may take to be in force.
-	promise time.Duration
+	// acceptedAt holds the times at which configurations are acceptedAt; the first of them has version 2.
+	acceptedAt []time.Duration
+	// historyLostAt holds the times at which the store drops its history.
+	historyLostAt []time.Duration
+	length        time.Duration
+	// applyDeadline is how long after its acceptance a configuration may take to be in force.
+	applyDeadline time.Duration
 }
 
 // down reports whether the store serves no instance; no configuration is accepted then.
-func (d day) down(now time.Duration, n int) bool {
+func (d scenario) down(now time.Duration, n int) bool {
 	for i := range n {
 		if a := d.access(i, now); a == served || a == slow {
 			return false
@@ -52,19 +52,19 @@
 	return true
 }
 
-func (d day) access(i int, now time.Duration) access {
+func (d scenario) access(i int, now time.Duration) access {
 	worst := served
 	for _, f := range d.faults {
-		if f.hits[i] && f.on(now) {
-			worst = max(worst, f.kind)
+		if f.affected[i] && f.on(now) {
+			worst = max(worst, f.access)
 		}
 	}
 	return worst
 }
 
-func (d day) killed(i int, now time.Duration) bool {
+func (d scenario) killed(i int, now time.Duration) bool {
 	for _, f := range d.faults {
-		if f.killed && f.hits[i] && f.on(now) {
+		if f.killed && f.affected[i] && f.on(now) {
 			return true
 		}
 	}
@@ -72,9 +72,9 @@
 }
 
 // partitioned reports whether two instances cannot reach each other.
-func (d day) partitioned(i, j int, now time.Duration) bool {
+func (d scenario) partitioned(i, j int, now time.Duration) bool {
 	for _, f := range d.faults {
-		if f.cut && f.on(now) && f.hits[i] != f.hits[j] {
+		if f.partitioned && f.on(now) && f.affected[i] != f.affected[j] {
 			return true
 		}
 	}
@@ -82,7 +82,7 @@
 }
 
 // always reports whether a condition holds from one time to another; it can change only when a fault begins or ends.
-func (d day) always(from, until time.Duration, holds func(time.Duration) bool) bool {
+func (d scenario) always(from, until time.Duration, holds func(time.Duration) bool) bool {
 	if !holds(from) {
 		return false
 	}
@@ -97,12 +97,12 @@
 }
 
 // events returns the times at which something changes, in order.
-func (d day) events() []time.Duration {
+func (d scenario) events() []time.Duration {
 	var out []time.Duration
 	for _, f := range d.faults {
 		out = append(out, f.from, f.until)
 	}
-	out = append(append(out, d.accepted...), d.forgotten...)
+	out = append(append(out, d.acceptedAt...), d.historyLostAt...)
 	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
 	return out
 }
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -19,26 +19,26 @@
 )
 
 const (
-	// promise is how long after its acceptance a configuration may be missing at an instance that can learn
+	// applyDeadline is how long after its acceptance a configuration may be missing at an instance that can learn
 	// of it. The second deadline is that of a fleet of hundreds.
-	promise     = 3 * time.Second
-	longPromise = 4 * time.Second
+	applyDeadline           = 3 * time.Second
+	largeFleetApplyDeadline = 4 * time.Second
 	// endExtraTime is how much longer an end may take than a configuration; the platform allows fleets of 72 and 295 instances
 	// that much more.
 	endExtraTime = time.Second
-	// settled is how long an instance must have run before the apply deadline holds for it.
-	settled = 6 * time.Second
+	// warmUpTime is how long an instance must have run before the apply deadline holds for it.
+	warmUpTime = 6 * time.Second
 	// Latencies of the store and of another instance under normal load, and of the store when it is slow.
-	storeAnswer      = 4 * time.Millisecond
-	linkAnswer       = time.Millisecond
+	storeLatency     = 4 * time.Millisecond
+	linkLatency      = time.Millisecond
 	slowStoreLatency = 200 * time.Millisecond
-	// mostCalls bounds the store calls of one instance in a scenario: four calls a second.
-	mostCalls = 120
+	// maxCalls bounds the store calls of one instance in a scenario: four calls a second.
+	maxCalls = 120
 )
 
-// play runs a scenario with its instances and its store.
-type play struct {
-	day
+// simulation runs a scenario with its instances and its store.
+type simulation struct {
+	scenario
 	begun   time.Time
 	members []census.Instance
 	index   map[string]int
@@ -46,7 +46,7 @@
 
 	mu      sync.Mutex
 	sources []*Source
-	boards  []*follow.Board
+	boards  []*follow.FleetView
 	books   []*quarantine.Book
 	stops   []func()
 	// version is the newest configuration; revisions equal versions.
@@ -57,14 +57,14 @@
 	calls   []int
 }
 
-func newPlay(members []census.Instance, d day) *play {
+func newSimulation(members []census.Instance, d scenario) *simulation {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.SetLevel(logrus.PanicLevel)
 	n := len(members)
-	p := &play{
-		day: d, begun: time.Now(), members: members, index: map[string]int{}, log: log, version: 1, changed: make(chan struct{}),
-		sources: make([]*Source, n), boards: make([]*follow.Board, n), books: make([]*quarantine.Book, n), stops: make([]func(), n), calls: make([]int, n),
+	p := &simulation{
+		scenario: d, begun: time.Now(), members: members, index: map[string]int{}, log: log, version: 1, changed: make(chan struct{}),
+		sources: make([]*Source, n), boards: make([]*follow.FleetView, n), books: make([]*quarantine.Book, n), stops: make([]func(), n), calls: make([]int, n),
 	}
 	for i, m := range members {
 		p.index[m.Addr] = i
@@ -81,13 +81,13 @@
 // Adopt implements Ends.
 func (noEnds) Adopt([]quarantine.End) {}
 
-func (p *play) now() time.Duration { return time.Since(p.begun) }
+func (p *simulation) now() time.Duration { return time.Since(p.begun) }
 
 // start runs an instance with all of its real parts but the connections.
-func (p *play) start(i int) {
+func (p *simulation) start(i int) {
 	m := p.members[i]
-	board, book, clock := follow.NewBoard(), quarantine.NewBook(quarantine.Terms{Keep: time.Hour, Most: 1000}), timer.NewReal()
-	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, From: 24, ApplyTime: p.promise}, scenarioStore{p, i}, known(p.members), board, noEnds{}, nil, clock, metrics.New(), p.log)
+	board, book, clock := follow.NewFleetView(), quarantine.NewBook(quarantine.Settings{Keep: time.Hour, MaxRequests: 1000}), timer.NewReal()
+	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: 24, ApplyTime: p.applyDeadline}, scenarioStore{p, i}, staticFleet(p.members), board, noEnds{}, nil, clock, metrics.New(), p.log)
 	s.peers = scenarioPeers{p, i}
 	ctx, stop := context.WithCancel(context.Background())
 	p.mu.Lock()
@@ -96,16 +96,16 @@
 	follow.New(ctx, s, board, book, clock, metrics.New(), p.log)
 }
 
-func (p *play) stop(i int) {
+func (p *simulation) stop(i int) {
 	p.stops[i]()
 	p.mu.Lock()
 	p.sources[i], p.boards[i], p.books[i], p.stops[i] = nil, nil, nil, nil
 	p.mu.Unlock()
 }
 
-// turn starts and stops instances and updates the store to the present time of the scenario, and wakes the calls that wait
+// advance starts and stops instances and updates the store to the present time of the scenario, and wakes the calls that wait
 // for the store.
-func (p *play) turn() {
+func (p *simulation) advance() {
 	now := p.now()
 	for i := range p.members {
 		switch dead := p.killed(i, now); {
@@ -118,12 +118,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version = 1
-	for _, at := range p.accepted {
+	for _, at := range p.acceptedAt {
 		if at <= now {
 			p.version++
 		}
 	}
-	for _, at := range p.forgotten {
+	for _, at := range p.historyLostAt {
 		if at == now {
 			p.floor = p.version
 		}
@@ -133,12 +133,12 @@
 }
 
 // run runs the simulation and returns a line for each missed deadline.
-func (p *play) run() []string {
-	p.turn()
+func (p *simulation) run() []string {
+	p.advance()
 	var broken []string
 	at := p.events()
-	for _, accepted := range p.accepted {
-		at = append(at, accepted+p.promise, accepted+p.promise+endExtraTime)
+	for _, accepted := range p.acceptedAt {
+		at = append(at, accepted+p.applyDeadline, accepted+p.applyDeadline+endExtraTime)
 	}
 	sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
 	for _, next := range at {
@@ -146,26 +146,26 @@
 			continue
 		}
 		time.Sleep(next - p.now())
-		p.turn()
+		p.advance()
 		synctest.Wait()
 		broken = append(broken, p.checkDeadlines()...)
 	}
-	p.end()
+	p.stopAll()
 	return broken
 }
 
-// end stops all instances and waits for the calls that are still under way.
-func (p *play) end() {
+// stopAll stops all instances and waits for the calls that are still under way.
+func (p *simulation) stopAll() {
 	for i := range p.members {
 		if p.stops[i] != nil {
 			p.stop(i)
 		}
 	}
-	time.Sleep(settled)
+	time.Sleep(warmUpTime)
 }
 
-// forget resets the counts of store calls.
-func (p *play) forget() {
+// resetCalls resets the counts of store calls.
+func (p *simulation) resetCalls() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.calls)
@@ -173,24 +173,24 @@
 
 // checkDeadlines returns a line for each instance that lacks a configuration, or an end that was written with one, whose
 // deadline is now.
-func (p *play) checkDeadlines() []string {
+func (p *simulation) checkDeadlines() []string {
 	now := p.now()
 	var out []string
-	for n, accepted := range p.accepted {
+	for n, accepted := range p.acceptedAt {
 		version := int64(n + 2)
 		switch now {
-		case accepted + p.promise:
-			out = append(out, p.lacking("configuration", version, accepted, p.promise, func(i int) bool { return p.configVersion(i) >= version })...)
-		case accepted + p.promise + endExtraTime:
+		case accepted + p.applyDeadline:
+			out = append(out, p.lacking("configuration", version, accepted, p.applyDeadline, func(i int) bool { return p.configVersion(i) >= version })...)
+		case accepted + p.applyDeadline + endExtraTime:
 			request := endOfVersion(version).Request
-			out = append(out, p.lacking("end", version, accepted, p.promise+endExtraTime, func(i int) bool { return p.books[i].Ends(request) > 0 })...)
+			out = append(out, p.lacking("end", version, accepted, p.applyDeadline+endExtraTime, func(i int) bool { return p.books[i].Ends(request) > 0 })...)
 		}
 	}
 	return out
 }
 
 // lacking returns a line for each instance that lacks something whose deadline has passed and that it could have learned of.
-func (p *play) lacking(what string, version int64, written, within time.Duration, has func(i int) bool) []string {
+func (p *simulation) lacking(what string, version int64, written, within time.Duration, has func(i int) bool) []string {
 	var out []string
 	for i := range p.members {
 		if p.mustHave(i, written, within) && !has(i) {
@@ -200,7 +200,7 @@
 	return out
 }
 
-func (p *play) configVersion(i int) int64 {
+func (p *simulation) configVersion(i int) int64 {
 	if c := p.boards[i].Current().Catalog(); c != nil {
 		return c.Version()
 	}
@@ -209,9 +209,9 @@
 
 // mustHave reports whether an instance could learn of a write during the whole time before its deadline: from the store, or
 // from the relay of its domain.
-func (p *play) mustHave(i int, accepted, within time.Duration) bool {
+func (p *simulation) mustHave(i int, accepted, within time.Duration) bool {
 	until := accepted + within
-	if !p.always(accepted-settled, until, func(now time.Duration) bool { return !p.killed(i, now) }) {
+	if !p.always(accepted-warmUpTime, until, func(now time.Duration) bool { return !p.killed(i, now) }) {
 		return false
 	}
 	if p.always(accepted, until, func(now time.Duration) bool { return p.access(i, now) < refused }) {
@@ -221,7 +221,7 @@
 		if m.Domain != p.members[i].Domain || !p.sources[i].pollsFirst(m.Addr) {
 			continue
 		}
-		return p.always(accepted-settled, until, func(now time.Duration) bool {
+		return p.always(accepted-warmUpTime, until, func(now time.Duration) bool {
 			return !p.killed(j, now) && p.access(j, now) < refused && !p.partitioned(i, j, now)
 		})
 	}
@@ -229,4 +229,4 @@
 }
 
 // pollsFirst reports whether an instance polls the one at addr before all others.
-func (s *Source) pollsFirst(addr string) bool { return s.ways()[0].addr == addr }
+func (s *Source) pollsFirst(addr string) bool { return s.upstreams()[0].addr == addr }
--- a/relay/source.go
+++ b/relay/source.go
@@ -56,8 +56,8 @@
 	Domain string
 	// Addr is the address for calls of other instances; it is empty if the instance accepts none.
 	Addr string
-	// From is the number of instances from which relays are used; in a smaller fleet each instance follows the store itself.
-	From int
+	// RelaysFrom is the number of instances from which relays are used; in a smaller fleet each instance follows the store itself.
+	RelaysFrom int
 	// ApplyTime is how long after its acceptance a configuration may take to be in force.
 	ApplyTime time.Duration
 }
@@ -69,7 +69,7 @@
 // relays reports whether the fleet uses relays; members is the number of instances with registration records, and instances
 // the number of all.
 func (s Self) relays(members, instances int) bool {
-	return members > 0 && max(members, instances) >= s.From && s.ApplyTime >= minApplyTime
+	return members > 0 && max(members, instances) >= s.RelaysFrom && s.ApplyTime >= minApplyTime
 }
 
 // Source follows the store, either itself or through a relay; it implements follow.Source.
@@ -85,20 +85,20 @@
 	// stopped is true once the instance no longer serves other instances.
 	stopped atomic.Bool
 	epoch   *epoch
-	tally   *tally
-	words   Words
+	pollers *pollerCounter
+	reports SharedReports
 	ends    Ends
 	begun   time.Time
-	// worse is when another instance last reported that a server has turned bad, in nanoseconds since begun.
-	worse atomic.Int64
+	// lastWorse is when another instance last reported that a server has turned bad, in nanoseconds since begun.
+	lastWorse atomic.Int64
 
 	upstreamCache upstreamCache
 
 	mu sync.Mutex
-	// sent is the moment up to which this instance has passed on its own reports on servers.
-	sent time.Time
-	// marks holds the Mark of the last answer of each other instance, by address.
-	marks map[string]time.Duration
+	// reportsSent is the moment up to which this instance has passed on its own reports on servers.
+	reportsSent time.Time
+	// reportMarks holds the Mark of the last answer of each other instance, by address.
+	reportMarks map[string]time.Duration
 	// breaker decides whether the store is asked while relays refuse.
 	breaker storeBreaker
 	// backoffs says until when upstreams that failed are not asked, by address.
@@ -118,11 +118,11 @@
 
 // New returns a Source.
 func New(
-	self Self, store Store, fleet Fleet, words Words, ends Ends, links *link.Client, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
+	self Self, store Store, fleet Fleet, words SharedReports, ends Ends, links *link.Client, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *Source {
 	return &Source{
-		self: self, store: store, fleet: fleet, words: words, ends: ends, begun: clock.Now(), marks: map[string]time.Duration{}, peers: linked{client: links}, clock: clock, stats: stats, log: log,
-		logs: [feeds]*feedLog{newFeedLog(), newFeedLog(), newFeedLog()}, epoch: newEpoch(), tally: newTally(clock), backoffs: map[string]backoff{}, breaker: storeBreaker{apply: self.ApplyTime},
+		self: self, store: store, fleet: fleet, reports: words, ends: ends, begun: clock.Now(), reportMarks: map[string]time.Duration{}, peers: linkPeers{client: links}, clock: clock, stats: stats, log: log,
+		logs: [feeds]*feedLog{newFeedLog(), newFeedLog(), newFeedLog()}, epoch: newEpoch(), pollers: newPollerCounter(clock), backoffs: map[string]backoff{}, breaker: storeBreaker{apply: self.ApplyTime},
 		random: rand.Float64,
 	}
 }
@@ -136,7 +136,7 @@
 // stopServing makes the instance refuse the polls of others until it follows the feeds in the store again.
 func (s *Source) stopServing() {
 	for _, l := range s.logs {
-		l.lose()
+		l.clearDirect()
 	}
 }
 
@@ -144,7 +144,7 @@
 // because it has found none for a while. It is false until the member list is known.
 func (s *Source) Direct() bool {
 	switch {
-	case s.ways() == nil:
+	case s.upstreams() == nil:
 		return false
 	case s.relay():
 		return true
@@ -159,10 +159,10 @@
 
 // Read implements follow.Source. An instance that starts asks a relay. Later, full feeds are read from the store only, since
 // what another instance has may be older than what is known here.
-func (s *Source) Read(ctx context.Context, feed follow.Feed) (follow.News, error) {
-	if at, _ := s.logs[feed].reached(); at == 0 {
+func (s *Source) Read(ctx context.Context, feed follow.Feed) (follow.Updates, error) {
+	if at, _ := s.logs[feed].progress(); at == 0 {
 		if h, ok := s.readFromRelay(ctx, feed); ok {
-			s.logs[feed].restart(h, false)
+			s.logs[feed].reset(h, false)
 			return s.news(h), nil
 		}
 	}
@@ -172,21 +172,21 @@
 	records, at, err := s.store.ReadFeed(ctx, feed)
 	if err != nil {
 		s.storeLost()
-		return follow.News{}, err
+		return follow.Updates{}, err
 	}
-	h := heard{records: records, at: at, known: asked}
-	if held, _ := s.logs[feed].reached(); at < held {
+	h := update{records: records, position: at, known: asked}
+	if held, _ := s.logs[feed].progress(); at < held {
 		s.log.WithFields(logrus.Fields{
 			"feed": feed.String(), "at": at.Revision(), "held": held.Revision(), "era": at.Era(), "held_era": held.Era(),
 		}).Warn("feed read at an earlier position")
 	}
 	s.epoch.markHealthy()
-	s.logs[feed].restart(h, true)
+	s.logs[feed].reset(h, true)
 	return s.news(h), nil
 }
 
 // Next implements follow.Source.
-func (s *Source) Next(ctx context.Context, feed follow.Feed, after follow.Position) (follow.News, error) {
+func (s *Source) Next(ctx context.Context, feed follow.Feed, after follow.Position) (follow.Updates, error) {
 	var last error
 	upstreams := s.usableUpstreams(feed)
 	for i := 0; i < len(upstreams); i++ {
@@ -199,10 +199,10 @@
 		switch {
 		case err == nil:
 			s.noteResult(feed, u, asked, nil)
-			s.logs[feed].extend(h, u.direct())
+			s.logs[feed].append(h, u.direct())
 			return s.news(h), nil
 		case errors.Is(err, follow.ErrHistoryGone) || ctx.Err() != nil:
-			return follow.News{}, err
+			return follow.Updates{}, err
 		case errors.Is(err, errStoreSuspect):
 			last = err
 			continue
@@ -214,7 +214,7 @@
 	if last == nil {
 		last = errors.Wrap(follow.ErrUnavailable, "no relay can reach the store")
 	}
-	return follow.News{}, last
+	return follow.Updates{}, last
 }
 
 // late reports whether a feed has had no answer for so long that the next upstream is asked for what it has at once, without
@@ -227,7 +227,7 @@
 }
 
 // pollUpstream asks one upstream for updates of a feed.
-func (s *Source) pollUpstream(ctx context.Context, u upstream, feed follow.Feed, after follow.Position, noWait bool) (heard, error) {
+func (s *Source) pollUpstream(ctx context.Context, u upstream, feed follow.Feed, after follow.Position, noWait bool) (update, error) {
 	if !u.direct() {
 		h, err := s.ask(ctx, u.addr, poll{Feed: feed, After: after, NoWait: noWait})
 		if errors.Is(err, errBehind) {
@@ -245,19 +245,19 @@
 // catchUp gets the full feed from a relay whose history does not reach back to a position, and returns what changed since.
 // Instances that start together read the feeds at different moments; without catchUp, all instances whose relay read a feed
 // after they did would ask the store.
-func (s *Source) catchUp(ctx context.Context, u upstream, feed follow.Feed, after follow.Position) (heard, error) {
-	h, err := s.ask(ctx, u.addr, poll{Feed: feed, Whole: true})
+func (s *Source) catchUp(ctx context.Context, u upstream, feed follow.Feed, after follow.Position) (update, error) {
+	h, err := s.ask(ctx, u.addr, poll{Feed: feed, Full: true})
 	if err != nil {
-		return heard{}, err
+		return update{}, err
 	}
-	if h.at < after {
-		return heard{}, errors.Wrap(follow.ErrUnavailable, errBehind.Error())
+	if h.position < after {
+		return update{}, errors.Wrap(follow.ErrUnavailable, errBehind.Error())
 	}
-	h.records, h.skips = s.logs[feed].missing(h), true
+	h.records, h.hasGap = s.logs[feed].diff(h), true
 	return h, nil
 }
 
 // news converts a result to follow.News.
-func (s *Source) news(h heard) follow.News {
-	return follow.News{Changes: s.store.Decode(h.records), At: h.at, Known: h.known}
+func (s *Source) news(h update) follow.Updates {
+	return follow.Updates{Changes: s.store.Decode(h.records), At: h.position, AsOf: h.known}
 }
--- a/relay/start.go
+++ b/relay/start.go
@@ -47,7 +47,7 @@
 // readFromRelay reads a full feed from a relay, once the member list is known. It limits the load when many instances start
 // at once: each instance that reads the store itself costs as many calls as the feed has pages, and slows down the store for
 // all others.
-func (s *Source) readFromRelay(ctx context.Context, feed follow.Feed) (heard, bool) {
+func (s *Source) readFromRelay(ctx context.Context, feed follow.Feed) (update, bool) {
 	s.awaitMembers(ctx)
 	until := s.clock.Now().Add(s.readyTimeout(feed))
 	for {
@@ -56,7 +56,7 @@
 			return h, true
 		}
 		if !reachable || !s.clock.Now().Before(until) || !s.clock.Sleep(ctx, readyRetryPause) {
-			return heard{}, false
+			return update{}, false
 		}
 	}
 }
@@ -91,7 +91,7 @@
 // readyTimeout returns how long relays that do not have the feed yet are asked. After that the instances with registration
 // records read the store first, so that the others can ask them.
 func (s *Source) readyTimeout(feed follow.Feed) time.Duration {
-	if upstreams := s.ways(); len(upstreams) > 1 && upstreams[1].direct() {
+	if upstreams := s.upstreams(); len(upstreams) > 1 && upstreams[1].direct() {
 		return standbyReadyTime
 	}
 	share, readers := readSpread, s.fleet.Instances()
@@ -114,7 +114,7 @@
 // a single relay cannot carry what hundreds of instances read.
 func (s *Source) fullFeedUpstreams() []upstream {
 	members := s.fleet.Members()
-	upstreams := s.ways()
+	upstreams := s.upstreams()
 	if len(upstreams) == 0 || upstreams[0].direct() || s.registered(members) {
 		return upstreams
 	}
@@ -139,7 +139,7 @@
 
 // pollFull asks each upstream before the store once for a full feed. The result reachable is true if one of them is reachable
 // and may have the feed soon.
-func (s *Source) pollFull(ctx context.Context, feed follow.Feed) (h heard, ok, reachable bool) {
+func (s *Source) pollFull(ctx context.Context, feed follow.Feed) (h update, ok, reachable bool) {
 	for _, u := range s.fullFeedUpstreams() {
 		if u.direct() {
 			break
@@ -149,12 +149,12 @@
 		if err != nil {
 			continue
 		}
-		if h, err := s.ask(ctx, u.addr, poll{Feed: feed, Whole: true}); err == nil {
+		if h, err := s.ask(ctx, u.addr, poll{Feed: feed, Full: true}); err == nil {
 			s.noteResult(feed, u, s.clock.Now(), nil)
 			return h, true, true
 		}
 	}
-	return heard{}, false, reachable
+	return update{}, false, reachable
 }
 
 // reach connects to the instance at addr. It has a timeout of its own: the one for the answer is many times longer, since a
@@ -172,5 +172,5 @@
 func (s *Source) reachWithin(ctx context.Context, addr string, limit time.Duration) error {
 	ctx, cancel := s.clock.WithTimeout(ctx, limit)
 	defer cancel()
-	return s.peers.reach(ctx, addr)
+	return s.peers.connect(ctx, addr)
 }
--- a/relay/start_test.go
+++ b/relay/start_test.go
@@ -45,8 +45,8 @@
 	fake, stats := clockwork.NewFakeClock(), metrics.New()
 	links := link.NewClient(trust, stats)
 	t.Cleanup(links.Close)
-	self := relay.Self{Name: "self", Domain: "east", From: 2, ApplyTime: 3 * time.Second}
-	return relay.New(self, store, f, follow.NewBoard(), noEnds{}, links, timer.New(fake), stats, log), fake, absentRelays{addrs: addrs[1:], trust: trust, log: log}
+	self := relay.Self{Name: "self", Domain: "east", RelaysFrom: 2, ApplyTime: 3 * time.Second}
+	return relay.New(self, store, f, follow.NewFleetView(), noEnds{}, links, timer.New(fake), stats, log), fake, absentRelays{addrs: addrs[1:], trust: trust, log: log}
 }
 
 // readDuration returns how long an instance takes to read the servers feed; the clock only advances while the instance waits.
--- a/relay/startcount_test.go
+++ b/relay/startcount_test.go
@@ -11,7 +11,7 @@
 )
 
 // minInstances returns the smallest number of instances by which any instance of the fleet divides shared limits.
-func (b *beginning) minInstances() int {
+func (b *startSimulation) minInstances() int {
 	least := b.boards[0].Instances()
 	for _, board := range b.boards {
 		least = min(least, board.Instances())
@@ -29,13 +29,13 @@
 			var counts []int
 			synctest.Test(t, func(*testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				b := newBeginning(c.domains, c.each, c.strong, 90)
+				b := newStartSimulation(c.domains, c.each, c.strong, 90)
 				b.start(ctx)
 				for time.Sleep(window); time.Since(b.begun) < window+5*time.Second; time.Sleep(time.Second) {
 					counts = append(counts, b.minInstances())
 				}
 				cancel()
-				time.Sleep(settled + readTime)
+				time.Sleep(warmUpTime + readTime)
 			})
 			for _, n := range counts {
 				require.GreaterOrEqual(t, n, c.domains*c.each, "counts by the second: %v", counts)
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -51,8 +51,8 @@
 		store := &countingStore{}
 		log := logrus.New()
 		log.SetLevel(logrus.PanicLevel)
-		one := known{census.Instance{Name: "self", Domain: "east"}}
-		s := New(Self{Name: "self", Domain: "east", From: 24, ApplyTime: promise}, store, one, nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
+		one := staticFleet{census.Instance{Name: "self", Domain: "east"}}
+		s := New(Self{Name: "self", Domain: "east", RelaysFrom: 24, ApplyTime: applyDeadline}, store, one, nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
 		next := func(feed follow.Feed) error {
 			_, err := s.Next(t.Context(), feed, 1)
 			return err
@@ -65,7 +65,7 @@
 		err := next(follow.FeedQuarantine)
 		require.True(t, errors.Is(err, follow.ErrUnavailable))
 		require.Equal(t, before, store.calls)
-		require.Equal(t, doubtWait, time.Since(begun))
+		require.Equal(t, suspectWait, time.Since(begun))
 		store.down = false
 		waiting := make(chan error, 1)
 		go func() { waiting <- next(follow.FeedQuarantine) }()
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -48,9 +48,9 @@
 	return c.list
 }
 
-// ways returns the upstreams in the order in which they are asked, or nil while the member list is not known. The caller must
+// upstreams returns the upstreams in the order in which they are asked, or nil while the member list is not known. The caller must
 // not change the result.
-func (s *Source) ways() []upstream {
+func (s *Source) upstreams() []upstream {
 	members := s.fleet.Members()
 	return s.upstreamCache.get(members, s.self.relays(len(members), s.fleet.Instances()), s.upstreamsAmong)
 }
@@ -63,7 +63,7 @@
 	case !relays:
 		return append([]upstream{{}}, s.peerUpstreams(members)...)
 	default:
-		return waysOf(s.self.Name, s.self.Domain, members)
+		return upstreamsOf(s.self.Name, s.self.Domain, members)
 	}
 }
 
@@ -83,14 +83,14 @@
 
 // relay reports whether the instance is the relay of its domain, which follows the store for the others.
 func (s *Source) relay() bool {
-	upstreams := s.ways()
+	upstreams := s.upstreams()
 	return len(upstreams) > 0 && upstreams[0].direct()
 }
 
 // usableUpstreams returns the upstreams that are not backed off. Whether the store may be asked is decided later, when its
 // turn comes.
 func (s *Source) usableUpstreams(feed follow.Feed) []upstream {
-	upstreams := s.ways()
+	upstreams := s.upstreams()
 	if upstreams == nil {
 		upstreams = []upstream{{}}
 	}
@@ -132,7 +132,7 @@
 	if now.Before(b.until) {
 		return false
 	}
-	until := now.Add(retry.Doubled(firstBackoff, maxBackoff, b.failures))
+	until := now.Add(retry.Backoff(firstBackoff, maxBackoff, b.failures))
 	if refused {
 		// A poll costs little at a relay that is reachable, and the relay may soon refer to an instance that can answer.
 		until = now.Add(firstBackoff)
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -23,9 +23,9 @@
 	// configuration; both are noticed within the time in which all instances must learn that a server terminated under a
 	// request.
 	quarantineWait = 25 * time.Second
-	// doubtWait is how long a watch on the servers or the quarantine waits while the store is suspect, so that its recovery is
+	// suspectWait is how long a watch on the servers or the quarantine waits while the store is suspect, so that its recovery is
 	// noticed soon.
-	doubtWait = time.Second
+	suspectWait = time.Second
 	// suspectTimeout bounds a call to the store that does not wait for updates, such as one for the configuration while the
 	// store is suspect. It is twice what a slow store takes; a longer timeout would delay the moment at which the keys are
 	// confirmed again.
@@ -39,16 +39,16 @@
 var errStoreSuspect = errors.Wrap(follow.ErrUnavailable, "relay: store suspect")
 
 // watchStore asks the store for updates. The call ends early when another call finds that the store does not answer.
-func (s *Source) watchStore(ctx context.Context, feed follow.Feed, after follow.Position, noWait bool) (heard, error) {
+func (s *Source) watchStore(ctx context.Context, feed follow.Feed, after follow.Position, noWait bool) (update, error) {
 	if feed == follow.FeedQuarantine && !s.awaitHealthy(ctx) {
-		return heard{}, errStoreSuspect
+		return update{}, errStoreSuspect
 	}
 	epoch, suspect := s.epoch.current()
 	wait := s.watchWait(feed, suspect, noWait)
 	limit := wait + answerSlack
 	if suspect || s.probing() {
 		if err := s.reachStore(ctx); err != nil {
-			return heard{}, err
+			return update{}, err
 		}
 	}
 	if noWait || suspect && feed == follow.FeedConfig {
@@ -60,7 +60,7 @@
 	asked := s.clock.Now()
 	records, at, err := s.store.WatchFeed(ctx, feed, after, wait)
 	if err != nil {
-		return heard{}, err
+		return update{}, err
 	}
 	s.epoch.markHealthy()
 	known := asked
@@ -68,7 +68,7 @@
 		// The store held the call for the whole wait and had no updates.
 		known = asked.Add(wait)
 	}
-	return heard{records: records, at: max(at, after), known: known}, nil
+	return update{records: records, position: max(at, after), known: known}, nil
 }
 
 // watchWait returns how long a watch waits for updates. An answer with updates confirms only the state at the time at which
@@ -79,22 +79,22 @@
 	case noWait, suspect && feed == follow.FeedConfig:
 		return minWait
 	case suspect:
-		return doubtWait
+		return suspectWait
 	case feed == follow.FeedServers:
 		return serversWait
 	case feed == follow.FeedQuarantine:
-		if !s.logs[feed].followed() {
+		if !s.logs[feed].isDirect() {
 			// An instance that has just found the store again can serve others at once.
 			return minWait
 		}
 		if !s.relay() {
 			// The others get the configuration from a relay, and polls to a relay do not reveal that the store has fallen
 			// silent.
-			return doubtWait
+			return suspectWait
 		}
 		return quarantineWait
 	default:
-		_, known := s.logs[follow.FeedConfig].reached()
+		_, known := s.logs[follow.FeedConfig].progress()
 		return max(configWait-s.clock.Since(known), minWait)
 	}
 }
@@ -109,7 +109,7 @@
 	select {
 	case <-healthy:
 		return true
-	case <-s.clock.After(doubtWait):
+	case <-s.clock.After(suspectWait):
 	case <-ctx.Done():
 	}
 	return false
--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -11,8 +11,8 @@
 // maxDoublings keeps a doubled duration from overflowing. The longest durations in use are reached after fewer doublings.
 const maxDoublings = 16
 
-// Doubled returns an exponential backoff: first, doubled so many times, but no more than longest.
-func Doubled(first, longest time.Duration, times int) time.Duration {
+// Backoff returns an exponential backoff: first, doubled so many times, but no more than longest.
+func Backoff(first, longest time.Duration, times int) time.Duration {
 	return min(first<<min(times, maxDoublings), longest)
 }
 
@@ -22,6 +22,6 @@
 	if retry == 0 {
 		return 0
 	}
-	full := Doubled(basePause, maxPause, retry)
+	full := Backoff(basePause, maxPause, retry)
 	return time.Duration(float64(full) * random)
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Request counts a request for a service; instances is the number of instances that share the Limit.
-func (b *Budget) Request(service string, instances int, now time.Time) {
+// CountRequest counts a request for a service; instances is the number of instances that share the Limit.
+func (b *Budget) CountRequest(service string, instances int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.bucket(service)
@@ -108,7 +108,7 @@
 func (b *Budget) bucket(service string) *bucket {
 	k := b.buckets[service]
 	if k == nil {
-		k = &bucket{refilledAt: b.started, requests: NewTally(windowSlots, b.limit.Window/windowSlots)}
+		k = &bucket{refilledAt: b.started, requests: NewWindowCounter(windowSlots, b.limit.Window/windowSlots)}
 		b.buckets[service] = k
 	}
 	return k
@@ -120,7 +120,7 @@
 	// refilledAt is when the part of Limit.Fixed was last added.
 	refilledAt time.Time
 	// requests counts the requests of at most one window.
-	requests *Tally
+	requests *WindowCounter
 }
 
 // refill adds the part of Limit.Fixed for the time since the last refill, and drops tokens beyond the capacity of the bucket. It
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -19,7 +19,7 @@
 	take := func() bool { return b.Take(serviceName, 1, now) }
 	requests := func(n int) {
 		for range n {
-			b.Request(serviceName, 1, now)
+			b.CountRequest(serviceName, 1, now)
 		}
 	}
 	now = now.Add(limit.Window)
@@ -56,7 +56,7 @@
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(serviceName, 1, now)
+				b.CountRequest(serviceName, 1, now)
 				requests = append(requests, now)
 				continue
 			}
--- a/retry/circuit.go
+++ b/retry/circuit.go
@@ -26,7 +26,7 @@
 	if now.Before(c.until) {
 		return
 	}
-	c.until = now.Add(Doubled(initialOpenTime, maxOpenTime, c.failures))
+	c.until = now.Add(Backoff(initialOpenTime, maxOpenTime, c.failures))
 	c.failures++
 	c.trial = false
 }
--- a/retry/fleet_test.go
+++ b/retry/fleet_test.go
@@ -56,7 +56,7 @@
 	for end := f.now.Add(span); f.now.Before(end); f.now = f.now.Add(tick) {
 		for i, b := range f.budgets {
 			for f.owedRequests[i] += rate(i) * tick.Seconds(); f.owedRequests[i] >= 1; f.owedRequests[i]-- {
-				b.Request(serviceName, len(f.budgets), f.now)
+				b.CountRequest(serviceName, len(f.budgets), f.now)
 				f.requests = append(f.requests, f.now)
 			}
 			for wantsRetries && b.Take(serviceName, len(f.budgets), f.now) {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -52,9 +52,9 @@
 
 func TestDoubledPausesGrowAndNeverExceedTheLongest(t *testing.T) {
 	const first, longest = 250 * time.Millisecond, 8 * time.Second
-	require.Equal(t, first, retry.Doubled(first, longest, 0))
-	require.Equal(t, 4*time.Second, retry.Doubled(first, longest, 4))
+	require.Equal(t, first, retry.Backoff(first, longest, 0))
+	require.Equal(t, 4*time.Second, retry.Backoff(first, longest, 4))
 	for _, times := range []int{5, 6, 63, 64, 1 << 30} {
-		require.Equal(t, longest, retry.Doubled(first, longest, times))
+		require.Equal(t, longest, retry.Backoff(first, longest, times))
 	}
 }
--- a/retry/synccircuit.go
+++ b/retry/synccircuit.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// Guard is a Circuit that is safe for concurrent use; its zero value is closed.
-type Guard struct {
+// SyncCircuit is a Circuit that is safe for concurrent use; its zero value is closed.
+type SyncCircuit struct {
 	mu      sync.Mutex
 	circuit Circuit
 }
 
 // Failed records a failure.
-func (g *Guard) Failed(now time.Time) {
+func (g *SyncCircuit) Failed(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.circuit.Failed(now)
 }
 
 // Succeeded closes the circuit.
-func (g *Guard) Succeeded() {
+func (g *SyncCircuit) Succeeded() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.circuit.Succeeded()
 }
 
-// Settled allows another trial request, after one whose outcome says nothing about the server.
-func (g *Guard) Settled() {
+// ReleaseTrial allows another trial request, after one whose outcome says nothing about the server.
+func (g *SyncCircuit) ReleaseTrial() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.circuit.ReleaseTrial()
 }
 
-// Admit records that the single trial request is sent once the circuit has been open for long enough.
-func (g *Guard) Admit() {
+// StartTrial records that the single trial request is sent once the circuit has been open for long enough.
+func (g *SyncCircuit) StartTrial() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.circuit.StartTrial()
 }
 
 // Open reports whether work must be kept away from the server now.
-func (g *Guard) Open(now time.Time) bool {
+func (g *SyncCircuit) Open(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.circuit.Open(now)
--- a/retry/windowcounter.go
+++ b/retry/windowcounter.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Tally counts the events in a sliding window. The window is divided into slots of equal length, of which the oldest is dropped
+// WindowCounter counts the events in a sliding window. The window is divided into slots of equal length, of which the oldest is dropped
 // as a whole.
-type Tally struct {
+type WindowCounter struct {
 	// slot is the length of a slot.
 	slot time.Duration
 	// counts holds the events of each slot, and current is the index of the latest slot.
@@ -14,25 +14,25 @@
 	slotStart time.Time
 }
 
-// NewTally returns a Tally over a number of slots of length slot, including the current one.
-func NewTally(slots int, slot time.Duration) *Tally {
-	return &Tally{slot: slot, counts: make([]int, slots)}
+// NewWindowCounter returns a Tally over a number of slots of length slot, including the current one.
+func NewWindowCounter(slots int, slot time.Duration) *WindowCounter {
+	return &WindowCounter{slot: slot, counts: make([]int, slots)}
 }
 
 // Add counts one event.
-func (t *Tally) Add(now time.Time) {
+func (t *WindowCounter) Add(now time.Time) {
 	t.advance(now)
 	t.counts[t.current]++
 }
 
 // Sum returns the number of events in the window.
-func (t *Tally) Sum(now time.Time) int {
+func (t *WindowCounter) Sum(now time.Time) int {
 	t.advance(now)
 	return t.total()
 }
 
 // setSlot changes the length of the slots. All events counted so far are counted as if they had happened in the current slot.
-func (t *Tally) setSlot(slot time.Duration) {
+func (t *WindowCounter) setSlot(slot time.Duration) {
 	if slot == t.slot {
 		return
 	}
@@ -41,7 +41,7 @@
 	t.counts[t.current], t.slot = sum, slot
 }
 
-func (t *Tally) total() int {
+func (t *WindowCounter) total() int {
 	sum := 0
 	for _, c := range t.counts {
 		sum += c
@@ -49,7 +49,7 @@
 	return sum
 }
 
-func (t *Tally) advance(now time.Time) {
+func (t *WindowCounter) advance(now time.Time) {
 	if t.slotStart.IsZero() {
 		t.slotStart = now
 	}
--- a/revision/errors.go
+++ b/revision/errors.go
@@ -13,13 +13,13 @@
 	ErrNoPlan = errors.New("revision: no such plan")
 	// ErrNoIntent means that there is no intent with that ID.
 	ErrNoIntent = errors.New("revision: no such intent")
-	// ErrNoNews means that a watch ended without a newer head.
-	ErrNoNews = errors.New("revision: no news")
+	// ErrNoUpdate means that a watch ended without a newer head.
+	ErrNoUpdate = errors.New("revision: no news")
 	// ErrUnavailable means that the key-value service did not answer; nothing was changed.
 	ErrUnavailable = errors.New("revision: key-value service unavailable")
-	// ErrUnsure means that a confirmation may have taken effect; confirming the same plan again is safe and tells
+	// ErrOutcomeUnknown means that a confirmation may have taken effect; confirming the same plan again is safe and tells
 	// the outcome.
-	ErrUnsure = errors.New("revision: outcome not known yet; confirm the same plan again")
+	ErrOutcomeUnknown = errors.New("revision: outcome not known yet; confirm the same plan again")
 )
 
 // ConflictError reports that other plans have been confirmed since the revision that a plan is based on.
--- a/revision/store.go
+++ b/revision/store.go
@@ -47,7 +47,7 @@
 func (s *Store) WaitHead(ctx context.Context, after kv.Revision) (Head, kv.Revision, error) {
 	record, err := s.kv.Wait(ctx, KeyHead, after)
 	if errors.Is(err, kv.ErrNotFound) {
-		return Head{}, 0, ErrNoNews
+		return Head{}, 0, ErrNoUpdate
 	}
 	if err != nil {
 		return Head{}, 0, errors.Wrap(ErrUnavailable, err.Error())
@@ -155,7 +155,7 @@
 		if err == nil || !isRetryable(err) {
 			return entry, err
 		}
-		maybeWritten = maybeWritten || errors.Is(err, ErrUnsure)
+		maybeWritten = maybeWritten || errors.Is(err, ErrOutcomeUnknown)
 		if !s.clock.Sleep(ctx, confirmRetryDelay) {
 			break
 		}
@@ -164,12 +164,12 @@
 }
 
 func isRetryable(err error) bool {
-	return errors.Is(err, ErrUnsure) || errors.Is(err, ErrUnavailable)
+	return errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrUnavailable)
 }
 
 func confirmError(maybeWritten bool) error {
 	if maybeWritten {
-		return ErrUnsure
+		return ErrOutcomeUnknown
 	}
 	return ErrUnavailable
 }
@@ -217,8 +217,8 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, kv.ErrConflict), errors.Is(err, kv.ErrUnsure):
-		return errors.Wrap(ErrUnsure, err.Error())
+	case errors.Is(err, kv.ErrConflict), errors.Is(err, kv.ErrOutcomeUnknown):
+		return errors.Wrap(ErrOutcomeUnknown, err.Error())
 	default:
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
--- a/standin/local.go
+++ b/standin/local.go
@@ -66,7 +66,7 @@
 	r, ok := l.keys.Write(put)
 	switch {
 	case lost:
-		return 0, kv.ErrUnsure
+		return 0, kv.ErrOutcomeUnknown
 	case !ok:
 		return 0, kv.ErrConflict
 	default:
@@ -83,7 +83,7 @@
 	ok := l.keys.Delete(key, expect)
 	switch {
 	case lost:
-		return kv.ErrUnsure
+		return kv.ErrOutcomeUnknown
 	case !ok:
 		return kv.ErrConflict
 	default:
--- a/timer/service.go
+++ b/timer/service.go
@@ -33,9 +33,9 @@
 	return &Service{clock: clock, deadlines: map[*deadline]struct{}{}}
 }
 
-// NewOver returns a Service on a monotonic clock, which stops while the machine is suspended, and on a boot clock, which does
+// NewWithBootClock returns a Service on a monotonic clock, which stops while the machine is suspended, and on a boot clock, which does
 // not. It returns the error of reading the boot clock.
-func NewOver(clock clockwork.Clock, bootClock func() (time.Duration, error)) (*Service, error) {
+func NewWithBootClock(clock clockwork.Clock, bootClock func() (time.Duration, error)) (*Service, error) {
 	s := New(clock)
 	at, err := bootClock()
 	if err != nil {
@@ -50,7 +50,7 @@
 
 // NewSuspendable returns a Service on the machine's monotonic and boot clocks, for a machine that may be suspended. It returns
 // the error of reading the boot clock.
-func NewSuspendable() (*Service, error) { return NewOver(clockwork.NewRealClock(), sinceBoot) }
+func NewSuspendable() (*Service, error) { return NewWithBootClock(clockwork.NewRealClock(), sinceBoot) }
 
 // Now returns the current time, including the suspensions that have been found so far.
 func (s *Service) Now() time.Time { return s.clock.Now().Add(s.Suspended()) }
--- a/timer/suspension.go
+++ b/timer/suspension.go
@@ -31,10 +31,10 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// Look compares the monotonic clock, which stops while the machine is suspended, with the boot clock, which does not. It returns
+// CheckSuspension compares the monotonic clock, which stops while the machine is suspended, with the boot clock, which does not. It returns
 // for how long the machine has been suspended since the last call that returned a suspension. From then on Now includes that
 // time.
-func (s *Service) Look() (time.Duration, error) {
+func (s *Service) CheckSuspension() (time.Duration, error) {
 	if s.bootClock == nil {
 		return 0, nil
 	}
@@ -74,19 +74,19 @@
 // Suspended returns the total time for which the machine has been found suspended since the start.
 func (s *Service) Suspended() time.Duration { return time.Duration(s.suspended.Load()) }
 
-// Steady converts a time of Now into the monotonic time that the runtime's own deadlines use, which stops while the machine is
+// MonotonicTime converts a time of Now into the monotonic time that the runtime's own deadlines use, which stops while the machine is
 // suspended.
-func (s *Service) Steady(at time.Time) time.Time { return at.Add(-s.Suspended()) }
+func (s *Service) MonotonicTime(at time.Time) time.Time { return at.Add(-s.Suspended()) }
 
-// Watch compares the clocks periodically until ctx ends and passes each suspension, or the error of reading the boot clock, to
+// WatchSuspension compares the clocks periodically until ctx ends and passes each suspension, or the error of reading the boot clock, to
 // report.
-func (s *Service) Watch(ctx context.Context, report func(gap time.Duration, err error)) {
+func (s *Service) WatchSuspension(ctx context.Context, report func(gap time.Duration, err error)) {
 	ticks := s.Subscribe(checkPeriod)
 	defer ticks.Stop()
 	for {
 		select {
 		case <-ticks.C():
-			if gap, err := s.Look(); gap > 0 || err != nil {
+			if gap, err := s.CheckSuspension(); gap > 0 || err != nil {
 				report(gap, err)
 			}
 		case <-ctx.Done():
--- a/timer/suspension_test.go
+++ b/timer/suspension_test.go
@@ -24,7 +24,7 @@
 func newSuspendableMachine(t *testing.T) (*suspendableMachine, *timer.Service) {
 	fake := clockwork.NewFakeClock()
 	m := &suspendableMachine{FakeClock: fake, start: fake.Now()}
-	s, err := timer.NewOver(fake, m.sinceBoot)
+	s, err := timer.NewWithBootClock(fake, m.sinceBoot)
 	require.NoError(t, err)
 	return m, s
 }
@@ -40,21 +40,21 @@
 	m, s := newSuspendableMachine(t)
 	before := s.Now()
 	m.Advance(time.Second)
-	gap, err := s.Look()
+	gap, err := s.CheckSuspension()
 	require.NoError(t, err)
 	require.Zero(t, gap)
 	require.Equal(t, time.Second, s.Since(before))
 	m.suspended = 8 * time.Second
-	gap, err = s.Look()
+	gap, err = s.CheckSuspension()
 	require.NoError(t, err)
 	require.Equal(t, 8*time.Second, gap)
 	require.Equal(t, 9*time.Second, s.Since(before))
-	require.Equal(t, before.Add(time.Second), s.Steady(s.Now()))
-	gap, err = s.Look()
+	require.Equal(t, before.Add(time.Second), s.MonotonicTime(s.Now()))
+	gap, err = s.CheckSuspension()
 	require.NoError(t, err)
 	require.Zero(t, gap, "a suspension is returned once")
 	m.suspended += time.Second
-	gap, err = s.Look()
+	gap, err = s.CheckSuspension()
 	require.NoError(t, err)
 	require.Equal(t, time.Second, gap)
 	require.Equal(t, 9*time.Second, s.Suspended())
@@ -63,9 +63,9 @@
 func TestAnUnreadableClockIsAnError(t *testing.T) {
 	m, s := newSuspendableMachine(t)
 	m.unreadable = true
-	_, err := s.Look()
+	_, err := s.CheckSuspension()
 	require.Error(t, err)
-	_, err = timer.NewOver(m, m.sinceBoot)
+	_, err = timer.NewWithBootClock(m, m.sinceBoot)
 	require.Error(t, err)
 }
 
@@ -78,7 +78,7 @@
 	later, stopLater := s.WithDeadline(t.Context(), s.Now().Add(20*time.Second))
 	defer stopLater()
 	m.suspended = 8 * time.Second
-	_, err := s.Look()
+	_, err := s.CheckSuspension()
 	require.NoError(t, err)
 	<-passed.Done()
 	require.NoError(t, later.Err())
@@ -93,7 +93,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	reports := make(chan time.Duration)
-	go s.Watch(ctx, func(gap time.Duration, _ error) { reports <- gap })
+	go s.WatchSuspension(ctx, func(gap time.Duration, _ error) { reports <- gap })
 	require.NoError(t, m.BlockUntilContext(t.Context(), 1))
 	m.suspended = 3 * time.Second
 	m.Advance(time.Second)
@@ -103,7 +103,7 @@
 func TestSystemClocksAreReadable(t *testing.T) {
 	s, err := timer.NewSuspendable()
 	require.NoError(t, err)
-	_, err = s.Look()
+	_, err = s.CheckSuspension()
 	require.NoError(t, err)
 }
 
@@ -113,7 +113,7 @@
 	s, err := timer.NewSuspendable()
 	require.NoError(b, err)
 	for b.Loop() {
-		if _, err := s.Look(); err != nil {
+		if _, err := s.CheckSuspension(); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/view/snapshot.go
+++ b/view/snapshot.go
@@ -88,20 +88,20 @@
 // Graph returns the graph of a model's servers, or nil if there is none.
 func (s *Snapshot) Graph(model string) *route.Graph { return s.graphs[model] }
 
-// Board holds the current snapshot; it is safe for concurrent use.
-type Board struct {
+// SnapshotHolder holds the current snapshot; it is safe for concurrent use.
+type SnapshotHolder struct {
 	current atomic.Pointer[Snapshot]
 }
 
-// NewBoard returns a Board with an empty snapshot.
-func NewBoard() *Board {
-	b := &Board{}
+// NewSnapshotHolder returns a Board with an empty snapshot.
+func NewSnapshotHolder() *SnapshotHolder {
+	b := &SnapshotHolder{}
 	b.current.Store(&Snapshot{})
 	return b
 }
 
 // Current returns the current snapshot.
-func (b *Board) Current() *Snapshot { return b.current.Load() }
+func (b *SnapshotHolder) Current() *Snapshot { return b.current.Load() }
 
 // Publish makes a snapshot the current one.
-func (b *Board) Publish(s *Snapshot) { b.current.Store(s) }
+func (b *SnapshotHolder) Publish(s *Snapshot) { b.current.Store(s) }
