--- a/cmd/jxctl/print.go
+++ b/cmd/jxctl/print.go
@@ -6,13 +6,14 @@
 	"os"
 )
 
-// show prints a value as indented JSON.
-func show(value any) error {
+// printJSON prints a value as indented JSON.
+func printJSON(value any) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
+// printLines prints a title and below it the lines, indented.
 func printLines(title string, lines []string) {
 	fmt.Println(title)
 	for _, l := range lines {
--- a/cmd/jxctl/why.go
+++ b/cmd/jxctl/why.go
@@ -10,11 +10,12 @@
 	"junctioncross/story"
 )
 
-// logFiles names the logs that a command reads.
+// logFiles are the log files that a command reads.
 type logFiles struct {
 	Logs []string `arg:"" optional:"" type:"existingfile" help:"Log files of any number of instances; standard input when there are none."`
 }
 
+// read returns the lines of all log files; it reports to standard error how many were skipped.
 func (f *logFiles) read() ([]story.Line, error) {
 	if len(f.Logs) == 0 {
 		lines, _, err := story.Read(os.Stdin)
@@ -39,13 +40,13 @@
 	return all, nil
 }
 
-// tell reads the logs and prints what fn finds in them; it fails when that is nothing.
-func (f *logFiles) tell(fn func(out io.Writer, lines []story.Line, name string) bool, kind, name string) error {
+// printMatches reads the logs and has write print the lines on one request or instance; it fails if there are none.
+func (f *logFiles) printMatches(write func(out io.Writer, lines []story.Line, name string) bool, kind, name string) error {
 	lines, err := f.read()
 	if err != nil {
 		return err
 	}
-	if !fn(os.Stdout, lines, name) {
+	if !write(os.Stdout, lines, name) {
 		return errors.Errorf("jxctl: no line of %s %s", kind, name)
 	}
 	return nil
@@ -56,13 +57,13 @@
 	logFiles
 }
 
-// Run prints the story of one request and its cause.
-func (c *whyCommand) Run() error { return c.tell(story.Why, "request", c.Request) }
+// Run prints what happened to one request, and why.
+func (c *whyCommand) Run() error { return c.printMatches(story.Why, "request", c.Request) }
 
 type timelineCommand struct {
 	Instance string `arg:"" help:"Name of the instance."`
 	logFiles
 }
 
-// Run prints what an instance did and believed beside its requests.
-func (c *timelineCommand) Run() error { return c.tell(story.Timeline, "instance", c.Instance) }
+// Run prints the log lines of an instance that belong to no request: what it did and what it knew of the fleet.
+func (c *timelineCommand) Run() error { return c.printMatches(story.Timeline, "instance", c.Instance) }
