--- a/follow/incarnation_test.go
+++ b/follow/incarnation_test.go
@@ -70,9 +70,9 @@
 	eventually(t, func() bool { return servers(b) == 2 })
 	require.Contains(t, b.Current().Group("s").Servers(), present)
 	require.False(t, present.Leaving())
-	b.Hear([]backend.SharedReport{{ID: "a", Born: 1000, Silent: true}}, time.Now().Add(time.Second))
+	b.ApplySharedReports([]backend.SharedReport{{ID: "a", Born: 1000, Silent: true}}, time.Now().Add(time.Second))
 	require.True(t, present.Usable(time.Now()))
-	b.Hear([]backend.SharedReport{{ID: "a", Born: 2000, Silent: true}}, time.Now().Add(time.Second))
+	b.ApplySharedReports([]backend.SharedReport{{ID: "a", Born: 2000, Silent: true}}, time.Now().Add(time.Second))
 	require.False(t, present.Usable(time.Now()))
 }
 
@@ -169,7 +169,7 @@
 			s.add(follow.FeedServers, follow.ServerGone{ID: "a"})
 			newestBorn, want = 0, false
 		case "word":
-			b.Hear([]backend.SharedReport{{ID: "a", Born: one.born, Silent: true}}, time.Now())
+			b.ApplySharedReports([]backend.SharedReport{{ID: "a", Born: one.born, Silent: true}}, time.Now())
 			if server := onlyServer(b); server != nil && server.Usable(time.Now()) != (server.Incarnation().Born != one.born) {
 				wrong = fmt.Sprintf("a report on incarnation %d was applied to incarnation %d, or not to its own", one.born, server.Incarnation().Born)
 			}
--- a/follow/reports.go
+++ b/follow/reports.go
@@ -10,15 +10,15 @@
 // every half second.
 const sharingWindow = 2 * time.Second
 
-// OwnWords returns the reports on servers that this instance obtained itself after a moment; a server that did not
+// OwnReports returns the reports on servers that this instance obtained itself after a moment; a server that did not
 // answer counts too.
-func (b *FleetView) OwnWords(after, now time.Time) []backend.SharedReport {
+func (b *FleetView) OwnReports(after, now time.Time) []backend.SharedReport {
 	return b.reports(after, now, true)
 }
 
-// Words returns the reports on servers that this instance obtained itself or received from other instances after a
+// Reports returns the reports on servers that this instance obtained itself or received from other instances after a
 // moment.
-func (b *FleetView) Words(after, now time.Time) []backend.SharedReport {
+func (b *FleetView) Reports(after, now time.Time) []backend.SharedReport {
 	return b.reports(after, now, false)
 }
 
@@ -34,9 +34,9 @@
 	return out
 }
 
-// Hear applies reports that other instances share, and reports whether they show that a server has become silent or
+// ApplySharedReports applies reports that other instances share, and returns whether they show that a server has become silent or
 // slow.
-func (b *FleetView) Hear(reports []backend.SharedReport, now time.Time) bool {
+func (b *FleetView) ApplySharedReports(reports []backend.SharedReport, now time.Time) bool {
 	if len(reports) == 0 {
 		return false
 	}
--- a/relay/reports.go
+++ b/relay/reports.go
@@ -22,13 +22,13 @@
 // hundreds of instances has few streams; without the reports it would learn which servers are slow or dead only by losing
 // streams to one server after the other.
 type SharedReports interface {
-	// OwnWords returns the reports on servers that this instance has queried itself after a time, including those that did not
+	// OwnReports returns the reports on servers that this instance has queried itself after a time, including those that did not
 	// answer.
-	OwnWords(after, now time.Time) []backend.SharedReport
-	// Words returns all reports that this instance learned of after a time, its own and those of others.
-	Words(after, now time.Time) []backend.SharedReport
-	// Hear applies the reports of another instance and returns whether the state of a server became bad by them.
-	Hear(words []backend.SharedReport, now time.Time) bool
+	OwnReports(after, now time.Time) []backend.SharedReport
+	// Reports returns all reports that this instance learned of after a time, its own and those of others.
+	Reports(after, now time.Time) []backend.SharedReport
+	// ApplySharedReports applies the reports of another instance and returns whether the state of a server became bad by them.
+	ApplySharedReports(reports []backend.SharedReport, now time.Time) bool
 }
 
 // attachReports adds to a poll the own reports since the last poll, and the mark up to which the polled instance has passed on its
@@ -40,7 +40,7 @@
 	s.mu.Lock()
 	after, mark := s.reportsSent, s.reportMarks[addr]
 	s.mu.Unlock()
-	p.Reports, p.Mark = s.reports.OwnWords(after, now), mark
+	p.Reports, p.Mark = s.reports.OwnReports(after, now), mark
 }
 
 // applyReply applies the reports in the answer to a poll that was sent at asked.
@@ -51,14 +51,14 @@
 	s.mu.Lock()
 	s.reportsSent, s.reportMarks[addr] = asked, t.Mark
 	s.mu.Unlock()
-	s.reports.Hear(t.Reports, s.clock.Now())
+	s.reports.ApplySharedReports(t.Reports, s.clock.Now())
 }
 
 // applyPolledReports applies the reports in a poll. If a server's state became bad by them, all waiting polls of the servers feed are
 // answered at once.
-func (s *Source) applyPolledReports(words []backend.SharedReport) {
+func (s *Source) applyPolledReports(reports []backend.SharedReport) {
 	now := s.clock.Now()
-	if !s.reports.Hear(words, now) {
+	if !s.reports.ApplySharedReports(reports, now) {
 		return
 	}
 	s.lastWorse.Store(int64(now.Sub(s.begun)))
@@ -72,7 +72,7 @@
 	if reached := now.Sub(s.begun); mark > 0 && mark <= reached {
 		after = s.begun.Add(mark)
 	}
-	return s.reports.Words(after, now), now.Sub(s.begun)
+	return s.reports.Reports(after, now), now.Sub(s.begun)
 }
 
 // turnedWorse reports whether the state of a server has become bad since mark.
--- a/relay/reports_test.go
+++ b/relay/reports_test.go
@@ -16,8 +16,8 @@
 	received map[string]backend.SharedReport
 }
 
-// OwnWords implements relay.Words.
-func (n *fakeReports) OwnWords(_, _ time.Time) []backend.SharedReport {
+// OwnReports implements relay.SharedReports.
+func (n *fakeReports) OwnReports(_, _ time.Time) []backend.SharedReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	own := n.unsent
@@ -25,8 +25,8 @@
 	return own
 }
 
-// Words implements relay.Words.
-func (n *fakeReports) Words(_, _ time.Time) []backend.SharedReport {
+// Reports implements relay.SharedReports.
+func (n *fakeReports) Reports(_, _ time.Time) []backend.SharedReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []backend.SharedReport
@@ -36,12 +36,12 @@
 	return out
 }
 
-// Hear implements relay.Words.
-func (n *fakeReports) Hear(words []backend.SharedReport, _ time.Time) bool {
+// ApplySharedReports implements relay.SharedReports.
+func (n *fakeReports) ApplySharedReports(reports []backend.SharedReport, _ time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	worse := false
-	for _, w := range words {
+	for _, w := range reports {
 		worse = worse || w.Silent && !n.received[w.ID].Silent
 		n.received[w.ID] = w
 	}
@@ -64,17 +64,17 @@
 // TestReportsOfOneInstanceReachItsDomain gives one instance of a domain reports on two servers, of which one is silent.
 func TestReportsOfOneInstanceReachItsDomain(t *testing.T) {
 	s := newStore()
-	words := map[string]*fakeReports{}
+	reports := map[string]*fakeReports{}
 	all := runWith(t, 4, func(int) string { return "east" },
 		func(caller string) relay.Store { return view{store: s, caller: caller} },
 		func(caller string) relay.SharedReports {
-			words[caller] = &fakeReports{received: map[string]backend.SharedReport{}}
-			return words[caller]
+			reports[caller] = &fakeReports{received: map[string]backend.SharedReport{}}
+			return reports[caller]
 		}, func(string) relay.Ends { return noEnds{} })
 	soon(t, func() bool { return all[0].Direct() && all[3].age() < time.Second })
-	words["i-3"].add(backend.SharedReport{ID: "well", Total: 1})
-	words["i-3"].add(backend.SharedReport{ID: "silent", Silent: true})
+	reports["i-3"].add(backend.SharedReport{ID: "well", Total: 1})
+	reports["i-3"].add(backend.SharedReport{ID: "silent", Silent: true})
 	for _, name := range []string{"i-0", "i-1", "i-2"} {
-		soon(t, func() bool { return words[name].knows("well") && words[name].knows("silent") })
+		soon(t, func() bool { return reports[name].knows("well") && reports[name].knows("silent") })
 	}
 }
