--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -236,7 +236,7 @@
 	return ends, cleared
 }
 
-// MarkPublished records that what Untold returned was written.
+// MarkPublished records that what Unpublished returned was written.
 func (b *Book) MarkPublished(ends, cleared []End) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/quarantine/publisher.go
+++ b/quarantine/publisher.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Untold returns ends that could not be published yet, so that other instances can publish them.
-func (t *Publisher) Untold() []End {
+// Unpublished returns ends that could not be published yet, so that other instances can publish them.
+func (t *Publisher) Unpublished() []End {
 	if t.book.Size() == 0 {
 		return nil
 	}
--- a/quarantine/publisher_test.go
+++ b/quarantine/publisher_test.go
@@ -64,11 +64,11 @@
 	store := &fakeStore{}
 	isolated := quarantine.NewPublisher(t.Context(), isolatedBook, &fakeStore{failures: 1 << 30}, timer.NewReal(), metrics.New(), testlog.New(t))
 	connected := quarantine.NewPublisher(t.Context(), connectedBook, store, timer.NewReal(), metrics.New(), testlog.New(t))
-	require.Empty(t, isolated.Untold())
+	require.Empty(t, isolated.Unpublished())
 	isolatedBook.Confirm(end(request(1), 1, "a"), startTime)
 	isolated.Wake()
-	connected.Adopt(isolated.Untold())
-	connected.Adopt(isolated.Untold())
+	connected.Adopt(isolated.Unpublished())
+	connected.Adopt(isolated.Unpublished())
 	require.Eventually(t, func() bool { ends, _ := store.counts(); return ends == 1 }, testTimeout, 5*time.Millisecond)
 	require.Equal(t, 1, connectedBook.Ends(request(1)))
 }
--- a/relay/ends_test.go
+++ b/relay/ends_test.go
@@ -13,8 +13,8 @@
 // noEnds is the relay.Ends of an instance that has seen no server terminate.
 type noEnds struct{}
 
-// Untold implements relay.Ends.
-func (noEnds) Untold() []quarantine.End { return nil }
+// Unpublished implements relay.Ends.
+func (noEnds) Unpublished() []quarantine.End { return nil }
 
 // Adopt implements relay.Ends.
 func (noEnds) Adopt([]quarantine.End) {}
@@ -26,8 +26,8 @@
 	adopted     []quarantine.End
 }
 
-// Untold implements relay.Ends.
-func (e *fakeEnds) Untold() []quarantine.End {
+// Unpublished implements relay.Ends.
+func (e *fakeEnds) Unpublished() []quarantine.End {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.unpublished
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -222,7 +222,7 @@
 	asked := s.clock.Now()
 	s.attachReports(&p, addr, asked)
 	if p.Feed == follow.FeedQuarantine {
-		p.Ends = s.ends.Untold()
+		p.Ends = s.ends.Unpublished()
 	}
 	p.DirectAddr = s.directAddr()
 	if p.Feed == follow.FeedConfig && !p.Full {
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -75,8 +75,8 @@
 // noEnds is the Ends of an instance that has seen no server terminate.
 type noEnds struct{}
 
-// Untold implements Ends.
-func (noEnds) Untold() []quarantine.End { return nil }
+// Unpublished implements Ends.
+func (noEnds) Unpublished() []quarantine.End { return nil }
 
 // Adopt implements Ends.
 func (noEnds) Adopt([]quarantine.End) {}
