--- a/quarantine/publisher.go
+++ b/quarantine/publisher.go
@@ -27,8 +27,8 @@
 
 // EndStore writes to the store, where all instances read which servers terminated under which requests.
 type EndStore interface {
-	// Tell writes ends, which last for as long as ends count, and removes the records of cleared ones.
-	Tell(ctx context.Context, ends, cleared []End) error
+	// Publish writes ends to the store, which last for as long as ends count, and removes the records of cleared ones.
+	Publish(ctx context.Context, ends, cleared []End) error
 }
 
 // Publisher publishes the ends that a Book learns of: it writes them to the store, where all instances read them.
@@ -113,5 +113,5 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	t.stats.Counter("quarantine_tells_total").Inc(1)
-	return t.register.Tell(ctx, ends, cleared)
+	return t.register.Publish(ctx, ends, cleared)
 }
--- a/quarantine/publisher_test.go
+++ b/quarantine/publisher_test.go
@@ -17,7 +17,7 @@
 
 const testTimeout = 30 * time.Second
 
-// fakeStore is a quarantine.Register that fails a given number of times before it accepts anything.
+// fakeStore is a quarantine.EndStore that fails a given number of times before it accepts anything.
 type fakeStore struct {
 	mu       sync.Mutex
 	failures int
@@ -25,8 +25,8 @@
 	cleared  []quarantine.End
 }
 
-// Tell implements quarantine.Register.
-func (r *fakeStore) Tell(_ context.Context, ends, cleared []quarantine.End) error {
+// Publish implements quarantine.EndStore.
+func (r *fakeStore) Publish(_ context.Context, ends, cleared []quarantine.End) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.failures > 0 {
