--- a/relay/fleetstore_test.go
+++ b/relay/fleetstore_test.go
@@ -69,8 +69,8 @@
 // simStore is the feeds of the simulated store; it implements Store.
 type simStore struct{ b *startSimulation }
 
-// Reach implements Store.
-func (f simStore) Reach(ctx context.Context) error { return f.b.call(ctx, lowCost, recordBytes) }
+// Ping implements Store.
+func (f simStore) Ping(ctx context.Context) error { return f.b.call(ctx, lowCost, recordBytes) }
 
 // pageBytes is the size of a page of a feed.
 const pageBytes = 500 * entryBytes
--- a/relay/platform_test.go
+++ b/relay/platform_test.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// Reach implements Store.
-func (s scenarioStore) Reach(ctx context.Context) error { return s.ask(ctx) }
+// Ping implements Store.
+func (s scenarioStore) Ping(ctx context.Context) error { return s.ask(ctx) }
 
 // ReadFeed implements Store.
 func (s scenarioStore) ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error) {
--- a/relay/record.go
+++ b/relay/record.go
@@ -21,9 +21,9 @@
 
 // Store is the part of the platform's store that package relay needs.
 type Store interface {
-	// Reach checks that the store answers, at a tenth of the cost of the other calls; it returns follow.ErrUnavailable if it
+	// Ping checks that the store answers, at a tenth of the cost of the other calls; it returns follow.ErrUnavailable if it
 	// does not.
-	Reach(ctx context.Context) error
+	Ping(ctx context.Context) error
 	// ReadFeed returns the full content of a feed and the position before the first page. It returns follow.ErrUnavailable, at
 	// the latest when a page has taken PageTime.
 	ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error)
--- a/relay/rejecting_test.go
+++ b/relay/rejecting_test.go
@@ -22,8 +22,8 @@
 // rejectingStore is a relay.Store that rejects each call for updates.
 type rejectingStore struct{ view }
 
-// Reach implements relay.Store.
-func (t rejectingStore) Reach(context.Context) error {
+// Ping implements relay.Store.
+func (t rejectingStore) Ping(context.Context) error {
 	t.recordCall()
 	return follow.ErrUnavailable
 }
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -85,8 +85,8 @@
 	return v.silent[v.caller]
 }
 
-// Reach implements relay.Store.
-func (v view) Reach(ctx context.Context) error {
+// Ping implements relay.Store.
+func (v view) Ping(ctx context.Context) error {
 	if v.recordCall() {
 		<-ctx.Done()
 		return follow.ErrUnavailable
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -23,8 +23,8 @@
 	calls int
 }
 
-// Reach implements Store.
-func (c *countingStore) Reach(context.Context) error {
+// Ping implements Store.
+func (c *countingStore) Ping(context.Context) error {
 	c.calls++
 	if c.down {
 		return follow.ErrUnavailable
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -120,7 +120,7 @@
 func (s *Source) reachStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, suspectTimeout)
 	defer cancel()
-	return s.store.Reach(ctx)
+	return s.store.Ping(ctx)
 }
 
 // probing reports whether the call is a probe, which the breaker allows although it is open.
