--- a/census/census.go
+++ b/census/census.go
@@ -97,8 +97,8 @@
 	Renew(ctx context.Context, lease int64) error
 	// List returns the records and the fleet key; they may be some seconds old.
 	List(ctx context.Context) (Snapshot, error)
-	// Found writes the fleet key unless there is one, and returns the stored key.
-	Found(ctx context.Context, key []byte) ([]byte, error)
+	// EnsureKey writes the fleet key unless there is one, and returns the stored key.
+	EnsureKey(ctx context.Context, key []byte) ([]byte, error)
 }
 
 // Census counts the instances of the fleet and maintains the registration record of its own instance.
@@ -351,7 +351,7 @@
 	}
 	key, err := c.newKey()
 	if err == nil {
-		key, err = c.registry.Found(ctx, key)
+		key, err = c.registry.EnsureKey(ctx, key)
 	}
 	if err != nil {
 		c.log.WithError(err).Warn("the fleet's key not written")
--- a/census/census_test.go
+++ b/census/census_test.go
@@ -24,7 +24,7 @@
 	relayThreshold = 24
 )
 
-// fakeRegistry is a census.Register in memory.
+// fakeRegistry is a census.Registry in memory.
 type fakeRegistry struct {
 	mu          sync.Mutex
 	members     map[int64]census.Instance
@@ -51,7 +51,7 @@
 	return r.next
 }
 
-// Join implements census.Register.
+// Join implements census.Registry.
 func (r *fakeRegistry) Join(_ context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,7 +74,7 @@
 	return r.next, nil
 }
 
-// Renew implements census.Register.
+// Renew implements census.Registry.
 func (r *fakeRegistry) Renew(_ context.Context, lease int64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// List implements census.Register.
+// List implements census.Registry.
 func (r *fakeRegistry) List(context.Context) (census.Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,8 +103,8 @@
 	return roll, nil
 }
 
-// Found implements census.Register.
-func (r *fakeRegistry) Found(_ context.Context, key []byte) ([]byte, error) {
+// EnsureKey implements census.Registry.
+func (r *fakeRegistry) EnsureKey(_ context.Context, key []byte) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.key == nil {
--- a/relay/fleetstore_test.go
+++ b/relay/fleetstore_test.go
@@ -13,10 +13,10 @@
 	"junctioncross/link"
 )
 
-// simRegister is the simulated store's registration records as seen by an instance; it implements census.Register.
+// simRegister is the simulated store's registration records as seen by an instance; it implements census.Registry.
 type simRegister struct{ b *startSimulation }
 
-// Join implements census.Register.
+// Join implements census.Registry.
 func (r simRegister) Join(ctx context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
 	for range 2 {
 		if err := r.b.call(ctx, 1, recordBytes); err != nil {
@@ -35,12 +35,12 @@
 	return slot.Revision, nil
 }
 
-// Renew implements census.Register.
+// Renew implements census.Registry.
 func (r simRegister) Renew(ctx context.Context, _ int64) error {
 	return r.b.call(ctx, lowCost, recordBytes)
 }
 
-// List implements census.Register.
+// List implements census.Registry.
 func (r simRegister) List(ctx context.Context) (census.Snapshot, error) {
 	r.b.mu.Lock()
 	roll := census.Snapshot{Key: r.b.key}
@@ -53,8 +53,8 @@
 	return roll, r.b.call(ctx, lowCost, float64(1+len(roll.Records))*recordBytes)
 }
 
-// Found implements census.Register.
-func (r simRegister) Found(ctx context.Context, key []byte) ([]byte, error) {
+// EnsureKey implements census.Registry.
+func (r simRegister) EnsureKey(ctx context.Context, key []byte) ([]byte, error) {
 	if err := r.b.call(ctx, 1, recordBytes); err != nil {
 		return nil, err
 	}
