--- a/leader/leader.go
+++ b/leader/leader.go
@@ -125,7 +125,7 @@
 	g.clock.Sleep(ctx, time.Duration(rand.Float64()*float64(startJitter)))
 	sentAt := g.clock.Now()
 	take, cancel := context.WithTimeout(ctx, lockTimeout)
-	grant, err := g.lock.Take(take, g.holder, leaseTTL)
+	grant, err := g.lock.Acquire(take, g.holder, leaseTTL)
 	cancel()
 	switch {
 	case errors.Is(err, ErrTaken):
@@ -164,7 +164,7 @@
 	sentAt := g.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
 	defer cancel()
-	err := g.lock.Keep(ctx, g.lease.grant)
+	err := g.lock.Renew(ctx, g.lease.grant)
 	switch {
 	case err == nil:
 		g.lease.renewed(sentAt)
@@ -183,7 +183,7 @@
 	g.stats.Gauge("gives_orders").Update(0)
 	ctx, cancel := context.WithTimeout(context.Background(), lockTimeout)
 	defer cancel()
-	if err := g.lock.End(ctx, g.lease.grant); err != nil {
+	if err := g.lock.Release(ctx, g.lease.grant); err != nil {
 		g.log.WithError(err).Warn("right to give orders not given back, it ends by itself")
 	}
 }
--- a/leader/lease.go
+++ b/leader/lease.go
@@ -9,7 +9,7 @@
 	"junctioncross/timer"
 )
 
-// Errors of a Claim.
+// Errors of a Lock.
 var (
 	// ErrTaken means that another instance holds the leader lock.
 	ErrTaken = errors.New("leader: lock is held by another instance")
@@ -30,12 +30,12 @@
 type Lock interface {
 	// Await returns true as soon as the lock is free, and false when wait has passed; it returns ErrUnavailable.
 	Await(ctx context.Context, wait time.Duration) (bool, error)
-	// Take acquires the lock for holder; it returns ErrTaken or ErrUnavailable.
-	Take(ctx context.Context, holder string, ttl time.Duration) (Grant, error)
-	// Keep renews the lease of the lock; it returns ErrOver or ErrUnavailable.
-	Keep(ctx context.Context, g Grant) error
-	// End releases the lock; it returns ErrUnavailable.
-	End(ctx context.Context, g Grant) error
+	// Acquire acquires the lock for holder; it returns ErrTaken or ErrUnavailable.
+	Acquire(ctx context.Context, holder string, ttl time.Duration) (Grant, error)
+	// Renew renews the lease of the lock; it returns ErrLeaseEnded or ErrUnavailable.
+	Renew(ctx context.Context, g Grant) error
+	// Release releases the lock; it returns ErrUnavailable.
+	Release(ctx context.Context, g Grant) error
 }
 
 const (
