--- a/app/claims.go
+++ b/app/claims.go
@@ -25,7 +25,7 @@
 // instances; it registers the handler that decides the claims of other instances here.
 func newClaimer(logs *claim.Logs, loop *control.Loop, links *link.Client, mux *link.Mux, stats *metrics.Registry) claim.Claimer {
 	link.Handle(mux, link.KindClaim, func(ctx context.Context, _ keys.Identity, c claim.Claim) (claim.Answer, error) {
-		v, err := logs.Ask(ctx, c)
+		v, err := logs.Submit(ctx, c)
 		return claim.ToAnswer(v), err
 	})
 	return claim.NewRouter(logs, loop, forwardClaim(links), stats)
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -87,7 +87,7 @@
 			for i := range perWriter {
 				in := input{key: fmt.Sprint("key", i%10), request: fmt.Sprintf("w%d-%d", w, i)}
 				start := time.Now().UnixNano()
-				v, err := k.Ask(context.Background(), claim.Claim{Key: in.key, Request: in.request})
+				v, err := k.Submit(context.Background(), claim.Claim{Key: in.key, Request: in.request})
 				out := unknown
 				if err == nil {
 					out = refused
@@ -135,7 +135,7 @@
 	}
 	for key, request := range holders {
 		for _, k := range keepers {
-			v, err := k.Ask(t.Context(), claim.Claim{Key: key, Request: "late-" + request})
+			v, err := k.Submit(t.Context(), claim.Claim{Key: key, Request: "late-" + request})
 			require.NoError(t, err)
 			require.IsType(t, claim.Duplicate{}, v)
 		}
@@ -147,7 +147,7 @@
 }
 
 func ask(t *testing.T, k *claim.Logs, c claim.Claim) claim.Verdict {
-	v, err := k.Ask(t.Context(), c)
+	v, err := k.Submit(t.Context(), c)
 	require.NoError(t, err)
 	return v
 }
@@ -176,6 +176,6 @@
 func TestClaimsFailWhileTheServiceIsDown(t *testing.T) {
 	down := standin.NewLocal(standin.NewKeys(time.Now), 1, 1, 0)
 	k := claim.NewLogs(down, timer.NewReal(), metrics.New(), "a", 1)
-	_, err := k.Ask(t.Context(), claim.Claim{Key: "k", Request: "r"})
+	_, err := k.Submit(t.Context(), claim.Claim{Key: "k", Request: "r"})
 	require.ErrorIs(t, err, claim.ErrUnavailable)
 }
--- a/claim/keeper.go
+++ b/claim/logs.go
@@ -11,8 +11,8 @@
 
 // Claimer decides claims.
 type Claimer interface {
-	// Ask claims a key, or records the outcome of the request that holds it. Its errors are ErrUnavailable and ErrUnsure.
-	Ask(ctx context.Context, c Claim) (Verdict, error)
+	// Submit claims a key, or records the outcome of the request that holds it. Its errors are ErrUnavailable and ErrOutcomeUnknown.
+	Submit(ctx context.Context, c Claim) (Verdict, error)
 }
 
 // Logs decides claims in this process: it writes to the logs of all partitions, which it opens on first use.
@@ -27,15 +27,15 @@
 	logs map[int]*Log
 }
 
-// NewLogs returns a Keeper for the given number of partitions, which must be the same in every process; writer names this
+// NewLogs returns the Logs for the given number of partitions, which must be the same in every process; writer names this
 // process and incarnation in the records.
 func NewLogs(store kv.Store, clock *timer.Service, stats *metrics.Registry, writer string, partitions int) *Logs {
 	return &Logs{store: store, clock: clock, stats: stats, writer: writer, partitions: partitions, logs: map[int]*Log{}}
 }
 
-// Ask implements Asker.
-func (k *Logs) Ask(ctx context.Context, c Claim) (Verdict, error) {
-	return k.partitionLog(Partition(c.Key, k.partitions)).Ask(ctx, c)
+// Submit implements Claimer.
+func (k *Logs) Submit(ctx context.Context, c Claim) (Verdict, error) {
+	return k.partitionLog(Partition(c.Key, k.partitions)).Submit(ctx, c)
 }
 
 func (k *Logs) partitionLog(partition int) *Log {
--- a/claim/router.go
+++ b/claim/router.go
@@ -36,13 +36,13 @@
 	return &Router{local: local, writers: writers, forward: forward, stats: stats}
 }
 
-// Ask implements Asker. If the writer's answer is lost, the claim is made again in this process, which is safe since the log
+// Submit implements Claimer. If the writer's answer is lost, the claim is made again in this process, which is safe since the log
 // recognises a claim by its request. If that fails, too, the outcome is unknown, unless the call certainly did not reach the
 // writer.
-func (r *Router) Ask(ctx context.Context, c Claim) (Verdict, error) {
+func (r *Router) Submit(ctx context.Context, c Claim) (Verdict, error) {
 	addr, local := r.writers.Writer(Partition(c.Key, r.local.partitions))
 	if local {
-		return r.local.Ask(ctx, c)
+		return r.local.Submit(ctx, c)
 	}
 	call, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
@@ -51,7 +51,7 @@
 		return v, nil
 	}
 	r.stats.Counter("claim_forwards_failed_total").Inc(1)
-	v, localErr := r.local.Ask(ctx, c)
+	v, localErr := r.local.Submit(ctx, c)
 	if errors.Is(localErr, ErrUnavailable) && sent {
 		return nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -38,8 +38,8 @@
 	err     error
 }
 
-// Ask implements claim.Asker.
-func (s stubClaims) Ask(context.Context, claim.Claim) (claim.Verdict, error) { return s.verdict, s.err }
+// Submit implements claim.Claimer.
+func (s stubClaims) Submit(context.Context, claim.Claim) (claim.Verdict, error) { return s.verdict, s.err }
 
 func document() *intent.Document {
 	return &intent.Document{
--- a/entry/service.go
+++ b/entry/service.go
@@ -48,7 +48,7 @@
 
 // claimKey claims the idempotency key, so that no other request runs under it; it returns a refusal if this request may not run.
 func (h *Handler) claimKey(ctx context.Context, c claim.Claim) *refusal {
-	verdict, err := h.claims.Ask(ctx, c)
+	verdict, err := h.claims.Submit(ctx, c)
 	if errors.Is(err, claim.ErrOutcomeUnknown) {
 		return notRun(fasthttp.StatusServiceUnavailable, models.ReasonClaimUnsure, "it is not known whether the key was claimed; the request was not sent")
 	}
@@ -93,7 +93,7 @@
 		defer h.active.Done()
 		outcomeCtx, cancel := context.WithTimeout(context.Background(), service.CallTimeout)
 		defer cancel()
-		if _, err := h.claims.Ask(outcomeCtx, c); err != nil {
+		if _, err := h.claims.Submit(outcomeCtx, c); err != nil {
 			h.stats.Counter("claim_outcomes_lost_total").Inc(1)
 		}
 	}()
