--- a/control/backends.go
+++ b/control/backends.go
@@ -217,8 +217,8 @@
 	return a
 }
 
-// Chosen implements order.Fleet.
-func (l *Loop) Chosen() bool { return l.chosen.Load() }
+// ShouldLead implements order.Fleet.
+func (l *Loop) ShouldLead() bool { return l.chosen.Load() }
 
 // Targets implements order.Fleet.
 func (l *Loop) Targets() []order.Target { return l.askServers().targets }
--- a/order/leader.go
+++ b/order/leader.go
@@ -29,8 +29,8 @@
 
 // Fleet is the leader's view of its failure domain.
 type Fleet interface {
-	// Chosen reports whether this instance is the one of its domain that should hold the lease.
-	Chosen() bool
+	// ShouldLead reports whether this instance is the one of its domain that should hold the lease.
+	ShouldLead() bool
 	// Targets returns the servers of the domain with what they should hold.
 	Targets() []Target
 	// Seen returns the last known states of the servers by name; it has no entry for a server of which nothing is known.
@@ -78,7 +78,7 @@
 
 // Step takes or renews the lease if this instance should lead and, if it holds the lease, gives the orders that are due.
 func (l *Leader) Step(ctx context.Context) {
-	if !l.fleet.Chosen() {
+	if !l.fleet.ShouldLead() {
 		l.stepDown()
 		return
 	}
