--- a/forward/plain.go
+++ b/forward/plain.go
@@ -200,7 +200,7 @@
 	status := s.info.Status
 	switch {
 	case s.info.NotRun:
-		h.turnedAway(r, server, s)
+		h.recordRefusal(r, server, s)
 		return notRun{reason: models.RetryRefused}
 	case status < 300 && !s.info.Sealed:
 		server.Observe(false)
@@ -245,8 +245,8 @@
 	}
 }
 
-// turnedAway records why a server refused a request.
-func (h *Handler) turnedAway(r *request, server *backend.Server, s *sentRequest) {
+// recordRefusal records why a server refused a request.
+func (h *Handler) recordRefusal(r *request, server *backend.Server, s *sentRequest) {
 	now := h.clock.Now()
 	server.ReleaseTrial()
 	if s.info.Status == fasthttp.StatusMisdirectedRequest {
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -182,7 +182,7 @@
 			server = at
 		}
 	}
-	h.turnedAway(f.r, server, s)
+	h.recordRefusal(f.r, server, s)
 	h.queryIfActive(server, "refusal")
 	if f.pause(h) >= h.settings.Load().StallTime/2 {
 		server.SetAside(h.clock.Now().Add(h.settings.Load().StallTime))
