--- a/admit/gate.go
+++ b/admit/gate.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Ticket is the permission to run one request; it holds one slot of the limit until Leave.
+// Ticket is the permission to run one request; it holds one slot of the limit until Release.
 type Ticket struct {
 	gate        *Gate
 	owner       share.Owner
