--- a/backend/status.go
+++ b/backend/status.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// NoteFull keeps new work away from a server that had no room. The time doubles with each call until TookWork is called; calls
+// NoteFull keeps new work away from a server that had no room. The time doubles with each call until NoteAccepted is called; calls
 // while the server is set aside do not count.
 func (s *Server) NoteFull(now time.Time) {
 	s.mu.Lock()
@@ -102,7 +102,7 @@
 	s.staleUntil = now.Add(maxStaleTime)
 }
 
-// clearStale undoes WasStale, since the entry names other layers than before.
+// clearStale undoes NoteStaleLayers, since the entry names other layers than before.
 func (s *Server) clearStale() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
