--- a/census/census.go
+++ b/census/census.go
@@ -93,7 +93,7 @@
 	// Join writes a record that expires after ttl to a slot of the instance's domain and returns the lease that the record is
 	// bound to; it returns ErrTaken if the slot has changed in the meantime.
 	Join(ctx context.Context, self Instance, slot Slot, ttl time.Duration) (lease int64, err error)
-	// Renew extends the record by another ttl; it returns ErrOver if it has expired.
+	// Renew extends the record by another ttl; it returns ErrExpired if it has expired.
 	Renew(ctx context.Context, lease int64) error
 	// List returns the records and the fleet key; they may be some seconds old.
 	List(ctx context.Context) (Snapshot, error)
@@ -122,7 +122,7 @@
 	missingSince time.Time
 }
 
-// New starts a Census that publishes what it reads to board; it stops when ctx ends. NewKey generates a key for a fleet that
+// New starts a Census that publishes what it reads to the view; it stops when ctx ends. NewKey generates a key for a fleet that
 // has none.
 func New(
 	ctx context.Context, board *View, registry Registry, self Instance, newKey func() ([]byte, error), clock *timer.Service,
