--- a/claim/router.go
+++ b/claim/router.go
@@ -31,12 +31,12 @@
 	stats   *metrics.Registry
 }
 
-// NewRouter returns a Router that falls back to the local keeper.
+// NewRouter returns a Router that falls back to the local logs.
 func NewRouter(local *Logs, writers Writers, forward Forward, stats *metrics.Registry) *Router {
 	return &Router{local: local, writers: writers, forward: forward, stats: stats}
 }
 
-// Submit implements Claimer. If the writer's answer is lost, the claim is made again in this process, which is safe since the log
+// Submit implements Claimer. If the writer's answer is lost, the claim is submitted again in this process, which is safe since the log
 // recognises a claim by its request. If that fails, too, the outcome is unknown, unless the call certainly did not reach the
 // writer.
 func (r *Router) Submit(ctx context.Context, c Claim) (Verdict, error) {
