--- a/engine/client.go
+++ b/engine/client.go
@@ -25,7 +25,7 @@
 	http *fasthttp.Client
 }
 
-// NewClient returns a Caller with its own pool of connections.
+// NewClient returns a Client with its own pool of connections.
 func NewClient() *Client {
 	client := once.NewClient(dialTimeout)
 	client.MaxConnsPerHost = maxConnections
