--- a/fleet/spec.go
+++ b/fleet/spec.go
@@ -51,7 +51,7 @@
 	Calls []intent.CallRule
 }
 
-// Names in the Spec that Users returns.
+// Names in the Spec that DefaultSpec returns.
 const (
 	ModelCounter   = "counter-assistant"
 	ModelQuotes    = "quote-writer"
