--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -87,7 +87,7 @@
 	return s.updates(all...), nil
 }
 
-// updates returns News with the changes as of now; the caller holds the lock.
+// updates returns Updates with the changes as of now; the caller holds the lock.
 func (s *source) updates(changes ...follow.Change) follow.Updates {
 	return follow.Updates{Changes: changes, At: s.at, AsOf: time.Now()}
 }
--- a/follow/snapshot.go
+++ b/follow/snapshot.go
@@ -38,7 +38,7 @@
 	lastShared atomic.Pointer[time.Time]
 }
 
-// NewFleetView returns a Board with an empty Snapshot.
+// NewFleetView returns a FleetView with an empty Snapshot.
 func NewFleetView() *FleetView {
 	b := &FleetView{}
 	b.current.Store(&Snapshot{})
