--- a/forward/watch_test.go
+++ b/forward/watch_test.go
@@ -27,10 +27,10 @@
 	"junctioncross/timer"
 )
 
-// noTeller is a Teller that sends nothing.
+// noTeller is an EndPublisher that writes nothing.
 type noTeller struct{}
 
-// Wake implements Teller.
+// Wake implements EndPublisher.
 func (noTeller) Wake() {}
 
 // testBook returns a book with the default quarantine terms.
@@ -43,7 +43,7 @@
 
 func (oneInstance) Instances() int { return 1 }
 
-// fakeEngineClient is a backend.Caller that stands in for servers, of which some are dead, and records the repairs and queries.
+// fakeEngineClient is a backend.EngineClient that stands in for servers, of which some are dead, and records the repairs and queries.
 type fakeEngineClient struct {
 	mu   sync.Mutex
 	dead map[string]bool
@@ -71,7 +71,7 @@
 	return e
 }
 
-// Report implements backend.Caller.
+// Report implements backend.EngineClient.
 func (e *fakeEngineClient) Report(_ context.Context, addr string) (backend.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,10 +88,10 @@
 	return backend.Report{Layers: e.holds[addr], Pace: 1}, nil
 }
 
-// Place implements backend.Caller.
+// Place implements backend.EngineClient.
 func (*fakeEngineClient) Place(context.Context, string, string, backend.PlaceOrder) error { return nil }
 
-// Repair implements backend.Caller.
+// Repair implements backend.EngineClient.
 func (e *fakeEngineClient) Repair(_ context.Context, _, requestID string, path []call.Stage) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
