--- a/kv/client.go
+++ b/kv/client.go
@@ -109,7 +109,7 @@
 	return c.responseBody(resp)
 }
 
-// sendError maps a failed call to ErrUnavailable if it was never sent, and to ErrUnsure if it may have been.
+// sendError maps a failed call to ErrUnavailable if it was never sent, and to ErrOutcomeUnknown if it may have been.
 func (c *Client) sendError(err error) error {
 	if once.NeverSent(err) {
 		return errors.Wrap(ErrUnavailable, err.Error())
@@ -132,7 +132,7 @@
 	}
 }
 
-// readError turns ErrUnsure into ErrUnavailable for reads, which have no side effects.
+// readError turns ErrOutcomeUnknown into ErrUnavailable for reads, which have no side effects.
 func readError(err error) error {
 	if errors.Is(err, ErrOutcomeUnknown) {
 		return errors.Wrap(ErrUnavailable, err.Error())
--- a/kv/store.go
+++ b/kv/store.go
@@ -48,7 +48,7 @@
 	// List returns the records whose keys begin with prefix, sorted by key; it returns ErrUnavailable.
 	List(ctx context.Context, prefix string) ([]Record, error)
 	// Write writes a record on the condition in put and returns its new revision; it returns ErrConflict, ErrUnavailable or
-	// ErrUnsure.
+	// ErrOutcomeUnknown.
 	Write(ctx context.Context, put Put) (Revision, error)
 	// Delete removes a record if its revision is expect.
 	Delete(ctx context.Context, key string, expect Revision) error
