--- a/leader/term_test.go
+++ b/leader/term_test.go
@@ -21,7 +21,7 @@
 	"junctioncross/timer"
 )
 
-// fakeServers is a backend.Caller whose servers refuse orders while they are busy.
+// fakeServers is a backend.EngineClient whose servers refuse orders while they are busy.
 type fakeServers struct {
 	mu sync.Mutex
 	// busy, holds and placed are keyed by address.
@@ -32,12 +32,12 @@
 	cuts int
 }
 
-// Report implements backend.Caller.
+// Report implements backend.EngineClient.
 func (f *fakeServers) Report(_ context.Context, addr string) (backend.Report, error) {
 	return backend.Report{Busy: f.busy[addr], Layers: f.holds[addr], Orders: 3}, nil
 }
 
-// Place implements backend.Caller.
+// Place implements backend.EngineClient.
 func (f *fakeServers) Place(_ context.Context, addr, _ string, o backend.PlaceOrder) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Repair implements backend.Caller.
+// Repair implements backend.EngineClient.
 func (*fakeServers) Repair(context.Context, string, string, []call.Stage) error { return nil }
 
 func engine() *catalog.Engine {
