--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -32,11 +32,11 @@
 const minPublishedClear = 2
 
 const (
-	// releasedFactor is how long a released request is remembered, as a multiple of Terms.Keep. A request is released
+	// releasedFactor is how long a released request is remembered, as a multiple of Settings.Keep. A request is released
 	// when its ends expire, and is tried again then: the first server that terminates under it quarantines it again, not
 	// only the third.
 	releasedFactor = 6
-	// minKeepShare is the share of Terms.Keep for which the record of an end lasts at least. An end whose record is gone
+	// minKeepShare is the share of Settings.Keep for which the record of an end lasts at least. An end whose record is gone
 	// sooner was cleared by another instance.
 	minKeepShare = 0.5
 )
--- a/quarantine/publisher.go
+++ b/quarantine/publisher.go
@@ -41,7 +41,7 @@
 	wake     chan struct{}
 }
 
-// NewPublisher returns a Teller and starts it; it stops when ctx ends.
+// NewPublisher returns a Publisher and starts it; it stops when ctx ends.
 func NewPublisher(
 	ctx context.Context, book *Book, register EndStore, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *Publisher {
