--- a/relay/poll.go
+++ b/relay/poll.go
@@ -248,6 +248,6 @@
 	}
 	s.applyReply(p, t, addr, asked)
 	s.fleet.NoteCounts(t.Counts)
-	// The poll arrived after it was sent, so counting from when it was sent makes Known a little too old rather than too new.
+	// The poll arrived after it was sent, so counting from when it was sent makes the reply's Known a little too old rather than too new.
 	return update{records: t.Records, position: t.At, known: asked.Add(t.Known)}, nil
 }
--- a/relay/record.go
+++ b/relay/record.go
@@ -25,7 +25,7 @@
 	// does not.
 	Ping(ctx context.Context) error
 	// ReadFeed returns the full content of a feed and the position before the first page. It returns follow.ErrUnavailable, at
-	// the latest when a page has taken PageTime.
+	// the latest when a page has taken PageTimeout.
 	ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error)
 	// WatchFeed returns the changes after a position, and none if wait has passed without a change. It returns
 	// follow.ErrHistoryGone or follow.ErrUnavailable.
--- a/relay/registry.go
+++ b/relay/registry.go
@@ -46,7 +46,7 @@
 	Counts map[string]int `cbor:"3,keyasint,omitempty"`
 }
 
-// Registry is a census.Register that reads the registration records through the relay of the domain, so that they are read from
+// Registry is a census.Registry that reads the registration records through the relay of the domain, so that they are read from
 // the store once for each domain and not by each instance.
 type Registry struct {
 	census.Registry
@@ -78,7 +78,7 @@
 	})
 }
 
-// List implements census.Register.
+// List implements census.Registry.
 func (r *Registry) List(ctx context.Context) (census.Snapshot, error) {
 	members := r.fleet.Members()
 	if !r.self.relays(len(members), r.fleet.Instances()) || len(r.fleet.Key()) == 0 {
--- a/relay/registry_test.go
+++ b/relay/registry_test.go
@@ -31,7 +31,7 @@
 	reads int
 }
 
-// List implements census.Register.
+// List implements census.Registry.
 func (r *fakeRegistry) List(context.Context) (census.Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/source.go
+++ b/relay/source.go
@@ -257,7 +257,7 @@
 	return h, nil
 }
 
-// news converts a result to follow.News.
+// followUpdates converts a result to follow.Updates.
 func (s *Source) news(h update) follow.Updates {
 	return follow.Updates{Changes: s.store.Decode(h.records), At: h.position, AsOf: h.known}
 }
