--- a/retry/windowcounter.go
+++ b/retry/windowcounter.go
@@ -14,7 +14,7 @@
 	slotStart time.Time
 }
 
-// NewWindowCounter returns a Tally over a number of slots of length slot, including the current one.
+// NewWindowCounter returns a WindowCounter over a number of slots of length slot, including the current one.
 func NewWindowCounter(slots int, slot time.Duration) *WindowCounter {
 	return &WindowCounter{slot: slot, counts: make([]int, slots)}
 }
