--- a/revision/store.go
+++ b/revision/store.go
@@ -43,7 +43,7 @@
 }
 
 // WaitHead waits until the revision of the head's record in the key-value service is above after, and returns both. It returns
-// ErrNoNews if the watch ends before.
+// ErrNoUpdate if the watch ends before.
 func (s *Store) WaitHead(ctx context.Context, after kv.Revision) (Head, kv.Revision, error) {
 	record, err := s.kv.Wait(ctx, KeyHead, after)
 	if errors.Is(err, kv.ErrNotFound) {
@@ -143,7 +143,7 @@
 
 // Confirm makes the plan the accepted configuration by replacing the head. It is idempotent by the plan's ID: if an answer is
 // lost, it reads the head again to find out whether the plan was accepted. Its errors include ErrNoPlan, ErrUnavailable,
-// ErrUnsure and *ConflictError.
+// ErrOutcomeUnknown and *ConflictError.
 func (s *Store) Confirm(ctx context.Context, id, who string) (Entry, error) {
 	plan, err := s.Plan(ctx, id)
 	if err != nil {
