--- a/view/snapshot.go
+++ b/view/snapshot.go
@@ -93,7 +93,7 @@
 	current atomic.Pointer[Snapshot]
 }
 
-// NewSnapshotHolder returns a Board with an empty snapshot.
+// NewSnapshotHolder returns a SnapshotHolder with an empty snapshot.
 func NewSnapshotHolder() *SnapshotHolder {
 	b := &SnapshotHolder{}
 	b.current.Store(&Snapshot{})
