--- a/app/health.go
+++ b/app/health.go
@@ -14,14 +14,14 @@
 
 // health serves the load balancer's liveness and readiness checks, the metrics and the profiles.
 type health struct {
-	board   *view.SnapshotHolder
-	entry   *entry.Handler
-	stats   *metrics.Registry
-	leaving atomic.Bool
+	snapshots *view.SnapshotHolder
+	entry     *entry.Handler
+	stats     *metrics.Registry
+	leaving   atomic.Bool
 }
 
-func newHealth(board *view.SnapshotHolder, handler *entry.Handler, stats *metrics.Registry) *health {
-	return &health{board: board, entry: handler, stats: stats}
+func newHealth(snapshots *view.SnapshotHolder, handler *entry.Handler, stats *metrics.Registry) *health {
+	return &health{snapshots: snapshots, entry: handler, stats: stats}
 }
 
 // leave makes the readiness check fail from now on.
@@ -50,7 +50,7 @@
 	switch {
 	case h.leaving.Load():
 		ctx.Error("leaving\n", fasthttp.StatusServiceUnavailable)
-	case h.board.Current().Index() == nil:
+	case h.snapshots.Current().Index() == nil:
 		ctx.Error("no configuration\n", fasthttp.StatusServiceUnavailable)
 	default:
 		ctx.SetBodyString("ready\n")
--- a/app/hosted.go
+++ b/app/hosted.go
@@ -46,7 +46,8 @@
 	stopMargin = 400 * time.Millisecond
 	// stopPollPeriod is how often a stopping instance checks whether its requests have finished.
 	stopPollPeriod = 50 * time.Millisecond
-	// noticeTime is how long the load balancer may go on sending connections after readiness fails: two checks, one a second.
+	// noticeTime is how long the load balancer may go on sending connections after the readiness check fails: it takes two
+	// failed checks, which it makes once a second, to take the instance out.
 	noticeTime = 3 * time.Second
 )
 
@@ -236,7 +237,7 @@
 	}
 }
 
-// logSuspension logs that the machine was suspended, so that everything received before is older by the gap, or that the
+// logSuspension logs that the machine was suspended, in which case everything received before is older by gap, or that the
 // clocks could not be read.
 func (i *hosted) logSuspension(gap time.Duration, err error) {
 	if err != nil {
--- a/app/provide.go
+++ b/app/provide.go
@@ -119,39 +119,39 @@
 type entryDeps struct {
 	dig.In
 
-	Board   *view.SnapshotHolder
-	Gates   *admit.Gates
-	Runner  *pipeline.Runner
-	Forward *service.Forwarder
-	Claims  claim.Claimer
-	Clock   *timer.Service
-	Stats   *metrics.Registry
-	Record  *decision.Recorder
+	Snapshots *view.SnapshotHolder
+	Gates     *admit.Gates
+	Runner    *pipeline.Runner
+	Forward   *service.Forwarder
+	Claims    claim.Claimer
+	Clock     *timer.Service
+	Stats     *metrics.Registry
+	Record    *decision.Recorder
 }
 
 func newEntry(settings *config.Settings, d entryDeps) *entry.Handler {
-	return entry.New(d.Board, d.Gates, d.Runner, d.Forward, d.Claims, d.Clock, d.Stats, d.Record, settings.Limits.RequestTime)
+	return entry.New(d.Snapshots, d.Gates, d.Runner, d.Forward, d.Claims, d.Clock, d.Stats, d.Record, settings.Limits.RequestTime)
 }
 
 // loopDeps holds the dependencies of the control loop.
 type loopDeps struct {
 	dig.In
 
-	Store   *revision.Store
-	Keeper  *revision.Keeper
-	Board   *view.SnapshotHolder
-	Gates   *admit.Gates
-	Pool    *pool.Pool
-	Engines *engine.Client
-	Links   *link.Client
-	Clock   *timer.Service
-	Stats   *metrics.Registry
-	Log     *logrus.Logger
+	Store     *revision.Store
+	Keeper    *revision.Keeper
+	Snapshots *view.SnapshotHolder
+	Gates     *admit.Gates
+	Pool      *pool.Pool
+	Engines   *engine.Client
+	Links     *link.Client
+	Clock     *timer.Service
+	Stats     *metrics.Registry
+	Log       *logrus.Logger
 }
 
 func newLoop(ctx context.Context, self control.Self, mux *link.Mux, d loopDeps) *control.Loop {
 	loop := control.New(ctx, self, control.Deps{
-		Store: d.Store, Keeper: d.Keeper, Board: d.Board, Gates: d.Gates, Pool: d.Pool, Engines: d.Engines,
+		Store: d.Store, Keeper: d.Keeper, Snapshots: d.Snapshots, Gates: d.Gates, Pool: d.Pool, Engines: d.Engines,
 		Links: d.Links, Clock: d.Clock, Stats: d.Stats, Log: d.Log,
 	})
 	loop.Register(mux)
--- a/control/backends.go
+++ b/control/backends.go
@@ -156,7 +156,7 @@
 	for _, m := range l.index.Document().Models {
 		graphs[m.Name] = l.graph(&m)
 	}
-	l.deps.Board.Publish(view.NewSnapshot(l.index, graphs))
+	l.deps.Snapshots.Publish(view.NewSnapshot(l.index, graphs))
 }
 
 // graph returns the graph of a model's servers. It uses the servers of the own domain; only if these form no complete path does
@@ -233,5 +233,5 @@
 func (l *Loop) SetLeads(leads bool) { l.leads.Store(leads) }
 
 func (l *Loop) askServers() serversAnswer {
-	return ask(l, func(answer chan serversAnswer) message { return serversAsked{answer: answer} })
+	return ask(l, func(answer chan serversAnswer) message { return serversRequested{answer: answer} })
 }
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -167,7 +167,7 @@
 
 // push sends an instance the updates that its digest shows to be missing.
 func (l *Loop) push(ctx context.Context, addr string, theirs gossip.Digest) {
-	updates := ask(l, func(answer chan []gossip.Update) message { return deltaAsked{digest: theirs, answer: answer} })
+	updates := ask(l, func(answer chan []gossip.Update) message { return deltaRequested{digest: theirs, answer: answer} })
 	if len(updates) == 0 {
 		return
 	}
--- a/control/limits.go
+++ b/control/limits.go
@@ -45,7 +45,7 @@
 // full. The time for a token is limited to gapTarget.
 func (l *Loop) slots(model string) int {
 	total := 0.0
-	for _, lane := range l.deps.Board.Current().Graph(model).Lanes() {
+	for _, lane := range l.deps.Snapshots.Current().Graph(model).Lanes() {
 		stages := float64(len(lane.Path()))
 		cycle := lane.Cycle().Seconds() * (stages + 1) / stages
 		total += lane.Rate() * min(cycle, gapTarget.Seconds())
--- a/control/loop.go
+++ b/control/loop.go
@@ -57,16 +57,16 @@
 
 // Deps are the dependencies of the control loop.
 type Deps struct {
-	Store   *revision.Store
-	Keeper  *revision.Keeper
-	Board   *view.SnapshotHolder
-	Gates   *admit.Gates
-	Pool    *pool.Pool
-	Engines *engine.Client
-	Links   *link.Client
-	Clock   *timer.Service
-	Stats   *metrics.Registry
-	Log     *logrus.Logger
+	Store     *revision.Store
+	Keeper    *revision.Keeper
+	Snapshots *view.SnapshotHolder
+	Gates     *admit.Gates
+	Pool      *pool.Pool
+	Engines   *engine.Client
+	Links     *link.Client
+	Clock     *timer.Service
+	Stats     *metrics.Registry
+	Log       *logrus.Logger
 }
 
 // Loop is the control goroutine and its helper goroutines.
@@ -240,7 +240,7 @@
 	switch m := m.(type) {
 	case exchangeAsked:
 		m.answer <- exchangeResponse{Updates: l.table.Delta(m.digest), Digest: l.table.Digest()}
-	case deltaAsked:
+	case deltaRequested:
 		m.answer <- l.table.Delta(m.digest)
 	case updatesArrived:
 		l.mergeUpdates(m.updates)
@@ -255,11 +255,11 @@
 	case movingChanged:
 		l.table.Set(entryMoving, encode(m.names))
 		l.scheduleUpdate()
-	case statusAsked:
+	case statusRequested:
 		m.answer <- l.statuses()
-	case listAsked:
+	case listRequested:
 		m.answer <- append([]member.Listed(nil), l.listed...)
-	case serversAsked:
+	case serversRequested:
 		m.answer <- l.domainServers()
 	case leaveRequested:
 		l.announceLeave(m)
@@ -309,10 +309,10 @@
 
 // Statuses returns what is known about the instances of the domain.
 func (l *Loop) Statuses() []InstanceStatus {
-	return ask(l, func(answer chan []InstanceStatus) message { return statusAsked{answer: answer} })
+	return ask(l, func(answer chan []InstanceStatus) message { return statusRequested{answer: answer} })
 }
 
 // Listed returns the platform's instance list as it was last read.
 func (l *Loop) Listed() []member.Listed {
-	return ask(l, func(answer chan []member.Listed) message { return listAsked{answer: answer} })
+	return ask(l, func(answer chan []member.Listed) message { return listRequested{answer: answer} })
 }
--- a/control/messages.go
+++ b/control/messages.go
@@ -19,8 +19,8 @@
 // updatesArrived holds updates from other instances.
 type updatesArrived struct{ updates []gossip.Update }
 
-// deltaAsked asks for the updates that the owner of a digest lacks.
-type deltaAsked struct {
+// deltaRequested requests the updates that the owner of a digest lacks.
+type deltaRequested struct {
 	digest gossip.Digest
 	answer chan []gossip.Update
 }
@@ -44,14 +44,14 @@
 // movingChanged holds the names of all servers that are being drained before they get an order.
 type movingChanged struct{ names []string }
 
-// statusAsked asks for the statuses of the instances of the domain.
-type statusAsked struct{ answer chan []InstanceStatus }
+// statusRequested requests the statuses of the instances of the domain.
+type statusRequested struct{ answer chan []InstanceStatus }
 
-// listAsked asks for the platform's instance list as it was last read.
-type listAsked struct{ answer chan []member.Listed }
+// listRequested requests the platform's instance list as it was last read.
+type listRequested struct{ answer chan []member.Listed }
 
-// serversAsked asks for the servers of the domain as planned and as last reported.
-type serversAsked struct{ answer chan serversAnswer }
+// serversRequested requests the servers of the domain as planned and as last reported.
+type serversRequested struct{ answer chan serversAnswer }
 
 // serversAnswer holds what the servers of the domain should hold and, by name, what they were last reported to hold.
 type serversAnswer struct {
@@ -64,13 +64,13 @@
 
 func (exchangeAsked) message()        {}
 func (updatesArrived) message()       {}
-func (deltaAsked) message()           {}
+func (deltaRequested) message()       {}
 func (reportArrived) message()        {}
 func (listArrived) message()          {}
 func (configurationChanged) message() {}
 func (kvAnswered) message()           {}
 func (movingChanged) message()        {}
-func (statusAsked) message()          {}
-func (listAsked) message()            {}
-func (serversAsked) message()         {}
+func (statusRequested) message()      {}
+func (listRequested) message()        {}
+func (serversRequested) message()     {}
 func (leaveRequested) message()       {}
