--- a/entry/answer.go
+++ b/entry/answer.go
@@ -76,7 +76,7 @@
 func (h *Handler) runPipeline(ctx context.Context, c *call, p completionParams, ticket *admit.Ticket, s *stream) error {
 	q := &pipeline.Request{
 		ID: c.id, Account: c.account.Name(), Model: p.model, Prompt: p.prompt, MaxTokens: p.maxTokens,
-		Graph: func() *route.Graph { return h.board.Current().Graph(p.model) },
+		Graph: func() *route.Graph { return h.snapshots.Current().Graph(p.model) },
 	}
 	charged := false
 	return h.runner.Run(ctx, q, func(t pipeline.Token) error {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -39,7 +39,9 @@
 }
 
 // Submit implements claim.Claimer.
-func (s stubClaims) Submit(context.Context, claim.Claim) (claim.Verdict, error) { return s.verdict, s.err }
+func (s stubClaims) Submit(context.Context, claim.Claim) (claim.Verdict, error) {
+	return s.verdict, s.err
+}
 
 func document() *intent.Document {
 	return &intent.Document{
@@ -53,7 +55,7 @@
 func newHandler(t *testing.T, claims claim.Claimer) (*entry.Handler, *metrics.Registry) {
 	clock, stats, log := timer.NewReal(), metrics.New(), logrus.New()
 	log.SetOutput(io.Discard)
-	board := view.NewSnapshotHolder()
+	snapshots := view.NewSnapshotHolder()
 	segments, err := revision.Split(document())
 	require.NoError(t, err)
 	head := revision.Head{Revision: 1, Segments: map[string]string{}}
@@ -65,9 +67,9 @@
 	keeper := revision.NewKeeper()
 	_, err = keeper.Offer(head, func(hash string) ([]byte, error) { return bodies[hash], nil })
 	require.NoError(t, err)
-	board.Publish(view.NewSnapshot(view.NewIndex(keeper.InForce()), nil))
+	snapshots.Publish(view.NewSnapshot(view.NewIndex(keeper.InForce()), nil))
 	p := pool.New(engine.NewClient(), clock, stats)
-	return entry.New(board, admit.NewGates(clock, time.Second), pipeline.New(p, clock, stats, log), service.New(stats), claims, clock, stats, decision.NewRecorder(log, clock, stats), 5*time.Second), stats
+	return entry.New(snapshots, admit.NewGates(clock, time.Second), pipeline.New(p, clock, stats, log), service.New(stats), claims, clock, stats, decision.NewRecorder(log, clock, stats), 5*time.Second), stats
 }
 
 // serve runs the handler on an in-memory listener and returns a client that connects to it.
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -27,7 +27,7 @@
 
 // Handler answers the requests of callers.
 type Handler struct {
-	board          *view.SnapshotHolder
+	snapshots      *view.SnapshotHolder
 	gates          *admit.Gates
 	runner         *pipeline.Runner
 	forward        *service.Forwarder
@@ -44,11 +44,11 @@
 
 // New returns a Handler; requestTimeout bounds the time of one request.
 func New(
-	board *view.SnapshotHolder, gates *admit.Gates, runner *pipeline.Runner, forward *service.Forwarder, claims claim.Claimer,
+	snapshots *view.SnapshotHolder, gates *admit.Gates, runner *pipeline.Runner, forward *service.Forwarder, claims claim.Claimer,
 	clock *timer.Service, stats *metrics.Registry, record *decision.Recorder, requestTimeout time.Duration,
 ) *Handler {
 	return &Handler{
-		board: board, gates: gates, runner: runner, forward: forward, claims: claims,
+		snapshots: snapshots, gates: gates, runner: runner, forward: forward, claims: claims,
 		clock: clock, stats: stats, record: record, requestTimeout: requestTimeout,
 	}
 }
@@ -91,7 +91,7 @@
 // serve returns an HTTP handler that authorizes calls, passes them to next, and writes and logs the outcome.
 func (h *Handler) serve(next func(*fasthttp.RequestCtx, *call) *refusal) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		c := &call{id: newRequestID(), snapshot: h.board.Current(), start: h.clock.Now()}
+		c := &call{id: newRequestID(), snapshot: h.snapshots.Current(), start: h.clock.Now()}
 		if !h.enter() {
 			ctx.SetConnectionClose()
 			h.refuse(ctx, c, notRun(fasthttp.StatusServiceUnavailable, models.ReasonDraining, "this instance is stopping; ask another one"))
@@ -175,7 +175,7 @@
 
 // HandleReadError answers a request that could not be read as HTTP.
 func (h *Handler) HandleReadError(ctx *fasthttp.RequestCtx, err error) {
-	c := &call{id: newRequestID(), snapshot: h.board.Current(), start: h.clock.Now()}
+	c := &call{id: newRequestID(), snapshot: h.snapshots.Current(), start: h.clock.Now()}
 	r := notRun(fasthttp.StatusBadRequest, models.ReasonBadRequest, "the request could not be read")
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		r = notRun(fasthttp.StatusRequestEntityTooLarge, models.ReasonBodyTooLarge, "the body is too large")
