--- a/census/census.go
+++ b/census/census.go
@@ -125,10 +125,10 @@
 // New starts a Census that publishes what it reads to the view; it stops when ctx ends. NewKey generates a key for a fleet that
 // has none.
 func New(
-	ctx context.Context, board *View, registry Registry, self Instance, newKey func() ([]byte, error), clock *timer.Service,
+	ctx context.Context, view *View, registry Registry, self Instance, newKey func() ([]byte, error), clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
 ) *Census {
-	c := &Census{View: board, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
+	c := &Census{View: view, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
 	go func() {
 		c.startUp(ctx)
 		for ctx.Err() == nil {
--- a/census/census_test.go
+++ b/census/census_test.go
@@ -95,12 +95,12 @@
 	if r.down {
 		return census.Snapshot{}, errors.New("down")
 	}
-	roll := census.Snapshot{Key: r.key}
+	snapshot := census.Snapshot{Key: r.key}
 	for lease, m := range r.members {
 		slot := census.Slot{Number: r.slots[lease], Revision: lease}
-		roll.Records = append(roll.Records, census.Record{Instance: m, Slot: slot, Lease: lease})
+		snapshot.Records = append(snapshot.Records, census.Record{Instance: m, Slot: slot, Lease: lease})
 	}
-	return roll, nil
+	return snapshot, nil
 }
 
 // EnsureKey implements census.Registry.
