--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -124,17 +124,17 @@
 }
 
 func start(t *testing.T, s *source) *follow.FleetView {
-	board, _ := startLogged(t, s)
-	return board
+	view, _ := startLogged(t, s)
+	return view
 }
 
 // startLogged starts a Loop and collects its log lines.
 func startLogged(t *testing.T, s *source) (*follow.FleetView, *logtest.Hook) {
 	log := testlog.New(t)
 	lines := logtest.NewLocal(log)
-	board := follow.NewFleetView()
-	follow.New(t.Context(), s, board, quarantine.NewBook(quarantine.Settings{}), timer.NewReal(), metrics.New(), log)
-	return board, lines
+	view := follow.NewFleetView()
+	follow.New(t.Context(), s, view, quarantine.NewBook(quarantine.Settings{}), timer.NewReal(), metrics.New(), log)
+	return view, lines
 }
 
 func config(t *testing.T, version int64) follow.Configured {
--- a/follow/loop.go
+++ b/follow/loop.go
@@ -31,7 +31,7 @@
 
 // Loop owns the control state of an instance: it applies the events of the feeds and publishes snapshots.
 type Loop struct {
-	board  *FleetView
+	view   *FleetView
 	ends   *quarantine.Book
 	clock  *timer.Service
 	stats  *metrics.Registry
@@ -43,11 +43,11 @@
 	servers map[string]*trackedServer
 	// former holds servers without an entry, in case their entries come back.
 	former map[backend.Incarnation]formerServer
-	// failing says of which feeds the last call failed.
+	// failing is true for each feed whose last call failed.
 	failing [feeds]bool
 	// storeOutdated is true while the store holds an older configuration than the one in force.
 	storeOutdated bool
-	// positions says up to which position each feed is known.
+	// positions holds the position up to which each feed is known.
 	positions [feeds]Position
 	// lastFailure is when a call last failed or the store was last found to have lost writes.
 	lastFailure time.Time
@@ -68,11 +68,11 @@
 
 // New returns a Loop and starts it; it stops when ctx ends.
 func New(
-	ctx context.Context, source Source, board *FleetView, ends *quarantine.Book, clock *timer.Service, stats *metrics.Registry,
+	ctx context.Context, source Source, view *FleetView, ends *quarantine.Book, clock *timer.Service, stats *metrics.Registry,
 	log *logrus.Logger,
 ) *Loop {
 	l := &Loop{
-		board: board, ends: ends, clock: clock, stats: stats, log: log, events: make(chan FeedEvent, eventQueueSize),
+		view: view, ends: ends, clock: clock, stats: stats, log: log, events: make(chan FeedEvent, eventQueueSize),
 		servers: map[string]*trackedServer{}, former: map[backend.Incarnation]formerServer{},
 	}
 	for _, feed := range []Feed{FeedConfig, FeedServers, FeedQuarantine} {
@@ -148,9 +148,9 @@
 			// The configuration in force may have been replaced by a newer one that the store has lost as well.
 			return
 		}
-		newest = &l.board.confirmed
+		newest = &l.view.confirmed
 	case FeedServers:
-		newest = &l.board.listed
+		newest = &l.view.listed
 	default:
 		return
 	}
@@ -312,6 +312,6 @@
 	for _, service := range l.catalog.Services() {
 		groups[service.Name] = backend.NewGroup(service, byService[service.Name])
 	}
-	l.board.current.Store(&Snapshot{catalog: l.catalog, groups: groups, byID: byID})
+	l.view.current.Store(&Snapshot{catalog: l.catalog, groups: groups, byID: byID})
 	l.stats.Gauge("servers_known").Update(int64(len(l.servers)))
 }
