--- a/forward/findings.go
+++ b/forward/findings.go
@@ -90,7 +90,7 @@
 	answers := make(chan queryResult, 2)
 	query := func() {
 		h.stats.Counter("inquiries_total{reason=\"slow stream\"}").Inc(1)
-		report, err := h.caller.Report(ctx, s.Addr())
+		report, err := h.engines.Report(ctx, s.Addr())
 		answers <- queryResult{report, err}
 	}
 	go query()
--- a/forward/gauges.go
+++ b/forward/gauges.go
@@ -11,7 +11,7 @@
 func (h *Handler) Measure() {
 	now := h.clock.Now()
 	h.measureRetries()
-	for name, group := range h.board.Current().Groups() {
+	for name, group := range h.fleetView.Current().Groups() {
 		h.measureServers(name, group, now)
 		if group.Graph() != nil {
 			h.measureLanes(name, group, now)
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -23,7 +23,7 @@
 	"junctioncross/timer"
 )
 
-// Settings are the limits that a Handler applies; they come from the settings.
+// Settings are the limits that a Handler applies; they come from the settings file.
 type Settings struct {
 	// Domain is the failure domain of the instance.
 	Domain string
@@ -48,16 +48,16 @@
 	Wake()
 }
 
-// freshConfigAge is how old the configuration may be at most for the answer that a route or key does not exist; with an older one
-// the caller is asked to try again.
+// freshConfigAge is the greatest age of the configuration at which a caller is told that a route or key does not exist. With an
+// older configuration, in which a new route or key may be missing, the caller is asked to try again.
 const freshConfigAge = 2500 * time.Millisecond
 
 // Handler answers requests; it implements front.Handler.
 type Handler struct {
 	settings  atomic.Pointer[Settings]
-	board     *follow.FleetView
+	fleetView *follow.FleetView
 	codec     call.Codec
-	caller    backend.EngineClient
+	engines   backend.EngineClient
 	clock     *timer.Service
 	stats     *metrics.Registry
 	record    *decision.Recorder
@@ -82,32 +82,33 @@
 // New returns a Handler and starts its background work: it looks for stalled streams and queries servers for their memory
 // until ctx ends.
 func New(
-	ctx context.Context, terms Settings, board *follow.FleetView, codec call.Codec, caller backend.EngineClient, clock *timer.Service,
-	stats *metrics.Registry, record *decision.Recorder, instances Instances, ends *quarantine.Book, publisher EndPublisher,
+	ctx context.Context, settings Settings, fleetView *follow.FleetView, codec call.Codec, engines backend.EngineClient,
+	clock *timer.Service, stats *metrics.Registry, record *decision.Recorder, instances Instances, ends *quarantine.Book,
+	publisher EndPublisher,
 ) *Handler {
 	h := &Handler{
-		board: board, codec: codec, caller: caller, clock: clock, stats: stats, record: record, instances: instances,
+		fleetView: fleetView, codec: codec, engines: engines, clock: clock, stats: stats, record: record, instances: instances,
 		ends: ends, publisher: publisher,
-		budget: retry.NewBudget(terms.Repeats, clock.Now()),
+		budget: retry.NewBudget(settings.Repeats, clock.Now()),
 		lanes:  map[string]*laneCache{}, queues: map[string]*queue{}, longestWaits: longestWaits{},
 		loadRatio: loadRatio{estimate: initialLoadRatio},
 	}
-	h.ApplySettings(terms)
+	h.ApplySettings(settings)
 	h.watch = newWatcher(ctx, h)
 	startProber(ctx, h)
 	return h
 }
 
 // ApplySettings replaces the limits that the Handler applies.
-func (h *Handler) ApplySettings(terms Settings) {
-	h.settings.Store(&terms)
-	h.budget.SetLimit(terms.Repeats)
+func (h *Handler) ApplySettings(settings Settings) {
+	h.settings.Store(&settings)
+	h.budget.SetLimit(settings.Repeats)
 }
 
 // KeysConfirmed reports whether the keys were confirmed recently enough for requests with a key to be accepted.
 func (h *Handler) KeysConfirmed() bool {
 	limit := h.settings.Load().KeysAge
-	return limit == 0 || h.board.KeysAge(h.clock.Now()) <= limit
+	return limit == 0 || h.fleetView.KeysAge(h.clock.Now()) <= limit
 }
 
 // request is the state of one request.
@@ -173,7 +174,7 @@
 		h.refuse(r, models.ReasonNoConfiguration, defaultRetryAfter)
 		return false
 	}
-	age := h.board.KeysAge(h.clock.Now())
+	age := h.fleetView.KeysAge(h.clock.Now())
 	r.route = c.Route(string(r.x.Header().Host()), pathOf(r.x.Header().RequestURI()))
 	if r.route == nil {
 		h.deny(r, fasthttp.StatusNotFound, models.ReasonNotFound, age)
--- a/forward/lanes.go
+++ b/forward/lanes.go
@@ -77,7 +77,7 @@
 func (h *Handler) ServiceWithoutPath() string {
 	now := h.clock.Now()
 	starting := now.Sub(h.watch.start) < firstPathTime
-	for name, group := range h.board.Current().Groups() {
+	for name, group := range h.fleetView.Current().Groups() {
 		if group.Graph() == nil {
 			continue
 		}
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -58,14 +58,14 @@
 func (p *prober) round() {
 	h := p.handler
 	rate := max(probesPerSecond/float64(h.instances.Instances()), minProbes)
-	if h.board.ReportsShared(h.clock.Now()) {
+	if h.fleetView.ReportsShared(h.clock.Now()) {
 		rate = sharedProbes
 	}
 	p.allowed = min(p.allowed+rate*probePeriod.Seconds(), maxProbesPerRound)
 	if h.watch.count() == 0 {
 		return
 	}
-	for _, group := range h.board.Current().Groups() {
+	for _, group := range h.fleetView.Current().Groups() {
 		if group.Graph() != nil {
 			p.probe(group)
 		}
@@ -77,7 +77,7 @@
 // weight, so that a slow server is known before it delays a stream.
 func (p *prober) probe(group *backend.Group) {
 	h, now := p.handler, p.handler.clock.Now()
-	domain, shared := h.settings.Load().Domain, h.board.ReportsShared(now)
+	domain, shared := h.settings.Load().Domain, h.fleetView.ReportsShared(now)
 	targets := bottlenecks(group, h.lanesOf(group, now), domain)
 	if shared {
 		targets.addDomain(domain)
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -65,7 +65,7 @@
 				require.Eventually(t, func() bool { return h.ends.Size() == 0 }, testTimeout, time.Millisecond)
 				return
 			}
-			require.Eventually(t, func() bool { told, _ := h.ends.Unpublished(9); return len(told) == 1 }, testTimeout, time.Millisecond)
+			require.Eventually(t, func() bool { unpublished, _ := h.ends.Unpublished(9); return len(unpublished) == 1 }, testTimeout, time.Millisecond)
 		})
 	}
 }
@@ -95,7 +95,7 @@
 		g := twoCopies()
 		h, r, clock := suspectedEnd(t, newFakeEngineClient(g, 0), g, 0)
 		require.Equal(t, 1, h.ends.Ends(r.fingerprint()), "it counts on this instance at once")
-		eventuallyAdvancing(t, clock, func() bool { told, _ := h.ends.Unpublished(9); return len(told) == 1 })
+		eventuallyAdvancing(t, clock, func() bool { unpublished, _ := h.ends.Unpublished(9); return len(unpublished) == 1 })
 	})
 	t.Run("still answers", func(t *testing.T) {
 		g := twoCopies()
@@ -108,7 +108,7 @@
 		e.hanging, e.end = map[string]bool{g.Servers()[0].Addr(): true}, make(chan struct{})
 		h, _, clock := suspectedEnd(t, e, g, 0)
 		close(e.end)
-		eventuallyAdvancing(t, clock, func() bool { told, _ := h.ends.Unpublished(9); return len(told) == 1 })
+		eventuallyAdvancing(t, clock, func() bool { unpublished, _ := h.ends.Unpublished(9); return len(unpublished) == 1 })
 	})
 	t.Run("had run for long", func(t *testing.T) {
 		g := twoCopies()
--- a/forward/query.go
+++ b/forward/query.go
@@ -40,7 +40,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 		defer cancel()
-		report, err := h.caller.Report(ctx, server.Addr())
+		report, err := h.engines.Report(ctx, server.Addr())
 		h.applyReport(server, report, err, why)
 	}()
 }
@@ -53,7 +53,7 @@
 // old, so the entry of a server that has just loaded layers is received before a report shows them.
 func (h *Handler) reportsNewerLayers(server *backend.Server) bool {
 	lag := time.Duration(0)
-	if c := h.board.Current().Catalog(); c != nil {
+	if c := h.fleetView.Current().Catalog(); c != nil {
 		if service := c.Service(server.Service()); service != nil && service.Engine != nil {
 			lag = service.Engine.ReportLag
 		}
--- a/forward/refuse.go
+++ b/forward/refuse.go
@@ -55,9 +55,9 @@
 	now := h.clock.Now()
 	fields["held_ms"] = now.Sub(r.x.Arrived()).Milliseconds()
 	fields["sends"] = r.sends
-	if c := h.board.Current().Catalog(); c != nil {
+	if c := h.fleetView.Current().Catalog(); c != nil {
 		fields["config"] = c.Version()
-		fields["config_age_ms"] = h.board.KeysAge(now).Milliseconds()
+		fields["config_age_ms"] = h.fleetView.KeysAge(now).Milliseconds()
 	}
 	if r.route != nil {
 		fields["route"] = r.route.Name
--- a/forward/repair.go
+++ b/forward/repair.go
@@ -71,9 +71,9 @@
 		return errPathChanged
 	}
 	fields := decision.Fields{"old_path": old.describe(), "path": next.describe()}
-	ask, cancel := context.WithTimeout(ctx, repairTimeout)
+	repairCtx, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
-	err := h.caller.Repair(ask, next.servers[0].Addr(), f.r.meta.ID, next.stages())
+	err := h.engines.Repair(repairCtx, next.servers[0].Addr(), f.r.meta.ID, next.stages())
 	h.stats.Counter("repairs_total").Inc(1)
 	fields["still_ms"] = f.pause(h).Milliseconds()
 	if err == nil {
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -60,8 +60,8 @@
 		if s.Ended() {
 			continue
 		}
-		ask, cancel := context.WithTimeout(ctx, queryTimeout)
-		report, err := h.caller.Report(ask, s.Addr())
+		queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
+		report, err := h.engines.Report(queryCtx, s.Addr())
 		cancel()
 		h.applyReport(s, report, err, "run that broke")
 		if err != nil && s.Gone() && s.LeavingFor(h.clock.Now()) > h.settings.Load().DrainTime {
@@ -93,7 +93,7 @@
 
 // refreshGroup gives a stream the present servers of its service to choose from.
 func (h *Handler) refreshGroup(f *inflight) {
-	if group := h.board.Current().Group(f.r.group.Service().Name); group != nil {
+	if group := h.fleetView.Current().Group(f.r.group.Service().Name); group != nil {
 		f.r.group = group
 	}
 }
--- a/forward/retryafter.go
+++ b/forward/retryafter.go
@@ -44,7 +44,7 @@
 	minimum := min(time.Duration((1-returningShare)*float64(r.meta.Wait)), limit)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	turns, _ := h.rateLimitDelay(r.group, lanes, q.placesBeforeRetryLocked(now, limit), now)
+	rateDelay, _ := h.rateLimitDelay(r.group, lanes, q.placesBeforeRetryLocked(now, limit), now)
 	after := q.timeToRoomLocked(q.forecastLocked(now, h.watch.stalled), now, limit)
 	switch {
 	case known:
@@ -53,7 +53,7 @@
 		after += q.outages.timeToEnd(outage, median, limit)
 	}
 	after = max(withRetryJitter(after), minimum)
-	after = max(min(max(after, turns), limit), usableIn)
+	after = max(min(max(after, rateDelay), limit), usableIn)
 	q.retryTimes = append(q.retryTimes, now.Add(after))
 	h.stats.Histogram("come_back_ms").Update(after.Milliseconds())
 	return after
--- a/forward/startup.go
+++ b/forward/startup.go
@@ -24,8 +24,8 @@
 	now := h.clock.Now()
 	until := now.Add(min(startupWait, h.watch.start.Add(startupPeriod).Sub(now)))
 	for {
-		snapshot := h.board.Current()
-		known := snapshot.Catalog() != nil && h.board.Listed()
+		snapshot := h.fleetView.Current()
+		known := snapshot.Catalog() != nil && h.fleetView.Listed()
 		if known || !h.clock.Now().Before(until) || !h.clock.Sleep(ctx, startupPoll) {
 			return snapshot
 		}
--- a/forward/startup_test.go
+++ b/forward/startup_test.go
@@ -73,8 +73,8 @@
 	c, err := catalog.New(&catalog.Content{Version: 1, Services: []catalog.Service{{Name: "plain"}}})
 	require.NoError(t, err)
 	source := lateServers{catalog: c, servers: ready}
-	follow.New(t.Context(), source, h.board, h.ends, timer.New(clock), metrics.New(), testlog.New(t))
-	require.Eventually(t, func() bool { return h.board.Current().Catalog() != nil }, 30*time.Second, time.Millisecond)
+	follow.New(t.Context(), source, h.fleetView, h.ends, timer.New(clock), metrics.New(), testlog.New(t))
+	require.Eventually(t, func() bool { return h.fleetView.Current().Catalog() != nil }, 30*time.Second, time.Millisecond)
 	got := make(chan *follow.Snapshot, 1)
 	go func() { got <- h.awaitSnapshot(t.Context()) }()
 	// The tickers of the watcher, of the prober and of the control goroutine, and the request.
@@ -85,7 +85,7 @@
 		clock.Advance(startupPoll)
 	}
 	close(ready)
-	require.Eventually(t, h.board.Listed, 30*time.Second, time.Millisecond)
+	require.Eventually(t, h.fleetView.Listed, 30*time.Second, time.Millisecond)
 	// The request may already have seen the list of servers, or it sleeps.
 	require.Eventually(t, func() bool {
 		clock.Advance(startupPoll)
--- a/forward/wait.go
+++ b/forward/wait.go
@@ -111,10 +111,10 @@
 	expected.streams = len(c.ages)
 	expected.likelihood = c.likelihood(expected.places, expected.left)
 	expected.wait = c.timeFor(expected.places, median, expected.left)
-	if turns, limited := h.rateLimitDelay(f.r.group, lanes, expected.places, now); limited {
+	if rateDelay, limited := h.rateLimitDelay(f.r.group, lanes, expected.places, now); limited {
 		// Besides room, the request needs the rate limit of the first servers to allow it, which happens at a known time.
-		expected.wait = max(expected.wait, turns)
-		if turns > expected.left {
+		expected.wait = max(expected.wait, rateDelay)
+		if rateDelay > expected.left {
 			expected.likelihood = 0
 		}
 	}
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -21,10 +21,11 @@
 	minStall   = 90 * time.Millisecond
 	// firstEventSlack is how much later than predicted the first event may come before the stream counts as stalled.
 	firstEventSlack = 200 * time.Millisecond
-	// diagnosePeriod is the least time between two diagnoses of the paths that start at one server: reports are as old as
-	// that.
+	// diagnosePeriod is the least time between two diagnoses of the paths that start at one server. A server's report is
+	// about that old, so that an earlier diagnosis would find nothing new.
 	diagnosePeriod = 250 * time.Millisecond
-	// crowdedAge is how old a server's report that requests wait on it may be: they wait for some hundred milliseconds.
+	// crowdedAge is the greatest age of a server's report at which the requests that it names as waiting count as still
+	// waiting: requests wait on a server for some hundred milliseconds.
 	crowdedAge = time.Second
 	// suspectTime is how long a server that does not answer gets no new work, unless its entry vanishes before.
 	suspectTime = 3 * time.Second
@@ -63,7 +64,7 @@
 
 // group returns the present servers of a service, or nil if there is no such service.
 func (w *watcher) group(service string) *backend.Group {
-	return w.handler.board.Current().Group(service)
+	return w.handler.fleetView.Current().Group(service)
 }
 
 func (w *watcher) add(f *inflight) {
@@ -92,13 +93,13 @@
 	now := w.handler.clock.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	still := map[*backend.Server][]*inflight{}
+	byFirst := map[*backend.Server][]*inflight{}
 	for f := range w.streams {
 		if w.stalled(f) {
-			still[f.first] = append(still[f.first], f)
+			byFirst[f.first] = append(byFirst[f.first], f)
 		}
 	}
-	for first, streams := range still {
+	for first, streams := range byFirst {
 		if now.Sub(w.lastDiagnosed[first]) < diagnosePeriod {
 			continue
 		}
@@ -142,17 +143,17 @@
 }
 
 // verify asks the first server whether it knows a stream whose first event is overdue although all servers are healthy: some
-// servers accept requests and forget them. The question is a repair to the path that the stream already has, which changes
-// nothing at a server that knows it.
+// servers accept requests and forget them. The query is a repair call that names the path which the stream already has; it
+// changes nothing at a server that knows the stream.
 func (w *watcher) verify(ctx context.Context, f *inflight) {
 	h := w.handler
 	c := f.path()
 	if len(c.servers) == 0 {
 		return
 	}
-	ask, cancel := context.WithTimeout(ctx, repairTimeout)
+	repairCtx, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
-	err := h.caller.Repair(ask, c.servers[0].Addr(), f.r.meta.ID, c.stages())
+	err := h.engines.Repair(repairCtx, c.servers[0].Addr(), f.r.meta.ID, c.stages())
 	if errors.Is(err, backend.ErrUnknownRequest) {
 		h.stats.Counter("requests_forgotten_total").Inc(1)
 		w.cutStreams(c.servers[0], []*inflight{f})
@@ -218,9 +219,9 @@
 	return out
 }
 
-// moveStalledStreams has the stalled streams of a first server that does not answer resumed elsewhere, if other servers may run them. If
-// nothing listens at its address any more, they are cut at once. A server that is only silent may still make progress with
-// them, so that they stay with it until there is another path.
+// moveStalledStreams has the stalled streams of a first server that does not answer resumed elsewhere, if other servers may
+// run them. If nothing listens at its address any more, their connections are closed at once. A server that is only silent
+// may still make progress with them, so that they stay with it until there is another path.
 func (w *watcher) moveStalledStreams(first *backend.Server, group *backend.Group) {
 	streams := slices.DeleteFunc(w.startingAt(first), func(f *inflight) bool { return !w.stalled(f) || !f.r.route.MayRetry() })
 	if first.Ended() {
--- a/forward/watch_test.go
+++ b/forward/watch_test.go
@@ -27,11 +27,11 @@
 	"junctioncross/timer"
 )
 
-// noTeller is an EndPublisher that writes nothing.
-type noTeller struct{}
+// noPublisher is an EndPublisher that writes nothing.
+type noPublisher struct{}
 
 // Wake implements EndPublisher.
-func (noTeller) Wake() {}
+func (noPublisher) Wake() {}
 
 // testBook returns a book with the default quarantine terms.
 func testBook() *quarantine.Book {
@@ -107,12 +107,12 @@
 	return nil
 }
 
-func testHandler(t *testing.T, caller backend.EngineClient) (*Handler, *clockwork.FakeClock) {
+func testHandler(t *testing.T, engines backend.EngineClient) (*Handler, *clockwork.FakeClock) {
 	fake := clockwork.NewFakeClock()
 	clock, stats := timer.New(fake), metrics.New()
 	log := testlog.New(t)
-	h := New(t.Context(), Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 100}, DrainTime: 3 * time.Second}, follow.NewFleetView(), nil, caller, clock, stats,
-		decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noTeller{})
+	h := New(t.Context(), Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 100}, DrainTime: 3 * time.Second}, follow.NewFleetView(), nil, engines, clock, stats,
+		decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noPublisher{})
 	return withFullRetryBudget(h), fake
 }
 
