--- a/leader/leader.go
+++ b/leader/leader.go
@@ -56,7 +56,7 @@
 	upstream Upstream
 	holder   string
 	fleet    *follow.FleetView
-	caller   backend.EngineClient
+	engines  backend.EngineClient
 	clock    *timer.Service
 	stats    *metrics.Registry
 	log      *logrus.Logger
@@ -70,11 +70,11 @@
 // New returns a Leader and starts it; it runs until ctx ends or Stop is called. Holder identifies this run of the instance
 // in the lock.
 func New(
-	ctx context.Context, lock Lock, upstream Upstream, holder string, fleet *follow.FleetView, caller backend.EngineClient, clock *timer.Service,
+	ctx context.Context, lock Lock, upstream Upstream, holder string, fleet *follow.FleetView, engines backend.EngineClient, clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
 ) *Leader {
 	g := &Leader{
-		lock: lock, upstream: upstream, holder: holder, fleet: fleet, caller: caller, clock: clock, stats: stats, log: log,
+		lock: lock, upstream: upstream, holder: holder, fleet: fleet, engines: engines, clock: clock, stats: stats, log: log,
 		stop: make(chan struct{}), done: make(chan struct{}), lease: lease{clock: clock},
 	}
 	ctx, cancel := context.WithCancel(ctx)
--- a/leader/term.go
+++ b/leader/term.go
@@ -228,7 +228,7 @@
 	g := t.leader
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	report, err := g.caller.Report(ctx, s.Addr())
+	report, err := g.engines.Report(ctx, s.Addr())
 	if err != nil || report.Born != s.Incarnation().Born {
 		// The server may be gone or have restarted, which its entry will show. Until then it counts as holding what it was
 		// ordered to hold.
@@ -276,7 +276,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	order := backend.PlaceOrder{Layers: o.Layers, ExpectOrders: t.expectedOrders(s), Cut: o.Moves && mayCut(s)}
-	return t.leader.caller.Place(ctx, s.Addr(), s.ID(), order)
+	return t.leader.engines.Place(ctx, s.Addr(), s.ID(), order)
 }
 
 // mayCut reports whether an order may cut the streams that pass through a server. A server moves only to cover missing
--- a/order/leader.go
+++ b/order/leader.go
@@ -41,21 +41,21 @@
 
 // Leader gives the orders of one failure domain while it holds the lease.
 type Leader struct {
-	fleet  Fleet
-	lease  *Lease
-	caller *engine.Client
-	clock  *timer.Service
-	stats  *metrics.Registry
-	log    *logrus.Logger
-	leads  atomic.Bool
+	fleet   Fleet
+	lease   *Lease
+	engines *engine.Client
+	clock   *timer.Service
+	stats   *metrics.Registry
+	log     *logrus.Logger
+	leads   atomic.Bool
 	// moving maps the servers that are being drained to the time when that began; it belongs to the leader's goroutine.
 	moving map[string]time.Time
 }
 
 // New returns a Leader and starts it; it runs Step every Period until ctx ends.
-func New(ctx context.Context, fleet Fleet, lease *Lease, caller *engine.Client, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger) *Leader {
+func New(ctx context.Context, fleet Fleet, lease *Lease, engines *engine.Client, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger) *Leader {
 	l := &Leader{
-		fleet: fleet, lease: lease, caller: caller, clock: clock, stats: stats, log: log,
+		fleet: fleet, lease: lease, engines: engines, clock: clock, stats: stats, log: log,
 		moving: map[string]time.Time{},
 	}
 	ticks := clock.Subscribe(Period)
@@ -135,7 +135,7 @@
 
 // idle reports whether a server that is being drained has no attempts left.
 func (l *Leader) idle(t Target) bool {
-	report, err := l.caller.Report(t.Addr, orderTimeout)
+	report, err := l.engines.Report(t.Addr, orderTimeout)
 	return err == nil && report.Held == 0 && report.Running == 0 && report.Waiting == 0
 }
 
@@ -143,7 +143,7 @@
 	if _, _, held := l.lease.Held(); !held {
 		return
 	}
-	err := l.caller.Order(t.Addr, engine.Order{
+	err := l.engines.Order(t.Addr, engine.Order{
 		Fence: fence, Model: t.Model, Version: t.Version, Layers: t.Layers, Total: t.Total,
 	}, orderTimeout)
 	l.stats.Counter("orders_total").Inc(1)
