--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -57,7 +57,7 @@
 
 // Book records which servers terminated under which requests, and decides which requests are quarantined.
 type Book struct {
-	terms Settings
+	settings Settings
 
 	mu       sync.Mutex
 	requests map[Fingerprint]*requestRecord
@@ -86,9 +86,9 @@
 }
 
 // NewBook returns a Book without ends.
-func NewBook(terms Settings) *Book {
+func NewBook(settings Settings) *Book {
 	return &Book{
-		terms: terms, requests: map[Fingerprint]*requestRecord{}, released: map[Fingerprint]time.Time{}, republish: make(chan struct{}, 1),
+		settings: settings, requests: map[Fingerprint]*requestRecord{}, released: map[Fingerprint]time.Time{}, republish: make(chan struct{}, 1),
 	}
 }
 
@@ -175,7 +175,7 @@
 	if r == nil {
 		return 0
 	}
-	if len(r.ends) >= minPublishedClear && len(b.cleared) < b.terms.MaxRequests {
+	if len(r.ends) >= minPublishedClear && len(b.cleared) < b.settings.MaxRequests {
 		for server := range r.ends {
 			b.cleared = append(b.cleared, End{Request: request, Server: server})
 		}
@@ -196,7 +196,7 @@
 	if r == nil || !b.quarantinedLocked(request, r, attempt) {
 		return 0, false
 	}
-	return max(b.terms.Keep-now.Sub(r.latestEnd()), 0), true
+	return max(b.settings.Keep-now.Sub(r.latestEnd()), 0), true
 }
 
 // quarantinedLocked reports whether the ends of a request quarantine an attempt at it; the caller holds the lock.
@@ -204,7 +204,7 @@
 	if _, wasReleased := b.released[request]; wasReleased {
 		return true
 	}
-	return len(r.ends) >= b.terms.EndsOfOne || len(r.ends) >= b.terms.Ends && r.hasOtherAttempt(attempt)
+	return len(r.ends) >= b.settings.EndsOfOne || len(r.ends) >= b.settings.Ends && r.hasOtherAttempt(attempt)
 }
 
 // Ends returns the number of servers that have terminated under a request.
@@ -272,13 +272,13 @@
 	defer b.mu.Unlock()
 	for request, r := range b.requests {
 		for server, record := range r.ends {
-			if now.Sub(record.at) > b.terms.Keep {
+			if now.Sub(record.at) > b.settings.Keep {
 				b.expireLocked(request, server, now)
 			}
 		}
 	}
 	for request, releasedAt := range b.released {
-		if now.Sub(releasedAt) > releasedFactor*b.terms.Keep {
+		if now.Sub(releasedAt) > releasedFactor*b.settings.Keep {
 			delete(b.released, request)
 		}
 	}
@@ -291,8 +291,8 @@
 	if r == nil || r.ends[server] == nil {
 		return
 	}
-	expired := now.Sub(r.ends[server].at) >= time.Duration(minKeepShare*float64(b.terms.Keep))
-	if _, wasReleased := b.released[request]; expired && (wasReleased || len(r.ends) >= b.terms.Ends) && len(b.released) < b.terms.MaxRequests {
+	expired := now.Sub(r.ends[server].at) >= time.Duration(minKeepShare*float64(b.settings.Keep))
+	if _, wasReleased := b.released[request]; expired && (wasReleased || len(r.ends) >= b.settings.Ends) && len(b.released) < b.settings.MaxRequests {
 		b.released[request] = now
 	}
 	b.forgetLocked(request, server)
@@ -303,7 +303,7 @@
 	if r := b.requests[request]; r != nil {
 		return r
 	}
-	if len(b.requests) >= b.terms.MaxRequests {
+	if len(b.requests) >= b.settings.MaxRequests {
 		b.evictLocked()
 	}
 	r := &requestRecord{ends: map[string]*endRecord{}}
--- a/quarantine/publisher.go
+++ b/quarantine/publisher.go
@@ -33,19 +33,19 @@
 
 // Publisher publishes the ends that a Book learns of: it writes them to the store, where all instances read them.
 type Publisher struct {
-	book     *Book
-	register EndStore
-	clock    *timer.Service
-	stats    *metrics.Registry
-	log      *logrus.Logger
-	wake     chan struct{}
+	book  *Book
+	store EndStore
+	clock *timer.Service
+	stats *metrics.Registry
+	log   *logrus.Logger
+	wake  chan struct{}
 }
 
 // NewPublisher returns a Publisher and starts it; it stops when ctx ends.
 func NewPublisher(
-	ctx context.Context, book *Book, register EndStore, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
+	ctx context.Context, book *Book, store EndStore, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *Publisher {
-	t := &Publisher{book: book, register: register, clock: clock, stats: stats, log: log, wake: make(chan struct{}, 1)}
+	t := &Publisher{book: book, store: store, clock: clock, stats: stats, log: log, wake: make(chan struct{}, 1)}
 	go func() {
 		for {
 			select {
@@ -113,5 +113,5 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	t.stats.Counter("quarantine_tells_total").Inc(1)
-	return t.register.Publish(ctx, ends, cleared)
+	return t.store.Publish(ctx, ends, cleared)
 }
