--- a/relay/breaker.go
+++ b/relay/breaker.go
@@ -107,11 +107,11 @@
 	*b = storeBreaker{apply: b.apply, lastAnswer: now}
 }
 
-// storeFailed records that a call to the store that began at asked has failed.
-func (b *storeBreaker) storeFailed(asked time.Time) {
+// storeFailed records that a call to the store that began at sentAt has failed.
+func (b *storeBreaker) storeFailed(sentAt time.Time) {
 	b.failed, b.lastAnswer = true, time.Time{}
 	if b.nextProbe.IsZero() {
-		b.nextProbe = asked.Add(b.probeInterval())
+		b.nextProbe = sentAt.Add(b.probeInterval())
 	}
 }
 
--- a/relay/fleetstart_test.go
+++ b/relay/fleetstart_test.go
@@ -97,10 +97,10 @@
 	key      []byte
 	revision int64
 	// calls is the sum of the costs of the calls to the store.
-	calls   float64
-	boards  []*census.View
-	sources []*Source
-	rolls   []*Registry
+	calls      float64
+	views      []*census.View
+	sources    []*Source
+	registries []*Registry
 }
 
 // slowStoreAnswer is how long a store takes for an answer that is sixty times slower than usual.
@@ -132,7 +132,7 @@
 		}
 	}
 	n := len(b.members)
-	b.boards, b.sources, b.rolls = make([]*census.View, n), make([]*Source, n), make([]*Registry, n)
+	b.views, b.sources, b.registries = make([]*census.View, n), make([]*Source, n), make([]*Registry, n)
 	return b
 }
 
@@ -142,15 +142,15 @@
 	clock, stats := timer.NewReal(), metrics.New()
 	for i, m := range b.members {
 		self := Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: whole, ApplyTime: applyDeadline}
-		b.boards[i] = census.NewView(whole)
-		b.sources[i] = New(self, simStore{b}, b.boards[i], follow.NewFleetView(), noEnds{}, nil, clock, stats, b.log)
+		b.views[i] = census.NewView(whole)
+		b.sources[i] = New(self, simStore{b}, b.views[i], follow.NewFleetView(), noEnds{}, nil, clock, stats, b.log)
 		b.sources[i].peers = simPeers{b, i}
-		b.rolls[i] = NewRegistry(self, simRegister{b}, b.boards[i], nil, clock)
-		b.rolls[i].peers = simPeers{b, i}
+		b.registries[i] = NewRegistry(self, simRegistry{b}, b.views[i], nil, clock)
+		b.registries[i].peers = simPeers{b, i}
 	}
 	for i, m := range b.members {
 		newKey := func() ([]byte, error) { return []byte(m.Name), nil }
-		census.New(ctx, b.boards[i], b.rolls[i], m, newKey, clock, stats, b.log)
+		census.New(ctx, b.views[i], b.registries[i], m, newKey, clock, stats, b.log)
 		follow.New(ctx, b.sources[i], follow.NewFleetView(), quarantine.NewBook(quarantine.Settings{Keep: time.Hour, MaxRequests: 10}), clock, stats, b.log)
 	}
 }
--- a/relay/fleetstore_test.go
+++ b/relay/fleetstore_test.go
@@ -13,11 +13,11 @@
 	"junctioncross/link"
 )
 
-// simRegister is the simulated store's registration records as seen by an instance; it implements census.Registry.
-type simRegister struct{ b *startSimulation }
+// simRegistry is the simulated store's registration records as seen by an instance; it implements census.Registry.
+type simRegistry struct{ b *startSimulation }
 
 // Join implements census.Registry.
-func (r simRegister) Join(ctx context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
+func (r simRegistry) Join(ctx context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
 	for range 2 {
 		if err := r.b.call(ctx, 1, recordBytes); err != nil {
 			return 0, err
@@ -36,25 +36,25 @@
 }
 
 // Renew implements census.Registry.
-func (r simRegister) Renew(ctx context.Context, _ int64) error {
+func (r simRegistry) Renew(ctx context.Context, _ int64) error {
 	return r.b.call(ctx, lowCost, recordBytes)
 }
 
 // List implements census.Registry.
-func (r simRegister) List(ctx context.Context) (census.Snapshot, error) {
+func (r simRegistry) List(ctx context.Context) (census.Snapshot, error) {
 	r.b.mu.Lock()
-	roll := census.Snapshot{Key: r.b.key}
+	snapshot := census.Snapshot{Key: r.b.key}
 	for _, w := range r.b.records {
 		if time.Since(w.at) >= storeLag {
-			roll.Records = append(roll.Records, w.Record)
+			snapshot.Records = append(snapshot.Records, w.Record)
 		}
 	}
 	r.b.mu.Unlock()
-	return roll, r.b.call(ctx, lowCost, float64(1+len(roll.Records))*recordBytes)
+	return snapshot, r.b.call(ctx, lowCost, float64(1+len(snapshot.Records))*recordBytes)
 }
 
 // EnsureKey implements census.Registry.
-func (r simRegister) EnsureKey(ctx context.Context, key []byte) ([]byte, error) {
+func (r simRegistry) EnsureKey(ctx context.Context, key []byte) ([]byte, error) {
 	if err := r.b.call(ctx, 1, recordBytes); err != nil {
 		return nil, err
 	}
@@ -147,7 +147,7 @@
 		return recordsReply{}, err
 	}
 	j := o.b.index[addr]
-	t, err := o.b.rolls[j].serve(ctx, q)
+	t, err := o.b.registries[j].serve(ctx, q)
 	if err != nil {
 		return recordsReply{}, errors.Wrap(link.ErrRefused, err.Error())
 	}
@@ -168,7 +168,7 @@
 // connect is refused while one of the two instances does not know the fleet key.
 func (o simPeers) connect(_ context.Context, addr string) error {
 	time.Sleep(linkLatency)
-	if len(o.b.boards[o.i].Key()) == 0 || len(o.b.boards[o.b.index[addr]].Key()) == 0 {
+	if len(o.b.views[o.i].Key()) == 0 || len(o.b.views[o.b.index[addr]].Key()) == 0 {
 		return link.ErrRefused
 	}
 	return nil
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// pollHold is the longest that a relay holds a poll while it has no updates. A relay that has died is noticed that much
-	// later at most.
+	// pollHold is the longest time for which a relay holds a poll while it has no updates. The failure of a relay is noticed
+	// that much later at most.
 	pollHold = 800 * time.Millisecond
 	// peerTimeout bounds a request to another instance that is not held, and the time that the answer to a held poll may take
 	// beyond pollHold: many times what a call within the building takes on a slow machine.
 	peerTimeout = 400 * time.Millisecond
-	// fullFeedHold is the longest that an instance which is starting holds a request for a full feed that it can answer once
+	// fullFeedHold is the longest time for which an instance that is starting holds a request for a full feed that it can answer once
 	// it has read the feed itself. It is short so that others soon ask the standby relay when the relay cannot reach the
 	// store.
 	fullFeedHold = 400 * time.Millisecond
@@ -121,7 +121,7 @@
 	}
 }
 
-// holdTime returns the longest that a poll is held.
+// holdTime returns the longest time for which a poll is held.
 func (s *Source) holdTime(feed follow.Feed) time.Duration {
 	if feed == follow.FeedServers {
 		return min(max(reportsHoldTime, time.Duration(s.pollers.count())*holdTimePerPoller), pollHold)
@@ -207,8 +207,8 @@
 	return max(freshTime-s.clock.Since(known), 0) + time.Millisecond
 }
 
-// ask polls the instance at addr.
-func (s *Source) ask(ctx context.Context, addr string, p poll) (update, error) {
+// pollInstance polls the instance at addr.
+func (s *Source) pollInstance(ctx context.Context, addr string, p poll) (update, error) {
 	s.stats.Counter("relay_polls_total").Inc(1)
 	limit := pollHold + peerTimeout
 	switch {
@@ -219,8 +219,8 @@
 	}
 	ctx, cancel := s.clock.WithTimeout(ctx, limit)
 	defer cancel()
-	asked := s.clock.Now()
-	s.attachReports(&p, addr, asked)
+	sentAt := s.clock.Now()
+	s.attachReports(&p, addr, sentAt)
 	if p.Feed == follow.FeedQuarantine {
 		p.Ends = s.ends.Unpublished()
 	}
@@ -246,8 +246,9 @@
 			return update{}, errors.Wrap(follow.ErrUnavailable, err.Error())
 		}
 	}
-	s.applyReply(p, t, addr, asked)
+	s.applyReply(p, t, addr, sentAt)
 	s.fleet.NoteCounts(t.Counts)
-	// The poll arrived after it was sent, so counting from when it was sent makes the reply's Known a little too old rather than too new.
-	return update{records: t.Records, position: t.At, known: asked.Add(t.Known)}, nil
+	// Known counts from when the poll arrived. Counting from when it was sent, which was earlier, makes the result a little too
+	// old rather than too new.
+	return update{records: t.Records, position: t.At, known: sentAt.Add(t.Known)}, nil
 }
--- a/relay/pollers_test.go
+++ b/relay/pollers_test.go
@@ -13,17 +13,17 @@
 // TestRelayCountsItsPollers lets three instances poll, one of which stops polling.
 func TestRelayCountsItsPollers(t *testing.T) {
 	fake := clockwork.NewFakeClock()
-	asked := newPollerCounter(timer.New(fake))
+	pollers := newPollerCounter(timer.New(fake))
 	for _, name := range []string{"a", "b", "c", "a"} {
-		asked.add(name)
+		pollers.add(name)
 	}
-	require.Zero(t, asked.count(), "others may not have polled yet")
+	require.Zero(t, pollers.count(), "others may not have polled yet")
 	fake.Advance(pollerCountDelay)
-	require.Equal(t, 3, asked.count())
+	require.Equal(t, 3, pollers.count())
 	fake.Advance(pollerTTL)
-	asked.add("a")
-	asked.add("b")
-	require.Equal(t, 2, asked.count())
+	pollers.add("a")
+	pollers.add("b")
+	require.Equal(t, 2, pollers.count())
 	fake.Advance(time.Second)
-	require.Equal(t, 2, asked.count())
+	require.Equal(t, 2, pollers.count())
 }
--- a/relay/registry_test.go
+++ b/relay/registry_test.go
@@ -25,10 +25,10 @@
 // fakeRegistry holds the records of a fleet in memory, as one instance reads them from the store.
 type fakeRegistry struct {
 	census.Registry
-	mu    sync.Mutex
-	roll  census.Snapshot
-	down  bool
-	reads int
+	mu       sync.Mutex
+	snapshot census.Snapshot
+	down     bool
+	reads    int
 }
 
 // List implements census.Registry.
@@ -39,7 +39,7 @@
 	if r.down {
 		return census.Snapshot{}, errors.New("down")
 	}
-	return r.roll, nil
+	return r.snapshot, nil
 }
 
 func (r *fakeRegistry) readCount() int {
@@ -52,7 +52,7 @@
 func (r *fakeRegistry) setMembers(members []census.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.roll.Records = recordsOf(members)
+	r.snapshot.Records = recordsOf(members)
 }
 
 // setDown makes the store reject all reads.
@@ -64,10 +64,10 @@
 
 // registryFleet holds instances of one domain that list each other's records; the first one is the relay.
 type registryFleet struct {
-	members []census.Instance
-	records []*fakeRegistry
-	rolls   []*relay.Registry
-	servers []*link.Server
+	members    []census.Instance
+	records    []*fakeRegistry
+	registries []*relay.Registry
+	servers    []*link.Server
 }
 
 func newRegistryFleet(t *testing.T, n int) registryFleet {
@@ -85,26 +85,26 @@
 	for _, m := range c.members {
 		links := link.NewClient(trust, metrics.New())
 		t.Cleanup(links.Close)
-		own := &fakeRegistry{roll: census.Snapshot{Records: recordsOf(c.members), Key: key}}
+		own := &fakeRegistry{snapshot: census.Snapshot{Records: recordsOf(c.members), Key: key}}
 		self := relay.Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: 2, ApplyTime: 3 * time.Second}
-		rolls := relay.NewRegistry(self, own, fleet{members: c.members, key: key}, links, timer.NewReal())
+		registry := relay.NewRegistry(self, own, fleet{members: c.members, key: key}, links, timer.NewReal())
 		mux := link.NewMux()
-		rolls.AddTo(mux)
+		registry.AddTo(mux)
 		server, err := link.Listen(m.Addr, trust, mux, metrics.New(), log)
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = server.Close() })
-		c.records, c.rolls, c.servers = append(c.records, own), append(c.rolls, rolls), append(c.servers, server)
+		c.records, c.registries, c.servers = append(c.records, own), append(c.registries, registry), append(c.servers, server)
 	}
 	return c
 }
 
 func TestRelayReadsTheRecordsForItsDomain(t *testing.T) {
 	c := newRegistryFleet(t, 6)
-	for _, r := range c.rolls {
-		roll, err := r.List(t.Context())
+	for _, r := range c.registries {
+		snapshot, err := r.List(t.Context())
 		require.NoError(t, err)
-		require.ElementsMatch(t, recordsOf(c.members), roll.Records)
-		require.NotEmpty(t, roll.Key)
+		require.ElementsMatch(t, recordsOf(c.members), snapshot.Records)
+		require.NotEmpty(t, snapshot.Key)
 	}
 	require.Equal(t, 1, c.records[0].readCount(), "concurrent requests share one read")
 	for _, r := range c.records[1:] {
@@ -117,9 +117,9 @@
 	c := newRegistryFleet(t, 3)
 	more := append([]census.Instance{{Name: "new", Domain: "east", Addr: "127.0.0.1:1", Power: 0.5}}, c.members...)
 	c.records[0].setMembers(more)
-	roll, err := c.rolls[2].List(t.Context())
+	snapshot, err := c.registries[2].List(t.Context())
 	require.NoError(t, err)
-	require.ElementsMatch(t, recordsOf(more), roll.Records)
+	require.ElementsMatch(t, recordsOf(more), snapshot.Records)
 }
 
 // TestRecordsAreReadFromTheStoreWithoutARelay stops the relay and lets the store reject the standby relay.
@@ -127,9 +127,9 @@
 	c := newRegistryFleet(t, 4)
 	require.NoError(t, c.servers[0].Close())
 	c.records[1].setDown()
-	roll, err := c.rolls[3].List(t.Context())
+	snapshot, err := c.registries[3].List(t.Context())
 	require.NoError(t, err)
-	require.Len(t, roll.Records, 4)
+	require.Len(t, snapshot.Records, 4)
 	require.Equal(t, 1, c.records[1].readCount())
 	require.Equal(t, 1, c.records[3].readCount())
 }
@@ -142,16 +142,16 @@
 		for n := range 8 {
 			members = append(members, census.Instance{Name: fmt.Sprint(n), Domain: "east", Power: 1})
 		}
-		r := &fakeRegistry{roll: census.Snapshot{Era: 1}}
+		r := &fakeRegistry{snapshot: census.Snapshot{Era: 1}}
 		r.setMembers(members)
-		rolls := relay.NewRegistry(relay.Self{Name: "0", Domain: "east", RelaysFrom: 24}, r, census.NewView(24), nil, timer.NewReal())
+		registry := relay.NewRegistry(relay.Self{Name: "0", Domain: "east", RelaysFrom: 24}, r, census.NewView(24), nil, timer.NewReal())
 		count := func() []census.Record {
-			roll, err := rolls.List(t.Context())
+			snapshot, err := registry.List(t.Context())
 			require.NoError(t, err)
-			return roll.Records
+			return snapshot.Records
 		}
 		require.Len(t, count(), 8)
-		r.roll.Era = 2
+		r.snapshot.Era = 2
 		r.setMembers(members[:5])
 		require.Len(t, count(), 8)
 		require.Zero(t, count()[7].Revision, "its slot is free in the store")
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -88,29 +88,29 @@
 
 // follow reads a feed and polls it until ctx ends.
 func (i *instance) follow(ctx context.Context, feed follow.Feed) {
-	news, err := i.Read(ctx, feed)
+	updates, err := i.Read(ctx, feed)
 	for ctx.Err() == nil {
 		if err == nil {
-			i.record(feed, news)
+			i.record(feed, updates)
 		} else {
 			time.Sleep(50 * time.Millisecond)
 		}
-		news, err = i.Next(ctx, feed, news.At)
+		updates, err = i.Next(ctx, feed, updates.At)
 	}
 }
 
-func (i *instance) record(feed follow.Feed, news follow.Updates) {
+func (i *instance) record(feed follow.Feed, updates follow.Updates) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	switch feed {
 	case follow.FeedConfig:
-		i.known = news.AsOf
+		i.known = updates.AsOf
 		return
 	case follow.FeedQuarantine:
-		i.ends += len(news.Changes)
+		i.ends += len(updates.Changes)
 		return
 	}
-	for _, c := range news.Changes {
+	for _, c := range updates.Changes {
 		i.heard = append(i.heard, c.(follow.ServerGone).ID)
 	}
 }
@@ -130,10 +130,10 @@
 	return runWith(t, n, in, over, func(string) relay.SharedReports { return follow.NewFleetView() }, func(string) relay.Ends { return noEnds{} })
 }
 
-// runWith starts n instances over real connections; words returns the shared reports of an instance, and ends its record of
+// runWith starts n instances over real connections; reports returns the shared reports of an instance, and ends its record of
 // servers that terminated under requests.
 func runWith(
-	t *testing.T, n int, in func(i int) string, over func(caller string) relay.Store, words func(caller string) relay.SharedReports,
+	t *testing.T, n int, in func(i int) string, over func(caller string) relay.Store, reports func(caller string) relay.SharedReports,
 	ends func(caller string) relay.Ends,
 ) []*instance {
 	key, err := keys.NewFleetKey(time.Now())
@@ -154,7 +154,7 @@
 		clock, stats := timer.NewReal(), metrics.New()
 		links := link.NewClient(trust, stats)
 		self := relay.Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: 2, ApplyTime: 3 * time.Second}
-		one := &instance{Source: relay.New(self, over(m.Name), f, words(m.Name), ends(m.Name), links, clock, stats, log)}
+		one := &instance{Source: relay.New(self, over(m.Name), f, reports(m.Name), ends(m.Name), links, clock, stats, log)}
 		mux := link.NewMux()
 		one.Register(mux)
 		server, err := link.Listen(m.Addr, trust, mux, stats, log)
--- a/relay/reports.go
+++ b/relay/reports.go
@@ -43,13 +43,13 @@
 	p.Reports, p.Mark = s.reports.OwnReports(after, now), mark
 }
 
-// applyReply applies the reports in the answer to a poll that was sent at asked.
-func (s *Source) applyReply(p poll, t pollReply, addr string, asked time.Time) {
+// applyReply applies the reports in the answer to a poll that was sent at sentAt.
+func (s *Source) applyReply(p poll, t pollReply, addr string, sentAt time.Time) {
 	if p.Feed != follow.FeedServers || p.Full {
 		return
 	}
 	s.mu.Lock()
-	s.reportsSent, s.reportMarks[addr] = asked, t.Mark
+	s.reportsSent, s.reportMarks[addr] = sentAt, t.Mark
 	s.mu.Unlock()
 	s.reports.ApplySharedReports(t.Reports, s.clock.Now())
 }
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -46,7 +46,7 @@
 
 	mu      sync.Mutex
 	sources []*Source
-	boards  []*follow.FleetView
+	views   []*follow.FleetView
 	books   []*quarantine.Book
 	stops   []func()
 	// version is the newest configuration; revisions equal versions.
@@ -64,7 +64,7 @@
 	n := len(members)
 	p := &simulation{
 		scenario: d, begun: time.Now(), members: members, index: map[string]int{}, log: log, version: 1, changed: make(chan struct{}),
-		sources: make([]*Source, n), boards: make([]*follow.FleetView, n), books: make([]*quarantine.Book, n), stops: make([]func(), n), calls: make([]int, n),
+		sources: make([]*Source, n), views: make([]*follow.FleetView, n), books: make([]*quarantine.Book, n), stops: make([]func(), n), calls: make([]int, n),
 	}
 	for i, m := range members {
 		p.index[m.Addr] = i
@@ -86,20 +86,20 @@
 // start runs an instance with all of its real parts but the connections.
 func (p *simulation) start(i int) {
 	m := p.members[i]
-	board, book, clock := follow.NewFleetView(), quarantine.NewBook(quarantine.Settings{Keep: time.Hour, MaxRequests: 1000}), timer.NewReal()
-	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: 24, ApplyTime: p.applyDeadline}, scenarioStore{p, i}, staticFleet(p.members), board, noEnds{}, nil, clock, metrics.New(), p.log)
+	fleetView, book, clock := follow.NewFleetView(), quarantine.NewBook(quarantine.Settings{Keep: time.Hour, MaxRequests: 1000}), timer.NewReal()
+	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: 24, ApplyTime: p.applyDeadline}, scenarioStore{p, i}, staticFleet(p.members), fleetView, noEnds{}, nil, clock, metrics.New(), p.log)
 	s.peers = scenarioPeers{p, i}
 	ctx, stop := context.WithCancel(context.Background())
 	p.mu.Lock()
-	p.sources[i], p.boards[i], p.books[i], p.stops[i] = s, board, book, stop
+	p.sources[i], p.views[i], p.books[i], p.stops[i] = s, fleetView, book, stop
 	p.mu.Unlock()
-	follow.New(ctx, s, board, book, clock, metrics.New(), p.log)
+	follow.New(ctx, s, fleetView, book, clock, metrics.New(), p.log)
 }
 
 func (p *simulation) stop(i int) {
 	p.stops[i]()
 	p.mu.Lock()
-	p.sources[i], p.boards[i], p.books[i], p.stops[i] = nil, nil, nil, nil
+	p.sources[i], p.views[i], p.books[i], p.stops[i] = nil, nil, nil, nil
 	p.mu.Unlock()
 }
 
@@ -201,7 +201,7 @@
 }
 
 func (p *simulation) configVersion(i int) int64 {
-	if c := p.boards[i].Current().Catalog(); c != nil {
+	if c := p.views[i].Current().Catalog(); c != nil {
 		return c.Version()
 	}
 	return 0
--- a/relay/source.go
+++ b/relay/source.go
@@ -25,7 +25,7 @@
 	settledTime = 3 * time.Second
 )
 
-// lateTime is how long after its last answer a feed counts as late: longer than a relay holds a poll.
+// lateTime is how long after the last answer for it a feed counts as late: longer than a relay holds a poll.
 const lateTime = pollHold + 100*time.Millisecond
 
 // feeds is the number of feeds: configuration, servers and quarantine.
@@ -101,7 +101,7 @@
 	reportMarks map[string]time.Duration
 	// breaker decides whether the store is asked while relays refuse.
 	breaker storeBreaker
-	// backoffs says until when upstreams that failed are not asked, by address.
+	// backoffs says until when upstreams that failed are not polled, by address.
 	backoffs map[string]backoff
 	// using holds the upstream that each feed uses, and usingSince since when.
 	using      [feeds]upstream
@@ -118,12 +118,14 @@
 
 // New returns a Source.
 func New(
-	self Self, store Store, fleet Fleet, words SharedReports, ends Ends, links *link.Client, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
+	self Self, store Store, fleet Fleet, reports SharedReports, ends Ends, links *link.Client, clock *timer.Service,
+	stats *metrics.Registry, log *logrus.Logger,
 ) *Source {
 	return &Source{
-		self: self, store: store, fleet: fleet, reports: words, ends: ends, begun: clock.Now(), reportMarks: map[string]time.Duration{}, peers: linkPeers{client: links}, clock: clock, stats: stats, log: log,
-		logs: [feeds]*feedLog{newFeedLog(), newFeedLog(), newFeedLog()}, epoch: newEpoch(), pollers: newPollerCounter(clock), backoffs: map[string]backoff{}, breaker: storeBreaker{apply: self.ApplyTime},
-		random: rand.Float64,
+		self: self, store: store, fleet: fleet, reports: reports, ends: ends, begun: clock.Now(),
+		reportMarks: map[string]time.Duration{}, peers: linkPeers{client: links}, clock: clock, stats: stats, log: log,
+		logs: [feeds]*feedLog{newFeedLog(), newFeedLog(), newFeedLog()}, epoch: newEpoch(), pollers: newPollerCounter(clock),
+		backoffs: map[string]backoff{}, breaker: storeBreaker{apply: self.ApplyTime}, random: rand.Float64,
 	}
 }
 
@@ -153,7 +155,7 @@
 	defer s.mu.Unlock()
 	since := s.usingSince[follow.FeedConfig]
 	// Before the first update it is not known which upstream the instance follows. If instances counted as direct until then,
-	// all that start together would ask for the right to give orders.
+	// all that start together would compete for the leader lock.
 	return !since.IsZero() && s.using[follow.FeedConfig].direct() && s.clock.Since(since) >= settledTime
 }
 
@@ -163,10 +165,10 @@
 	if at, _ := s.logs[feed].progress(); at == 0 {
 		if h, ok := s.readFromRelay(ctx, feed); ok {
 			s.logs[feed].reset(h, false)
-			return s.news(h), nil
+			return s.followUpdates(h), nil
 		}
 	}
-	asked := s.clock.Now()
+	sentAt := s.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, readTime)
 	defer cancel()
 	records, at, err := s.store.ReadFeed(ctx, feed)
@@ -174,7 +176,7 @@
 		s.storeLost()
 		return follow.Updates{}, err
 	}
-	h := update{records: records, position: at, known: asked}
+	h := update{records: records, position: at, known: sentAt}
 	if held, _ := s.logs[feed].progress(); at < held {
 		s.log.WithFields(logrus.Fields{
 			"feed": feed.String(), "at": at.Revision(), "held": held.Revision(), "era": at.Era(), "held_era": held.Era(),
@@ -182,7 +184,7 @@
 	}
 	s.epoch.markHealthy()
 	s.logs[feed].reset(h, true)
-	return s.news(h), nil
+	return s.followUpdates(h), nil
 }
 
 // Next implements follow.Source.
@@ -194,20 +196,20 @@
 		if u.direct() && !s.mayAskStore(feed) {
 			continue
 		}
-		asked := s.clock.Now()
+		sentAt := s.clock.Now()
 		h, err := s.pollUpstream(ctx, u, feed, after, i > 0 && s.late(feed))
 		switch {
 		case err == nil:
-			s.noteResult(feed, u, asked, nil)
+			s.noteResult(feed, u, sentAt, nil)
 			s.logs[feed].append(h, u.direct())
-			return s.news(h), nil
+			return s.followUpdates(h), nil
 		case errors.Is(err, follow.ErrHistoryGone) || ctx.Err() != nil:
 			return follow.Updates{}, err
 		case errors.Is(err, errStoreSuspect):
 			last = err
 			continue
 		}
-		s.noteResult(feed, u, asked, err)
+		s.noteResult(feed, u, sentAt, err)
 		upstreams = s.insertReferral(upstreams, i+1, feed, err)
 		last = err
 	}
@@ -229,7 +231,7 @@
 // pollUpstream asks one upstream for updates of a feed.
 func (s *Source) pollUpstream(ctx context.Context, u upstream, feed follow.Feed, after follow.Position, noWait bool) (update, error) {
 	if !u.direct() {
-		h, err := s.ask(ctx, u.addr, poll{Feed: feed, After: after, NoWait: noWait})
+		h, err := s.pollInstance(ctx, u.addr, poll{Feed: feed, After: after, NoWait: noWait})
 		if errors.Is(err, errBehind) {
 			return s.catchUp(ctx, u, feed, after)
 		}
@@ -246,7 +248,7 @@
 // Instances that start together read the feeds at different moments; without catchUp, all instances whose relay read a feed
 // after they did would ask the store.
 func (s *Source) catchUp(ctx context.Context, u upstream, feed follow.Feed, after follow.Position) (update, error) {
-	h, err := s.ask(ctx, u.addr, poll{Feed: feed, Full: true})
+	h, err := s.pollInstance(ctx, u.addr, poll{Feed: feed, Full: true})
 	if err != nil {
 		return update{}, err
 	}
@@ -258,6 +260,6 @@
 }
 
 // followUpdates converts a result to follow.Updates.
-func (s *Source) news(h update) follow.Updates {
+func (s *Source) followUpdates(h update) follow.Updates {
 	return follow.Updates{Changes: s.store.Decode(h.records), At: h.position, AsOf: h.known}
 }
--- a/relay/start.go
+++ b/relay/start.go
@@ -149,7 +149,7 @@
 		if err != nil {
 			continue
 		}
-		if h, err := s.ask(ctx, u.addr, poll{Feed: feed, Full: true}); err == nil {
+		if h, err := s.pollInstance(ctx, u.addr, poll{Feed: feed, Full: true}); err == nil {
 			s.noteResult(feed, u, s.clock.Now(), nil)
 			return h, true, true
 		}
--- a/relay/startcount_test.go
+++ b/relay/startcount_test.go
@@ -12,9 +12,9 @@
 
 // minInstances returns the smallest number of instances by which any instance of the fleet divides shared limits.
 func (b *startSimulation) minInstances() int {
-	least := b.boards[0].Instances()
-	for _, board := range b.boards {
-		least = min(least, board.Instances())
+	least := b.views[0].Instances()
+	for _, view := range b.views {
+		least = min(least, view.Instances())
 	}
 	return least
 }
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -113,10 +113,10 @@
 	end := time.After(wait)
 	for {
 		v.mu.Lock()
-		var news []relay.Record
+		var records []relay.Record
 		for _, r := range v.of(feed) {
 			if r.Revision > after {
-				news = append(news, r)
+				records = append(records, r)
 			}
 		}
 		at, changed, silent := v.at, v.changed, v.silent[v.caller]
@@ -125,8 +125,8 @@
 			<-ctx.Done()
 			return nil, 0, follow.ErrUnavailable
 		}
-		if len(news) > 0 {
-			return news, at, nil
+		if len(records) > 0 {
+			return records, at, nil
 		}
 		select {
 		case <-changed:
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -124,7 +124,7 @@
 
 // backOff keeps an upstream from being asked for a while after a failure, and reports whether it is the first failure in a
 // row. Calls that fail together count once. The store is not backed off here: whether it is asked is decided by the breaker.
-func (s *Source) backOff(u upstream, asked time.Time, refused bool) bool {
+func (s *Source) backOff(u upstream, sentAt time.Time, refused bool) bool {
 	now := s.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +138,7 @@
 		until = now.Add(firstBackoff)
 	}
 	if u.direct() {
-		s.breaker.storeFailed(asked)
+		s.breaker.storeFailed(sentAt)
 		until = now
 	}
 	for i, h := range s.referral {
@@ -150,12 +150,12 @@
 	return b.failures == 0
 }
 
-// noteResult records the result of a poll that was sent to an upstream at asked, and logs when a feed is served by another
+// noteResult records the result of a poll that was sent to an upstream at sentAt, and logs when a feed is served by another
 // upstream than before.
-func (s *Source) noteResult(feed follow.Feed, u upstream, asked time.Time, err error) {
+func (s *Source) noteResult(feed follow.Feed, u upstream, sentAt time.Time, err error) {
 	if err != nil {
 		s.stats.Counter("feed_ways_failed_total").Inc(1)
-		if !s.backOff(u, asked, errors.As(err, &refusal{})) {
+		if !s.backOff(u, sentAt, errors.As(err, &refusal{})) {
 			return
 		}
 		s.log.WithFields(logrus.Fields{"feed": feed.String(), "from": u.String()}).WithError(err).Warn("feed not heard")
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -47,7 +47,7 @@
 	wait := s.watchWait(feed, suspect, noWait)
 	limit := wait + answerSlack
 	if suspect || s.probing() {
-		if err := s.reachStore(ctx); err != nil {
+		if err := s.pingStore(ctx); err != nil {
 			return update{}, err
 		}
 	}
@@ -57,16 +57,16 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	defer context.AfterFunc(epoch, cancel)()
-	asked := s.clock.Now()
+	sentAt := s.clock.Now()
 	records, at, err := s.store.WatchFeed(ctx, feed, after, wait)
 	if err != nil {
 		return update{}, err
 	}
 	s.epoch.markHealthy()
-	known := asked
-	if len(records) == 0 && s.clock.Since(asked) >= wait {
+	known := sentAt
+	if len(records) == 0 && s.clock.Since(sentAt) >= wait {
 		// The store held the call for the whole wait and had no updates.
-		known = asked.Add(wait)
+		known = sentAt.Add(wait)
 	}
 	return update{records: records, position: max(at, after), known: known}, nil
 }
@@ -115,9 +115,9 @@
 	return false
 }
 
-// reachStore checks that the store answers before it is asked for updates, at a tenth of the cost of such a call: in an
+// pingStore checks that the store answers before it is asked for updates, at a tenth of the cost of such a call: in an
 // outage of a large fleet most calls to the store are checks.
-func (s *Source) reachStore(ctx context.Context) error {
+func (s *Source) pingStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, suspectTimeout)
 	defer cancel()
 	return s.store.Ping(ctx)
