--- a/backend/server.go
+++ b/backend/server.go
@@ -46,7 +46,7 @@
 	gone atomic.Bool
 	// leaveNotice is true once the server has said in an answer that it leaves.
 	leaveNotice atomic.Bool
-	// backOff is the time until which the server wants no new work from this instance.
+	// backOff is the time until which the server has asked to get no new work from this instance.
 	backOff atomicTime
 	limiter limiter
 	// ctx ends once another incarnation of the server is known, so that this one no longer runs anything; cancel ends it.
@@ -128,8 +128,8 @@
 // Context returns a context that ends once another incarnation of the server is known.
 func (s *Server) Context() context.Context { return s.ctx }
 
-// MarkReplaced records that another incarnation of the server is known: everything that this one was running is lost, and so are its
-// connections.
+// MarkReplaced records that another incarnation of the server is known: everything that this one was running is lost, and so
+// are its connections.
 func (s *Server) MarkReplaced() {
 	s.MarkEnded()
 	s.MarkGone()
@@ -187,7 +187,7 @@
 func (s *Server) Ended() bool { return s.ended.Load() }
 
 // Remove marks the server as gone and closes its idle connections, after its entry was removed. A server whose entry had said
-// that it leaves has terminated by then. One that leaves without saying so in its entry is assumed to go on serving.
+// that it leaves has terminated by then; one whose entry had not is assumed to go on serving.
 func (s *Server) Remove() {
 	if s.leaving.Load() {
 		s.MarkEnded()
@@ -195,8 +195,8 @@
 	s.MarkGone()
 }
 
-// MarkGone marks the server as gone like Remove, where its entry may have expired because the server could not renew it in the store:
-// whether it has terminated is not known.
+// MarkGone marks the server as gone like Remove, but leaves open whether it has terminated: its entry may have expired because
+// the server could not renew it in the store.
 func (s *Server) MarkGone() {
 	s.gone.Store(true)
 	s.closeIdle()
@@ -217,7 +217,7 @@
 // Reserved returns the memory that the requests of this instance need on the server, in tokens times layers.
 func (s *Server) Reserved() float64 { return float64(s.reserved.Load()) }
 
-// Reserve adds a request that will need the given memory, in tokens times layers.
+// Reserve adds a running request that will need the given memory, in tokens times layers.
 func (s *Server) Reserve(memory int) {
 	s.running.Add(1)
 	s.reserved.Add(int64(memory))
