--- a/revision/errors.go
+++ b/revision/errors.go
@@ -14,7 +14,7 @@
 	// ErrNoIntent means that there is no intent with that ID.
 	ErrNoIntent = errors.New("revision: no such intent")
 	// ErrNoUpdate means that a watch ended without a newer head.
-	ErrNoUpdate = errors.New("revision: no news")
+	ErrNoUpdate = errors.New("revision: no update")
 	// ErrUnavailable means that the key-value service did not answer; nothing was changed.
 	ErrUnavailable = errors.New("revision: key-value service unavailable")
 	// ErrOutcomeUnknown means that a confirmation may have taken effect; confirming the same plan again is safe and tells
