--- a/fleet/configure.go
+++ b/fleet/configure.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// Post sends a JSON value to a path of a stand-in; it retries until the status is 200 or startTimeout has passed.
+// Post sends a JSON value to a path of a fake; it retries until the status is 200 or startTimeout has passed.
 func Post(addr, path string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/pipeline/runner.go
+++ b/pipeline/runner.go
@@ -228,7 +228,7 @@
 	return false
 }
 
-// setPromptTokens stores the prompt's token ids, which the first stage returns when it got the prompt as text.
+// setPromptTokens stores the prompt's token ids, which the server of the first stage returns when it got the prompt as text.
 func (e *execution) setPromptTokens(result engine.Result) {
 	e.tokens = append(e.tokens[:0], result.Tokens...)
 	e.prompt = len(e.tokens)
