--- a/control/exchange.go
+++ b/control/exchange.go
@@ -41,7 +41,7 @@
 		return exchangeResponse{}, errOtherDomain
 	}
 	return ask(l, func(answer chan exchangeResponse) message {
-		return exchangeAsked{digest: request.Digest, answer: answer}
+		return exchangeRequested{digest: request.Digest, answer: answer}
 	}), nil
 }
 
--- a/control/loop.go
+++ b/control/loop.go
@@ -238,7 +238,7 @@
 
 func (l *Loop) handle(m message) {
 	switch m := m.(type) {
-	case exchangeAsked:
+	case exchangeRequested:
 		m.answer <- exchangeResponse{Updates: l.table.Delta(m.digest), Digest: l.table.Digest()}
 	case deltaRequested:
 		m.answer <- l.table.Delta(m.digest)
--- a/control/messages.go
+++ b/control/messages.go
@@ -10,8 +10,8 @@
 // message is a message to the control goroutine; the types below are its only implementations.
 type message interface{ message() }
 
-// exchangeAsked holds another instance's digest; the answer holds the updates that it lacks.
-type exchangeAsked struct {
+// exchangeRequested holds another instance's digest; the answer holds the updates that it lacks.
+type exchangeRequested struct {
 	digest gossip.Digest
 	answer chan exchangeResponse
 }
@@ -62,7 +62,7 @@
 // leaveRequested asks to publish that this instance is stopping; done is closed afterwards.
 type leaveRequested struct{ done chan struct{} }
 
-func (exchangeAsked) message()        {}
+func (exchangeRequested) message()    {}
 func (updatesArrived) message()       {}
 func (deltaRequested) message()       {}
 func (reportArrived) message()        {}
--- a/forward/queue_test.go
+++ b/forward/queue_test.go
@@ -141,8 +141,8 @@
 	require.Negative(t, urgencyOf(nil, urgent).compare(urgencyOf(account, urgent)), "a public route is ranked by itself")
 }
 
-// TestARequestThatWaitsForRoomEndsWhenItsCallerLeaves cancels a request that never gets its turn.
-func TestARequestThatWaitsForRoomEndsWhenItsCallerLeaves(t *testing.T) {
+// TestARequestThatWaitsForRoomEndsWhenItsCallerDisconnects cancels a request that never gets its turn.
+func TestARequestThatWaitsForRoomEndsWhenItsCallerDisconnects(t *testing.T) {
 	// The tickers of the watcher and of the prober, and the request.
 	const sleepers = 3
 	g := twoCopies()
--- a/retry/pace_test.go
+++ b/retry/pace_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestAnInstanceThatHearsOfALimitSendsNothingForAWhile(t *testing.T) {
+func TestAnInstanceThatLearnsOfALimitSendsNothingForAWhile(t *testing.T) {
 	now := time.Unix(0, 0)
 	p := NewPacer(now, 0)
 	quota := QuotaOf(200, 1)
