--- a/backend/backoff.go
+++ b/backend/backoff.go
@@ -19,8 +19,8 @@
 }
 
 // AvailableAt returns when the server may get new work again, if its back-off and its rate limit are the only reasons why it gets
-// none; instances is the number of instances that share the limit. False means that it may get new work now, or that there is another
-// reason.
+// none; instances is the number of instances that share the limit. False means that it may get new work now, or that there is
+// another reason.
 func (s *Server) AvailableAt(instances int, now time.Time) (time.Time, bool) {
 	at, backedOff := s.BackOffEnd(now)
 	next, _, limited := s.NextPermit(instances)
@@ -46,8 +46,8 @@
 	return true
 }
 
-// HasNotices reports whether the server has said something to this instance that still holds: that it leaves, its rate limit, or a
-// back-off that is not over.
+// HasNotices reports whether the server has said something to this instance that still holds: that it leaves, its rate limit, or
+// a back-off that is not over.
 func (s *Server) HasNotices(now time.Time) bool {
 	return s.leaveNotice.Load() || s.leaving.Load() || s.limited() || s.BackedOff(now)
 }
--- a/backend/backoff_test.go
+++ b/backend/backoff_test.go
@@ -69,8 +69,8 @@
 	require.Equal(t, time.Second, s.LeavingFor(now.Add(2*time.Second)), "the first time counts")
 }
 
-// BenchmarkUsable measures Usable, which each choice of a server calls for every server of the service, so that it must stay cheap:
-// some 50 ns, of which the check for a back-off takes about 2.
+// BenchmarkUsable measures Usable, which each choice of a server calls for every server of the service, so that it must stay
+// cheap: some 50 ns, of which the check for a back-off takes about 2.
 func BenchmarkUsable(b *testing.B) {
 	s, now := testServer(1), time.Unix(100, 0)
 	for b.Loop() {
--- a/backend/entry.go
+++ b/backend/entry.go
@@ -31,7 +31,8 @@
 // Incarnation returns the incarnation of the server that the entry describes.
 func (e Entry) Incarnation() Incarnation { return Incarnation{ID: e.ID, Born: e.Born} }
 
-// SameIncarnation reports whether another entry can describe the same incarnation: everything that changes only with a restart is equal.
+// SameIncarnation reports whether another entry can describe the same incarnation: everything that changes only with a restart is
+// equal.
 func (e Entry) SameIncarnation(other Entry) bool {
 	return e.Incarnation() == other.Incarnation() && e.Service == other.Service && e.Addr == other.Addr && e.Domain == other.Domain &&
 		e.Kind == other.Kind && e.Slots == other.Slots
--- a/backend/limit.go
+++ b/backend/limit.go
@@ -18,9 +18,9 @@
 	pacer   retry.Pacer
 }
 
-// UpdateLimit applies what an answer says of the server's rate limit, and reports whether that changed the limit; sent is when the
-// answered request was sent. A limit that cannot be parsed changes nothing. An answer without a limit ends the limit only if its
-// request was sent after the last answer that named one, since answers on different connections overtake each other.
+// UpdateLimit applies what an answer says of the server's rate limit, and reports whether that changed the limit; sent is when
+// the answered request was sent. A limit that cannot be parsed changes nothing. An answer without a limit ends the limit only if
+// its request was sent after the last answer that named one, since answers on different connections overtake each other.
 func (s *Server) UpdateLimit(l call.Limit, sent, now time.Time) bool {
 	k := &s.limiter
 	k.mu.Lock()
--- a/backend/memory.go
+++ b/backend/memory.go
@@ -28,8 +28,8 @@
 	s.reportSource = reportSource{queriedAt: now, learnedAt: now, own: true}
 }
 
-// NoteMemoryFull records that the server refused work for lack of memory. It counts as full for fullBackOff, so that there is time for
-// its report to show which requests have ended since.
+// NoteMemoryFull records that the server refused work for lack of memory. It counts as full for fullBackOff, so that there is
+// time for its report to show which requests have ended since.
 func (s *Server) NoteMemoryFull(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/backend/report.go
+++ b/backend/report.go
@@ -96,7 +96,7 @@
 	Report(ctx context.Context, addr string) (Report, error)
 	// Place orders a server to hold a range of layers; it returns ErrStale, ErrNoAnswer or ErrRefused.
 	Place(ctx context.Context, addr, id string, order PlaceOrder) error
-	// Repair gives a running request a new path with the same first server; it returns a *RepairError, ErrUnknownRequest, ErrNoAnswer
-	// or ErrRefused.
+	// Repair gives a running request a new path with the same first server; it returns a *RepairError, ErrUnknownRequest,
+	// ErrNoAnswer or ErrRefused.
 	Repair(ctx context.Context, addr, requestID string, path []call.Stage) error
 }
--- a/backend/sharedreport.go
+++ b/backend/sharedreport.go
@@ -76,8 +76,8 @@
 	s.reportSource = reportSource{queriedAt: now, learnedAt: now, own: true, silent: true}
 }
 
-// SharedReport returns the latest report on the server, if the instance learned of it after the given time; ownOnly leaves out reports
-// from other instances.
+// SharedReport returns the latest report on the server, if the instance learned of it after the given time; ownOnly leaves out
+// reports from other instances.
 func (s *Server) SharedReport(after, now time.Time, ownOnly bool) (SharedReport, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +103,8 @@
 	return now.Sub(s.reportSource.queriedAt)
 }
 
-// ApplySharedReport applies a report from another instance, if it is newer than the latest one. It reports whether the server was good by the
-// former report and is bad by this one: silent or slow.
+// ApplySharedReport applies a report from another instance, if it is newer than the latest one. It reports whether the server was
+// good by the former report and is bad by this one: silent or slow.
 func (s *Server) ApplySharedReport(w SharedReport, now time.Time) bool {
 	at := now.Add(-w.Age)
 	s.mu.Lock()
--- a/backend/status.go
+++ b/backend/status.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// NoteFull keeps new work away from a server that had no room. The time doubles with each call until NoteAccepted is called; calls
-// while the server is set aside do not count.
+// NoteFull keeps new work away from a server that had no room. The time doubles with each call until NoteAccepted is called;
+// calls while the server is set aside do not count.
 func (s *Server) NoteFull(now time.Time) {
 	s.mu.Lock()
 	pause := retry.Backoff(fullBackOff, maxFullBackOff, s.refusals)
@@ -84,7 +84,8 @@
 	s.pace, s.paceAt = pace, now
 }
 
-// Pace returns how many times slower than usual the server is; 1 is its usual speed, which is assumed when nothing recent is known.
+// Pace returns how many times slower than usual the server is; 1 is its usual speed, which is assumed when nothing recent is
+// known.
 func (s *Server) Pace(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +95,8 @@
 	return s.pace
 }
 
-// NoteStaleLayers keeps new work away from a server that does not hold the layers of its entry, until the entry names other layers or
-// maxStaleTime is over.
+// NoteStaleLayers keeps new work away from a server that does not hold the layers of its entry, until the entry names other
+// layers or maxStaleTime is over.
 func (s *Server) NoteStaleLayers(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/call/request.go
+++ b/call/request.go
@@ -86,14 +86,15 @@
 type Notice struct {
 	// Leaving means that the server is about to shut down.
 	Leaving bool
-	// RetryAfter is how long this instance is to send no new work to the server, which refused the request; 0 means that the answer does
-	// not say.
+	// RetryAfter is how long this instance is to send no new work to the server, which refused the request; 0 means that the answer
+	// does not say.
 	RetryAfter time.Duration
 	// Limit is the server's rate limit.
 	Limit Limit
 }
 
-// Limit is the rate of requests that a server accepts from all instances together. It applies as long as the server's answers name it.
+// Limit is the rate of requests that a server accepts from all instances together. It applies as long as the server's answers
+// name it.
 type Limit struct {
 	// Named is true when the answer names a limit.
 	Named bool
@@ -109,7 +110,8 @@
 	AppendRequest(dst []byte, h *fasthttp.RequestHeader, send *SendParams) []byte
 	// ReadAnswer returns the contents of the head of a server's answer.
 	ReadAnswer(h *fasthttp.ResponseHeader) Answer
-	// AppendAnswer appends the head of the answer for the caller, without the headers that frame the body and without the final blank line.
+	// AppendAnswer appends the head of the answer for the caller, without the headers that frame the body and without the final
+	// blank line.
 	AppendAnswer(dst []byte, h *fasthttp.ResponseHeader) []byte
 	// AppendRetryAfter appends the header that tells a refused caller when to try again.
 	AppendRetryAfter(dst []byte, after time.Duration) []byte
--- a/chain/repair.go
+++ b/chain/repair.go
@@ -25,8 +25,8 @@
 	Jitter func() float64
 }
 
-// RepairPath returns the path with other servers in place of the lost ones only. The servers that are kept still hold the stream in
-// memory, while each new one has to read every token so far. False means that no usable servers can replace the lost ones.
+// RepairPath returns the path with other servers in place of the lost ones only. The servers that are kept still hold the stream
+// in memory, while each new one has to read every token so far. False means that no usable servers can replace the lost ones.
 func RepairPath(g *Graph, state State, r RepairRequest) ([]Hop, bool) {
 	used := make(map[int]bool, len(r.Hops))
 	for _, h := range r.Hops {
--- a/claim/log.go
+++ b/claim/log.go
@@ -67,8 +67,8 @@
 	return l
 }
 
-// Submit claims a key, or records the outcome of the request that holds it, and waits for the verdict. If ctx ends first, it returns
-// ErrUnavailable for a claim that was not yet queued, and ErrOutcomeUnknown for one that was.
+// Submit claims a key, or records the outcome of the request that holds it, and waits for the verdict. If ctx ends first, it
+// returns ErrUnavailable for a claim that was not yet queued, and ErrOutcomeUnknown for one that was.
 func (l *Log) Submit(ctx context.Context, c Claim) (Verdict, error) {
 	a := pendingClaim{claim: c, result: make(chan claimResult, 1)}
 	select {
--- a/claim/router.go
+++ b/claim/router.go
@@ -36,9 +36,9 @@
 	return &Router{local: local, writers: writers, forward: forward, stats: stats}
 }
 
-// Submit implements Claimer. If the writer's answer is lost, the claim is submitted again in this process, which is safe since the log
-// recognises a claim by its request. If that fails, too, the outcome is unknown, unless the call certainly did not reach the
-// writer.
+// Submit implements Claimer. If the writer's answer is lost, the claim is submitted again in this process, which is safe since
+// the log recognises a claim by its request. If that fails, too, the outcome is unknown, unless the call certainly did not reach
+// the writer.
 func (r *Router) Submit(ctx context.Context, c Claim) (Verdict, error) {
 	addr, local := r.writers.Writer(Partition(c.Key, r.local.partitions))
 	if local {
--- a/decision/format.go
+++ b/decision/format.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Formatter writes the same JSON as logrus.JSONFormatter at a fraction of the cost: most values are texts and numbers, which need no
-// reflection.
+// Formatter writes the same JSON as logrus.JSONFormatter at a fraction of the cost: most values are texts and numbers, which need
+// no reflection.
 type Formatter struct{}
 
 // typicalFields is a capacity that suffices for the fields of most lines.
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// queueBytes is the capacity of the queue for lines of all kinds: a few seconds of lines at the highest rate of a small instance.
+	// queueBytes is the capacity of the queue for lines of all kinds: a few seconds of lines at the highest rate of a small
+	// instance.
 	queueBytes = 256 << 10
 	// reserveBytes is additional capacity for lines that sampling must not omit: the last lines of some 6,000 failed requests while
 	// the output blocks.
--- a/decision/recorder.go
+++ b/decision/recorder.go
@@ -27,8 +27,8 @@
 // Fields are the inputs and the outcome of a decision, by name.
 type Fields = logrus.Fields
 
-// Recorder writes the lines about requests and limits their rate. The limits do not apply to the first line with each message in a
-// while, nor to the last lines of failed requests.
+// Recorder writes the lines about requests and limits their rate. The limits do not apply to the first line with each message in
+// a while, nor to the last lines of failed requests.
 type Recorder struct {
 	log *logrus.Logger
 	// sampled is the same logger for lines that may be omitted.
@@ -71,7 +71,8 @@
 	r.write(&r.routine, logrus.InfoLevel, request, decision, fields)
 }
 
-// Failure writes a line about something that went wrong with a request, or apart from any if that is empty; the line may be omitted.
+// Failure writes a line about something that went wrong with a request, or apart from any if that is empty; the line may be
+// omitted.
 func (r *Recorder) Failure(request, decision string, fields Fields) {
 	r.write(&r.failure, logrus.WarnLevel, request, decision, fields)
 }
--- a/doccomment/doc.go
+++ b/doccomment/doc.go
@@ -1,2 +1,3 @@
-// Package doccomment parses the source files that a package embeds, for reference pages that are generated from their doc comments.
+// Package doccomment parses the source files that a package embeds, for reference pages that are generated from their doc
+// comments.
 package doccomment
--- a/doccomment/figures_test.go
+++ b/doccomment/figures_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// figures matches texts that report results of single runs: shares of observed cases, counts, and references to runs and issues. Such
-// figures belong in commit messages and pages.
+// figures matches texts that report results of single runs: shares of observed cases, counts, and references to runs and issues.
+// Such figures belong in commit messages and pages.
 var figures = regexp.MustCompile(`(?i)\b\d[\d,.]* of (the )?\d|\b\d+ in 100\b|\b\d{1,3},\d{3} (calls|requests|questions|times)\b|\bon record\b|` +
 	`\bin plays\b|\bissue #?\d|\bincident\b`)
 
--- a/doccomment/files.go
+++ b/doccomment/files.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// Files parses all files at the root of a file system as Go source with comments, in the order of their names. It returns the first
-// error of reading or parsing a file.
+// Files parses all files at the root of a file system as Go source with comments, in the order of their names. It returns the
+// first error of reading or parsing a file.
 func Files(sources fs.FS) ([]*ast.File, error) {
 	entries, err := fs.ReadDir(sources, ".")
 	if err != nil {
--- a/engine/batcher.go
+++ b/engine/batcher.go
@@ -13,7 +13,8 @@
 const (
 	// maxCallsInFlight bounds the simultaneous calls to one server.
 	maxCallsInFlight = 16
-	// maxFramesPerCall keeps a call small enough for one step of the engine: if it took several, all answers would wait for the last step.
+	// maxFramesPerCall keeps a call small enough for one step of the engine: if it took several, all answers would wait for the last
+	// step.
 	maxFramesPerCall = 12
 	// windowDivisor sets how long a call waits for more frames: the mean step time divided by it, but at most maxWindow.
 	windowDivisor = 50
@@ -86,8 +87,8 @@
 	return b
 }
 
-// Run sends one frame and waits for its result, at most until ctx ends; the frame must not change meanwhile. The error is one of this
-// package.
+// Run sends one frame and waits for its result, at most until ctx ends; the frame must not change meanwhile. The error is one of
+// this package.
 func (b *Batcher) Run(ctx context.Context, frame *Frame) (Result, error) {
 	p := &pending{frame: frame, answer: make(chan Answer, 1)}
 	b.track(p)
@@ -147,8 +148,8 @@
 // StepTime returns the expected time from call to answer; it is zero while unknown.
 func (b *Batcher) StepTime() time.Duration { return b.progress.stepTime() }
 
-// Slow reports whether the server's last steps took much longer than expected. It uses the step times that the server reports, which
-// exclude the time in its queue.
+// Slow reports whether the server's last steps took much longer than expected. It uses the step times that the server reports,
+// which exclude the time in its queue.
 func (b *Batcher) Slow(expected time.Duration) bool { return b.progress.slow(expected) }
 
 // Leaving reports whether the last answer of the backend server says that it is about to shut down.
@@ -185,8 +186,8 @@
 	case <-b.stop:
 		return nil
 	}
-	// Sequences that leave a step of the previous server together arrive here one after the other within this window. If they were sent
-	// separately, the first would start a step of this server alone, and the others would wait for the end of that step.
+	// Sequences that leave a step of the previous server together arrive here one after the other within this window. If they were
+	// sent separately, the first would start a step of this server alone, and the others would wait for the end of that step.
 	window := b.clock.After(min(b.StepTime()/windowDivisor, maxWindow))
 	for len(batch) < maxFramesPerCall {
 		select {
@@ -233,7 +234,8 @@
 	}
 }
 
-// match returns the result at index i of the reply if it belongs to the frame f, and an error otherwise; err is the error of the call.
+// match returns the result at index i of the reply if it belongs to the frame f, and an error otherwise; err is the error of the
+// call.
 func match(f *Frame, reply StepReply, i int, err error) Answer {
 	if err != nil {
 		return Answer{err: err}
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -12,7 +12,8 @@
 	ErrLost = errors.New("engine: answer lost")
 	// ErrRefused means that the frame was not started: the backend server refused it, or it was not sent.
 	ErrRefused = errors.New("engine: frame not started")
-	// ErrOutOfOrder means that the frame was not the one that the backend server expected next, or that a result does not match its frame.
+	// ErrOutOfOrder means that the frame was not the one that the backend server expected next, or that a result does not match its
+	// frame.
 	ErrOutOfOrder = errors.New("engine: out of order")
 	// ErrFenced means that the backend server has accepted an order with a higher fencing token.
 	ErrFenced = errors.New("engine: order fenced off")
--- a/engine/progress.go
+++ b/engine/progress.go
@@ -12,7 +12,8 @@
 	// initialStallLimit applies until the step time is known; each position in flight adds a millisecond.
 	initialStallLimit = 500 * time.Millisecond
 	maxStallLimit     = 3 * time.Second
-	// positionsPerStep is the number of positions in flight, beyond one for each frame, that lengthens the limit by one mean step time.
+	// positionsPerStep is the number of positions in flight, beyond one for each frame, that lengthens the limit by one mean step
+	// time.
 	positionsPerStep = 32
 	// slowSteps is the number of reported steps in a row that must be slow before the server counts as slow.
 	slowSteps = 2
@@ -22,8 +23,8 @@
 	smoothing = 8
 )
 
-// Progress tracks the progress of one server, to distinguish a slow server from a stalled one. A server counts as stalled when the time
-// since its last answer is too long compared with its own mean step time.
+// Progress tracks the progress of one server, to distinguish a slow server from a stalled one. A server counts as stalled when
+// the time since its last answer is too long compared with its own mean step time.
 type Progress struct {
 	mu sync.Mutex
 	// frames and positions count what is in flight.
@@ -56,7 +57,8 @@
 	p.positions -= positions
 }
 
-// recordAnswer records that a call was answered; only calls whose frames all decode a single position count in the mean step time.
+// recordAnswer records that a call was answered; only calls whose frames all decode a single position count in the mean step
+// time.
 func (p *Progress) recordAnswer(now time.Time, took time.Duration, decoding bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -31,8 +31,8 @@
 	return h.answer(ctx, c, p, completionFormat{})
 }
 
-// answer runs a completion and writes the answer, as one body or as a stream. It returns a refusal only if no part of the answer was
-// written.
+// answer runs a completion and writes the answer, as one body or as a stream. It returns a refusal only if no part of the answer
+// was written.
 func (h *Handler) answer(ctx *fasthttp.RequestCtx, c *call, p completionParams, f format) *refusal {
 	if c.snapshot.Index().Document().Model(p.model) == nil {
 		return notRun(fasthttp.StatusNotFound, models.ReasonUnknownModel, "no model "+p.model)
--- a/entry/format.go
+++ b/entry/format.go
@@ -65,8 +65,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// format encodes the answers of one API call: complete as one body, or chunk by chunk, of which an empty chunk is not sent. The types
-// below are its only implementations.
+// format encodes the answers of one API call: complete as one body, or chunk by chunk, of which an empty chunk is not sent. The
+// types below are its only implementations.
 type format interface {
 	complete(s summary, text string) []byte
 	firstChunk(s summary) []byte
--- a/entry/linger.go
+++ b/entry/linger.go
@@ -16,8 +16,8 @@
 	lingerBytes = 16 << 20
 )
 
-// Lingering returns a listener whose connections can do a lingering close, for answers that are sent before the whole request was read:
-// a plain close with unread data resets the connection, and the caller loses an answer that it has not yet read.
+// Lingering returns a listener whose connections can do a lingering close, for answers that are sent before the whole request was
+// read: a plain close with unread data resets the connection, and the caller loses an answer that it has not yet read.
 func Lingering(l net.Listener) net.Listener { return lingeringListener{l} }
 
 type lingeringListener struct{ net.Listener }
--- a/entry/service.go
+++ b/entry/service.go
@@ -13,7 +13,8 @@
 	"junctioncross/service"
 )
 
-// service forwards a call to a plain service. If the call must not be repeated and has an idempotency key, it claims the key first.
+// service forwards a call to a plain service. If the call must not be repeated and has an idempotency key, it claims the key
+// first.
 func (h *Handler) service(ctx *fasthttp.RequestCtx, c *call) *refusal {
 	name := ctx.UserValue("name").(string)
 	s := c.snapshot.Index().Document().Service(name)
@@ -77,8 +78,9 @@
 	return r
 }
 
-// recordOutcome adds the outcome of the claimed request to the claim log in the background, so that a later request with the same key is
-// told that this one has run. A request that was not run releases its key; one that may have run keeps the claim without an outcome.
+// recordOutcome adds the outcome of the claimed request to the claim log in the background, so that a later request with the same
+// key is told that this one has run. A request that was not run releases its key; one that may have run keeps the claim without
+// an outcome.
 func (h *Handler) recordOutcome(c claim.Claim, ctx *fasthttp.RequestCtx, r *refusal) {
 	switch {
 	case r == nil:
--- a/fleet/spec.go
+++ b/fleet/spec.go
@@ -63,8 +63,8 @@
 	ServiceBooking = "bookings"
 )
 
-// DefaultSpec returns the Spec of a fleet like that of today's two users, who have a model each: three failure domains, eight entry
-// instances, engines of five kinds and plain services.
+// DefaultSpec returns the Spec of a fleet like that of today's two users, who have a model each: three failure domains, eight
+// entry instances, engines of five kinds and plain services.
 func DefaultSpec() Spec {
 	return Spec{
 		Domains: []string{"fukuoka", "kumamoto", "kagoshima"},
--- a/forward/cold.go
+++ b/forward/cold.go
@@ -6,8 +6,8 @@
 	"junctioncross/backend"
 )
 
-// coldRetryJitter is the greatest random part of the Retry-After time of a cold service; it keeps refused callers from coming back
-// all at once.
+// coldRetryJitter is the greatest random part of the Retry-After time of a cold service; it keeps refused callers from coming
+// back all at once.
 const coldRetryJitter = 2 * time.Second
 
 // coldService returns how much longer the request's service is expected to have no path at all, if that is known. Waiting for a
--- a/forward/findings.go
+++ b/forward/findings.go
@@ -30,8 +30,8 @@
 	holds map[*backend.Server]models.Layers
 }
 
-// queryServers queries servers, all at once. Dead are those that refuse the connection, do not answer two queries, or are named by
-// the first server of the path as the one that it waits for.
+// queryServers queries servers, all at once. Dead are those that refuse the connection, do not answer two queries, or are named
+// by the first server of the path as the one that it waits for.
 func (w *watcher) queryServers(ctx context.Context, first *backend.Server, group *backend.Group, servers map[*backend.Server]bool) *findings {
 	found := &findings{
 		now: w.handler.clock.Now(), dead: map[*backend.Server]bool{}, holds: map[*backend.Server]models.Layers{},
--- a/forward/lanes.go
+++ b/forward/lanes.go
@@ -71,9 +71,9 @@
 	firstPathTime = 5 * time.Second
 )
 
-// ServiceWithoutPath returns the name of a service that callers should ask another instance for, or an empty string. That is a service
-// for which this instance has had no settled path since its start, or has lost its path because it reaches no server in other
-// domains.
+// ServiceWithoutPath returns the name of a service that callers should ask another instance for, or an empty string. That is a
+// service for which this instance has had no settled path since its start, or has lost its path because it reaches no server in
+// other domains.
 func (h *Handler) ServiceWithoutPath() string {
 	now := h.clock.Now()
 	starting := now.Sub(h.watch.start) < firstPathTime
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -21,8 +21,8 @@
 	endCheckPeriod = 50 * time.Millisecond
 )
 
-// quarantined is the outcome of a request that is quarantined: it is sent to no further server since several have ended while they
-// ran it.
+// quarantined is the outcome of a request that is quarantined: it is sent to no further server since several have ended while
+// they ran it.
 type quarantined struct {
 	// left is how long the quarantine lasts at most.
 	left time.Duration
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -14,8 +14,8 @@
 	"junctioncross/retry"
 )
 
-// newBegunStream returns a stream whose answer started on some servers of a group; its route lets at most attempts servers run one
-// request.
+// newBegunStream returns a stream whose answer started on some servers of a group; its route lets at most attempts servers run
+// one request.
 func newBegunStream(g *backend.Group, attempts int, ran ...int) *inflight {
 	route := &catalog.Route{PauseObjective: 200 * time.Millisecond, Timeout: time.Minute, MaxAttempts: attempts}
 	f := &inflight{r: &request{x: &front.Exchange{}, group: g, route: route}}
--- a/forward/usable.go
+++ b/forward/usable.go
@@ -54,8 +54,8 @@
 	known bool
 }
 
-// nextLaneAt nextLaneAt when there is a lane again, if only backed-off servers are missing for one. False means that there is a lane
-// now, or that other servers are missing too. The result is cached, since waiting requests ask for it again and again.
+// nextLaneAt nextLaneAt when there is a lane again, if only backed-off servers are missing for one. False means that there is a
+// lane now, or that other servers are missing too. The result is cached, since waiting requests ask for it again and again.
 func (b *laneCache) nextLaneAt(group *backend.Group, now time.Time) (time.Time, bool) {
 	lanes, _ := b.get(group, now)
 	if len(lanes) > 0 {
--- a/front/conn.go
+++ b/front/conn.go
@@ -145,7 +145,8 @@
 	return err != nil || disconnected
 }
 
-// readFailure says how to refuse a request that could not be read; status 0 means that the connection is closed without an answer.
+// readFailure says how to refuse a request that could not be read; status 0 means that the connection is closed without an
+// answer.
 type readFailure struct {
 	status int
 	reason string
--- a/front/disconnect_test.go
+++ b/front/disconnect_test.go
@@ -45,8 +45,8 @@
 	return info.State
 }
 
-// TestBlockedWriteEndsWhenCallerDisconnects guards against a handler that stays in a blocked write. The caller reads nothing until the
-// connection's buffers are full, and then closes only its sending side, so that no reset ends the write.
+// TestBlockedWriteEndsWhenCallerDisconnects guards against a handler that stays in a blocked write. The caller reads nothing
+// until the connection's buffers are full, and then closes only its sending side, so that no reset ends the write.
 func TestBlockedWriteEndsWhenCallerDisconnects(t *testing.T) {
 	clientConn, serverConn := pair(t)
 	var writing sync.Once
--- a/front/exchange.go
+++ b/front/exchange.go
@@ -11,8 +11,8 @@
 	"junctioncross/call"
 )
 
-// writeMargin plus the time for which the caller will wait bounds the writing of an answer, counted from its first write. After that the
-// answer is abandoned, so that a caller that does not read does not hold it up for longer.
+// writeMargin plus the time for which the caller will wait bounds the writing of an answer, counted from its first write. After
+// that the answer is abandoned, so that a caller that does not read does not hold it up for longer.
 const writeMargin = 30 * time.Second
 
 // Exchange is one request with the means to answer it.
--- a/front/server.go
+++ b/front/server.go
@@ -37,8 +37,8 @@
 	conns    map[*conn]struct{}
 }
 
-// New returns a Server that passes requests to handler; limits returns the limits on requests that are in force, maxConnections the
-// number of connections beyond which a new one causes the oldest idle one to be closed.
+// New returns a Server that passes requests to handler; limits returns the limits on requests that are in force, maxConnections
+// the number of connections beyond which a new one causes the oldest idle one to be closed.
 func New(
 	codec call.Codec, handler Handler, limits func() catalog.Limits, maxConnections func() int, clock *timer.Service, stats *metrics.Registry,
 ) *Server {
@@ -99,8 +99,8 @@
 	go func() { one.serve() }()
 }
 
-// closeOldestIdle closes the connection that has been idle longest and reports whether it closed one. The caller of that connection
-// opens another one when it needs it; a caller that cannot connect at all is worse off.
+// closeOldestIdle closes the connection that has been idle longest and reports whether it closed one. The caller of that
+// connection opens another one when it needs it; a caller that cannot connect at all is worse off.
 func (s *Server) closeOldestIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/keys/certreloader.go
+++ b/keys/certreloader.go
@@ -20,8 +20,8 @@
 	Key         string
 }
 
-// CertReloader holds the certificate of this process and that of its authority, and loads the files again when the certificate file
-// has changed. It implements link.Trust. It is safe for concurrent use.
+// CertReloader holds the certificate of this process and that of its authority, and loads the files again when the certificate
+// file has changed. It implements link.Trust. It is safe for concurrent use.
 type CertReloader struct {
 	files Files
 
--- a/link/client.go
+++ b/link/client.go
@@ -45,8 +45,8 @@
 	return answer, nil
 }
 
-// Connect connects to the instance at addr unless a connection exists already. It returns ErrUnreachable, or ErrRefused when the instance
-// answers but rejects the connection, as it does before it knows the fleet key.
+// Connect connects to the instance at addr unless a connection exists already. It returns ErrUnreachable, or ErrRefused when the
+// instance answers but rejects the connection, as it does before it knows the fleet key.
 func (c *Client) Connect(ctx context.Context, addr string) error {
 	_, err := c.connect(ctx, addr)
 	var transportErr *quic.TransportError
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -84,8 +84,8 @@
 	require.Error(t, err, "another authority")
 }
 
-// TestASilentConnectionIsReplacedAfterOneTimeout guards against calls that keep using a dead connection: from some moment on all packets of
-// the client's connection are lost, and neither end is notified. The first call that times out must close it.
+// TestASilentConnectionIsReplacedAfterOneTimeout guards against calls that keep using a dead connection: from some moment on all
+// packets of the client's connection are lost, and neither end is notified. The first call that times out must close it.
 func TestASilentConnectionIsReplacedAfterOneTimeout(t *testing.T) {
 	a := newAuthority(t)
 	proxy, err := fault.NewUDP(startServer(t, newRing(t, a, keys.RoleInstance, "b")), 1)
--- a/metrics/registry.go
+++ b/metrics/registry.go
@@ -13,7 +13,8 @@
 
 const (
 	prefix = "jx_"
-	// sampleSize and sampleAlpha are the usual values of the library: the sample represents the last five minutes with 99% confidence.
+	// sampleSize and sampleAlpha are the usual values of the library: the sample represents the last five minutes with 99%
+	// confidence.
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
--- a/pipeline/errors.go
+++ b/pipeline/errors.go
@@ -6,7 +6,8 @@
 	"junctioncross/models"
 )
 
-// Failure is the error of a request whose answer could not be completed; it tells the reason and whether the request may have run.
+// Failure is the error of a request whose answer could not be completed; it tells the reason and whether the request may have
+// run.
 type Failure struct {
 	reason models.Reason
 	fate   models.Fate
--- a/pipeline/runner.go
+++ b/pipeline/runner.go
@@ -21,9 +21,9 @@
 const (
 	// maxAttempts bounds the failed attempts of one request that count; see execution.exhausted.
 	maxAttempts = 12
-	// resumeTimeout bounds how long an answer that has begun is retried while servers start none of its frames. Those retries do not count
-	// as attempts: the servers that hold the layers may be reloading them, and since they refuse at once, the refusals would use up all
-	// attempts before the layers are loaded.
+	// resumeTimeout bounds how long an answer that has begun is retried while servers start none of its frames. Those retries do not
+	// count as attempts: the servers that hold the layers may be reloading them, and since they refuse at once, the refusals would
+	// use up all attempts before the layers are loaded.
 	resumeTimeout = 5 * time.Second
 	cancelTimeout = 500 * time.Millisecond
 )
@@ -119,7 +119,8 @@
 // Error implements error.
 func (e *emitError) Error() string { return "pipeline: caller disconnected: " + e.cause.Error() }
 
-// run makes one attempt: a first pass over the prompt and all tokens so far (prefill), then one pass for each further token (decode).
+// run makes one attempt: a first pass over the prompt and all tokens so far (prefill), then one pass for each further token
+// (decode).
 func (e *execution) run(ctx context.Context, emit func(Token) error) error {
 	path, ok := e.runner.pool.Choose(e.request.Graph(), e.avoid)
 	if !ok {
@@ -167,7 +168,8 @@
 	return false, nil
 }
 
-// pass sends the positions that the path's servers have not processed yet through all stages in order, and returns the last stage's result.
+// pass sends the positions that the path's servers have not processed yet through all stages in order, and returns the last
+// stage's result.
 func (e *execution) pass(ctx context.Context) (engine.Result, error) {
 	position := 0
 	if e.chart.State() == "decoding" {
@@ -211,8 +213,8 @@
 	return nil
 }
 
-// shouldReroute reports whether a server of the path has become slow and a path without it exists; it adds that server to avoid. The last
-// half of the attempts accepts slow servers.
+// shouldReroute reports whether a server of the path has become slow and a path without it exists; it adds that server to avoid.
+// The last half of the attempts accepts slow servers.
 func (e *execution) shouldReroute() bool {
 	if e.retries >= maxAttempts/2 {
 		return false
@@ -316,9 +318,9 @@
 	return nil
 }
 
-// exhausted counts a failed attempt and reports whether no other may follow. For an answer that has begun, attempts that no server started
-// do not count; they are bounded by resumeTimeout. Before an answer begins they count, so that the caller is soon refused and can send the
-// request elsewhere.
+// exhausted counts a failed attempt and reports whether no other may follow. For an answer that has begun, attempts that no
+// server started do not count; they are bounded by resumeTimeout. Before an answer begins they count, so that the caller is soon
+// refused and can send the request elsewhere.
 func (e *execution) exhausted(cause error) bool {
 	if e.produced > 0 && (errors.Is(cause, errNoPath) || engine.NotStarted(cause)) {
 		return e.runner.clock.Since(e.brokenAt) >= resumeTimeout
--- a/pipeline/runner_test.go
+++ b/pipeline/runner_test.go
@@ -38,8 +38,8 @@
 	engine *standin.Engine
 	http   *fasthttp.Server
 	addr   string
-	// dropReplyAt is the number of the call whose answer is dropped, corruptAt that of the call whose results name another request, and
-	// failFrom that of the first call whose connection is closed without running it; 0 means none.
+	// dropReplyAt is the number of the call whose answer is dropped, corruptAt that of the call whose results name another request,
+	// and failFrom that of the first call whose connection is closed without running it; 0 means none.
 	dropReplyAt atomic.Int32
 	corruptAt   atomic.Int32
 	failFrom    atomic.Int32
@@ -65,7 +65,8 @@
 	return s
 }
 
-// serve answers a call, drops or corrupts its answer, refuses its frames or closes the connection, as the fields of the server say.
+// serve answers a call, drops or corrupts its answer, refuses its frames or closes the connection, as the fields of the server
+// say.
 func (s *server) serve(ctx *fasthttp.RequestCtx, inner fasthttp.RequestHandler) {
 	if string(ctx.Path()) != engine.PathStep {
 		inner(ctx)
@@ -184,9 +185,9 @@
 	}
 }
 
-// TestAnAnswerThatHasBegunIsResumedAfterTemporaryRefusals guards against cutting an answer off while its layers are loaded again. All
-// servers of one half of the model start no frame for four seconds in the middle of the answer, as when layers are moved after a server
-// has terminated. They refuse at once, and these refusals must not use up the attempts.
+// TestAnAnswerThatHasBegunIsResumedAfterTemporaryRefusals guards against cutting an answer off while its layers are loaded again.
+// All servers of one half of the model start no frame for four seconds in the middle of the answer, as when layers are moved
+// after a server has terminated. They refuse at once, and these refusals must not use up the attempts.
 func TestAnAnswerThatHasBegunIsResumedAfterTemporaryRefusals(t *testing.T) {
 	b := newTestbed(t)
 	refuse := func(refuses bool) {
@@ -207,8 +208,8 @@
 	require.Equal(t, wantText("hello there", 10), text.String())
 }
 
-// TestARequestThatNoServerStartsIsRefusedAsNotRun checks that a request that all servers refuse from the beginning fails with FateNotRun, so
-// that its caller can send it to another instance.
+// TestARequestThatNoServerStartsIsRefusedAsNotRun checks that a request that all servers refuse from the beginning fails with
+// FateNotRun, so that its caller can send it to another instance.
 func TestARequestThatNoServerStartsIsRefusedAsNotRun(t *testing.T) {
 	b := newTestbed(t)
 	for _, s := range b.servers {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -110,9 +110,10 @@
 	Busy []int
 }
 
-// Choose returns a path through the graph and reports whether there is one. It uses servers in avoid, and those with open circuits, only
-// when no other path exists, since the request would be refused otherwise. Servers that gave no answer are the last resort: a server that
-// refused work a moment ago is running, while one that has terminated would use up the request's attempts.
+// Choose returns a path through the graph and reports whether there is one. It uses servers in avoid, and those with open
+// circuits, only when no other path exists, since the request would be refused otherwise. Servers that gave no answer are the
+// last resort: a server that refused work a moment ago is running, while one that has terminated would use up the request's
+// attempts.
 func (p *Pool) Choose(g *route.Graph, avoid Avoid) ([]route.Node, bool) {
 	l := loads{servers: *p.list.Load(), now: p.clock.Now()}
 	for _, l.filter = range []filter{
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -18,9 +18,9 @@
 // rounds is the number of times that a path is chosen.
 const rounds = 200
 
-// TestAServerThatGaveNoAnswerIsTheLastToBeTriedAgain guards against using up a request's attempts on a server that has terminated. Under
-// load the other servers refuse work for a moment, so that all servers have failed the request; if they were treated alike, most of its
-// attempts could go to the one that cannot answer.
+// TestAServerThatGaveNoAnswerIsTheLastToBeTriedAgain guards against using up a request's attempts on a server that has
+// terminated. Under load the other servers refuse work for a moment, so that all servers have failed the request; if they were
+// treated alike, most of its attempts could go to the one that cannot answer.
 func TestAServerThatGaveNoAnswerIsTheLastToBeTriedAgain(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := pool.New(engine.NewClient(), timer.New(clock), metrics.New())
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -20,8 +20,8 @@
 	// peerTimeout bounds a request to another instance that is not held, and the time that the answer to a held poll may take
 	// beyond pollHold: many times what a call within the building takes on a slow machine.
 	peerTimeout = 400 * time.Millisecond
-	// fullFeedHold is the longest time for which an instance that is starting holds a request for a full feed that it can answer once
-	// it has read the feed itself. It is short so that others soon ask the standby relay when the relay cannot reach the
+	// fullFeedHold is the longest time for which an instance that is starting holds a request for a full feed that it can answer
+	// once it has read the feed itself. It is short so that others soon ask the standby relay when the relay cannot reach the
 	// store.
 	fullFeedHold = 400 * time.Millisecond
 	// freshTime is how old the last confirmation of a relay's configuration may be for the relay to serve others: a full wait
--- a/relay/pollers.go
+++ b/relay/pollers.go
@@ -16,8 +16,8 @@
 	pollerTTL = 60 * time.Second
 )
 
-// pollerCounter counts the instances of a domain that poll its relay, because most instances of a large fleet have no record in the
-// store.
+// pollerCounter counts the instances of a domain that poll its relay, because most instances of a large fleet have no record in
+// the store.
 type pollerCounter struct {
 	clock *timer.Service
 
--- a/relay/reports.go
+++ b/relay/reports.go
@@ -31,8 +31,8 @@
 	ApplySharedReports(reports []backend.SharedReport, now time.Time) bool
 }
 
-// attachReports adds to a poll the own reports since the last poll, and the mark up to which the polled instance has passed on its
-// reports.
+// attachReports adds to a poll the own reports since the last poll, and the mark up to which the polled instance has passed on
+// its reports.
 func (s *Source) attachReports(p *poll, addr string, now time.Time) {
 	if p.Feed != follow.FeedServers || p.Full {
 		return
@@ -54,8 +54,8 @@
 	s.reports.ApplySharedReports(t.Reports, s.clock.Now())
 }
 
-// applyPolledReports applies the reports in a poll. If a server's state became bad by them, all waiting polls of the servers feed are
-// answered at once.
+// applyPolledReports applies the reports in a poll. If a server's state became bad by them, all waiting polls of the servers feed
+// are answered at once.
 func (s *Source) applyPolledReports(reports []backend.SharedReport) {
 	now := s.clock.Now()
 	if !s.reports.ApplySharedReports(reports, now) {
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -48,8 +48,8 @@
 	return c.list
 }
 
-// upstreams returns the upstreams in the order in which they are asked, or nil while the member list is not known. The caller must
-// not change the result.
+// upstreams returns the upstreams in the order in which they are asked, or nil while the member list is not known. The caller
+// must not change the result.
 func (s *Source) upstreams() []upstream {
 	members := s.fleet.Members()
 	return s.upstreamCache.get(members, s.self.relays(len(members), s.fleet.Instances()), s.upstreamsAmong)
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -30,8 +30,8 @@
 	Fixed float64
 }
 
-// Budget is an instance's part of a Limit: a token bucket for each service, which is empty when the process starts. It is safe for
-// concurrent use.
+// Budget is an instance's part of a Limit: a token bucket for each service, which is empty when the process starts. It is safe
+// for concurrent use.
 type Budget struct {
 	mu      sync.Mutex
 	limit   Limit
--- a/retry/windowcounter.go
+++ b/retry/windowcounter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// WindowCounter counts the events in a sliding window. The window is divided into slots of equal length, of which the oldest is dropped
-// as a whole.
+// WindowCounter counts the events in a sliding window. The window is divided into slots of equal length, of which the oldest is
+// dropped as a whole.
 type WindowCounter struct {
 	// slot is the length of a slot.
 	slot time.Duration
--- a/schema/code_test.go
+++ b/schema/code_test.go
@@ -117,7 +117,8 @@
 	return out
 }
 
-// possibleTexts returns the values that an expression may have: a string literal, a concatenation, or a parameter of the function.
+// possibleTexts returns the values that an expression may have: a string literal, a concatenation, or a parameter of the
+// function.
 func (s *sourcePackage) possibleTexts(fn *ast.FuncDecl, e ast.Expr) []string {
 	switch e := e.(type) {
 	case *ast.BasicLit:
--- a/story/beliefs.go
+++ b/story/beliefs.go
@@ -29,8 +29,8 @@
 	}))
 }
 
-// shortage returns which domains were known to be too small when a request was refused for lack of room. These lines are written by
-// the leader, which may be any instance.
+// shortage returns which domains were known to be too small when a request was refused for lack of room. These lines are written
+// by the leader, which may be any instance.
 func shortage(lines, own []Line) string {
 	last := own[len(own)-1]
 	if last.message != "refused" || last.Text("reason") != "no_room" {
--- a/story/line.go
+++ b/story/line.go
@@ -43,8 +43,8 @@
 	return fmt.Sprint(v)
 }
 
-// Read returns the lines of a log. Text before the first brace of a line is ignored. Lines that are not JSON objects or have no valid
-// time are skipped and counted. An error comes from reading, or means that a line is longer than 1 MiB.
+// Read returns the lines of a log. Text before the first brace of a line is ignored. Lines that are not JSON objects or have no
+// valid time are skipped and counted. An error comes from reading, or means that a line is longer than 1 MiB.
 func Read(from io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
--- a/timer/service.go
+++ b/timer/service.go
@@ -33,8 +33,8 @@
 	return &Service{clock: clock, deadlines: map[*deadline]struct{}{}}
 }
 
-// NewWithBootClock returns a Service on a monotonic clock, which stops while the machine is suspended, and on a boot clock, which does
-// not. It returns the error of reading the boot clock.
+// NewWithBootClock returns a Service on a monotonic clock, which stops while the machine is suspended, and on a boot clock, which
+// does not. It returns the error of reading the boot clock.
 func NewWithBootClock(clock clockwork.Clock, bootClock func() (time.Duration, error)) (*Service, error) {
 	s := New(clock)
 	at, err := bootClock()
--- a/timer/suspension.go
+++ b/timer/suspension.go
@@ -31,9 +31,9 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// CheckSuspension compares the monotonic clock, which stops while the machine is suspended, with the boot clock, which does not. It returns
-// for how long the machine has been suspended since the last call that returned a suspension. From then on Now includes that
-// time.
+// CheckSuspension compares the monotonic clock, which stops while the machine is suspended, with the boot clock, which does not.
+// It returns for how long the machine has been suspended since the last call that returned a suspension. From then on Now
+// includes that time.
 func (s *Service) CheckSuspension() (time.Duration, error) {
 	if s.bootClock == nil {
 		return 0, nil
@@ -74,12 +74,12 @@
 // Suspended returns the total time for which the machine has been found suspended since the start.
 func (s *Service) Suspended() time.Duration { return time.Duration(s.suspended.Load()) }
 
-// MonotonicTime converts a time of Now into the monotonic time that the runtime's own deadlines use, which stops while the machine is
-// suspended.
+// MonotonicTime converts a time of Now into the monotonic time that the runtime's own deadlines use, which stops while the
+// machine is suspended.
 func (s *Service) MonotonicTime(at time.Time) time.Time { return at.Add(-s.Suspended()) }
 
-// WatchSuspension compares the clocks periodically until ctx ends and passes each suspension, or the error of reading the boot clock, to
-// report.
+// WatchSuspension compares the clocks periodically until ctx ends and passes each suspension, or the error of reading the boot
+// clock, to report.
 func (s *Service) WatchSuspension(ctx context.Context, report func(gap time.Duration, err error)) {
 	ticks := s.Subscribe(checkPeriod)
 	defer ticks.Stop()
