--- a/forward/forecast_test.go
+++ b/forward/forecast_test.go
@@ -9,10 +9,10 @@
 )
 
 // constantSample returns a full sample in which all durations are alike.
-func constantSample(life time.Duration) *sample {
+func constantSample(lifetime time.Duration) *sample {
 	s := newSample(initialLifetime)
 	for range maxSamples {
-		s.add(life)
+		s.add(lifetime)
 	}
 	return &s
 }
@@ -61,11 +61,11 @@
 
 // drawStream draws the age and lifetime of a stream that is under way at a random moment: longer streams are more likely, and
 // all ages are equally likely.
-func drawStream(random *rand.Rand) (age, life time.Duration) {
+func drawStream(random *rand.Rand) (age, lifetime time.Duration) {
 	for {
-		life = drawLifetime(random)
-		if random.Float64()*float64(10*time.Second) < float64(life) {
-			return time.Duration(random.Float64() * float64(life)), life
+		lifetime = drawLifetime(random)
+		if random.Float64()*float64(10*time.Second) < float64(lifetime) {
+			return time.Duration(random.Float64() * float64(lifetime)), lifetime
 		}
 	}
 }
@@ -83,19 +83,19 @@
 		for range maxSamples {
 			lifetimes.add(drawLifetime(random))
 		}
-		c, rooms := forecast{lifetimes: &lifetimes, placesPerEnd: 1}, 0
+		c, freed := forecast{lifetimes: &lifetimes, placesPerEnd: 1}, 0
 		for range streams {
 			age, _ := drawStream(random)
 			c.ages = append(c.ages, age)
 		}
 		rate := (random.ExpFloat64() + random.ExpFloat64() + random.ExpFloat64()) / dispersion
 		for range int(streams*rate + 0.5) {
-			if age, life := drawStream(random); life-age <= within {
-				rooms++
+			if age, lifetime := drawStream(random); lifetime-age <= within {
+				freed++
 			}
 		}
 		stated += c.likelihood(places, within)
-		if rooms >= places {
+		if freed >= places {
 			came++
 		}
 	}
--- a/forward/queue_test.go
+++ b/forward/queue_test.go
@@ -133,11 +133,11 @@
 }
 
 func TestTheAccountIsRankedBeforeTheRoute(t *testing.T) {
-	urgent, calm := &catalog.Route{Priority: 0}, &catalog.Route{Priority: 3}
+	urgent, background := &catalog.Route{Priority: 0}, &catalog.Route{Priority: 3}
 	account := &catalog.Account{Priority: 1}
-	require.Negative(t, urgencyOf(account, calm).compare(urgencyOf(&catalog.Account{Priority: 2}, urgent)))
-	require.Negative(t, urgencyOf(account, urgent).compare(urgencyOf(account, calm)))
-	require.Zero(t, urgencyOf(account, calm).compare(urgencyOf(account, calm)))
+	require.Negative(t, urgencyOf(account, background).compare(urgencyOf(&catalog.Account{Priority: 2}, urgent)))
+	require.Negative(t, urgencyOf(account, urgent).compare(urgencyOf(account, background)))
+	require.Zero(t, urgencyOf(account, background).compare(urgencyOf(account, background)))
 	require.Negative(t, urgencyOf(nil, urgent).compare(urgencyOf(account, urgent)), "a public route is ranked by itself")
 }
 
--- a/forward/wait_test.go
+++ b/forward/wait_test.go
@@ -21,10 +21,10 @@
 	}
 }
 
-// startStreams adds streams of a service that are under way, with the given ages; all streams seen before lasted for life.
-func startStreams(h *Handler, count int, life time.Duration, age func(i int) time.Duration) *queue {
+// startStreams adds streams of a service that are under way, with the given ages; all streams seen before lasted for lifetime.
+func startStreams(h *Handler, count int, lifetime time.Duration, age func(i int) time.Duration) *queue {
 	q := h.queueOf("s")
-	q.lifetimes = *constantSample(life)
+	q.lifetimes = *constantSample(lifetime)
 	for i := range count {
 		f := &inflight{r: &request{route: &catalog.Route{PauseObjective: time.Minute}}}
 		f.progressed.Store(true)
