--- a/relay/platform_test.go
+++ b/relay/platform_test.go
@@ -19,8 +19,8 @@
 	i int
 }
 
-// ask counts a call and simulates its latency and its failure.
-func (s scenarioStore) ask(ctx context.Context) error {
+// call counts a call and simulates its latency and its failure.
+func (s scenarioStore) call(ctx context.Context) error {
 	s.p.mu.Lock()
 	s.p.calls[s.i]++
 	s.p.mu.Unlock()
@@ -42,13 +42,13 @@
 }
 
 // Ping implements Store.
-func (s scenarioStore) Ping(ctx context.Context) error { return s.ask(ctx) }
+func (s scenarioStore) Ping(ctx context.Context) error { return s.call(ctx) }
 
 // ReadFeed implements Store.
 func (s scenarioStore) ReadFeed(ctx context.Context, feed follow.Feed) ([]Record, follow.Position, error) {
 	ctx, cancel := context.WithTimeout(ctx, PageTimeout)
 	defer cancel()
-	if err := s.ask(ctx); err != nil {
+	if err := s.call(ctx); err != nil {
 		return nil, 0, err
 	}
 	s.p.mu.Lock()
@@ -83,7 +83,7 @@
 
 // WatchFeed implements Store.
 func (s scenarioStore) WatchFeed(ctx context.Context, feed follow.Feed, after follow.Position, wait time.Duration) ([]Record, follow.Position, error) {
-	if err := s.ask(ctx); err != nil {
+	if err := s.call(ctx); err != nil {
 		return nil, 0, err
 	}
 	end := time.After(wait)
--- a/relay/rank_test.go
+++ b/relay/rank_test.go
@@ -41,7 +41,7 @@
 // and that the polls of one domain are spread over the others.
 func TestInstancesWithRelaysAskTheStoreLast(t *testing.T) {
 	all := members(12)
-	asked := map[string]int{}
+	pollers := map[string]int{}
 	for _, m := range all {
 		upstreams := upstreamsOf(m.Name, m.Domain, all)
 		relays := ranked(all)[m.Domain]
@@ -55,7 +55,7 @@
 			require.Equal(t, own, upstreams[:2])
 			require.Len(t, upstreams, 5)
 			require.Equal(t, upstream{}, upstreams[4])
-			asked[upstreams[2].addr]++
+			pollers[upstreams[2].addr]++
 		}
 		for _, u := range upstreams {
 			require.NotEqual(t, m.Addr, u.addr)
@@ -64,8 +64,8 @@
 			require.NotContains(t, u.addr, m.Domain)
 		}
 	}
-	require.Len(t, asked, 3)
-	for relay, n := range asked {
+	require.Len(t, pollers, 3)
+	for relay, n := range pollers {
 		require.Greater(t, n, 1, relay)
 	}
 }
--- a/relay/start.go
+++ b/relay/start.go
@@ -144,7 +144,7 @@
 		if u.direct() {
 			break
 		}
-		err := s.reach(ctx, u.addr)
+		err := s.connect(ctx, u.addr)
 		reachable = reachable || !errors.Is(err, link.ErrUnreachable)
 		if err != nil {
 			continue
@@ -157,19 +157,19 @@
 	return update{}, false, reachable
 }
 
-// reach connects to the instance at addr. It has a timeout of its own: the one for the answer is many times longer, since a
+// connect connects to the instance at addr. It has a timeout of its own: the one for the answer is many times longer, since a
 // full feed takes its time over a slow network link, and an instance that starts would wait that long for each relay that is
 // gone. A relay that starts at the same moment may not listen yet, and the transport resends lost packets late, so a second
 // connection is tried early.
-func (s *Source) reach(ctx context.Context, addr string) error {
-	err := s.reachWithin(ctx, addr, firstConnectTimeout)
+func (s *Source) connect(ctx context.Context, addr string) error {
+	err := s.connectWithin(ctx, addr, firstConnectTimeout)
 	if errors.Is(err, link.ErrUnreachable) {
-		return s.reachWithin(ctx, addr, connectTimeout-firstConnectTimeout)
+		return s.connectWithin(ctx, addr, connectTimeout-firstConnectTimeout)
 	}
 	return err
 }
 
-func (s *Source) reachWithin(ctx context.Context, addr string, limit time.Duration) error {
+func (s *Source) connectWithin(ctx context.Context, addr string, limit time.Duration) error {
 	ctx, cancel := s.clock.WithTimeout(ctx, limit)
 	defer cancel()
 	return s.peers.connect(ctx, addr)
