--- a/control/backends.go
+++ b/control/backends.go
@@ -88,9 +88,9 @@
 			l.deps.Pool.Server(b.index).Restarted()
 		}
 		changed = b.update(newest[name], listedLeaving[name]) || changed
-		barred := b.spec.Retiring || movingNow[name] || b.chart.State() == "leaving" || b.chart.State() == "suspect"
-		l.deps.Pool.Server(b.index).SetExcluded(barred)
-		if b.chart.State() == "serving" && !barred {
+		excluded := b.spec.Retiring || movingNow[name] || b.chart.State() == "leaving" || b.chart.State() == "suspect"
+		l.deps.Pool.Server(b.index).SetExcluded(excluded)
+		if b.chart.State() == "serving" && !excluded {
 			serving++
 		}
 	}
@@ -221,10 +221,10 @@
 func (l *Loop) ShouldLead() bool { return l.chosen.Load() }
 
 // Targets implements order.Fleet.
-func (l *Loop) Targets() []order.Target { return l.askServers().targets }
+func (l *Loop) Targets() []order.Target { return l.requestServers().targets }
 
 // Seen implements order.Fleet.
-func (l *Loop) Seen() map[string]order.Seen { return l.askServers().seen }
+func (l *Loop) Seen() map[string]order.Seen { return l.requestServers().seen }
 
 // SetMoving implements order.Fleet.
 func (l *Loop) SetMoving(names []string) { l.post(movingChanged{names: names}) }
@@ -232,6 +232,6 @@
 // SetLeads records whether this instance gives the orders in its domain.
 func (l *Loop) SetLeads(leads bool) { l.leads.Store(leads) }
 
-func (l *Loop) askServers() serversAnswer {
+func (l *Loop) requestServers() serversAnswer {
 	return ask(l, func(answer chan serversAnswer) message { return serversRequested{answer: answer} })
 }
