--- a/leader/leader.go
+++ b/leader/leader.go
@@ -70,8 +70,8 @@
 // New returns a Leader and starts it; it runs until ctx ends or Stop is called. Holder identifies this run of the instance
 // in the lock.
 func New(
-	ctx context.Context, lock Lock, upstream Upstream, holder string, fleet *follow.FleetView, engines backend.EngineClient, clock *timer.Service,
-	stats *metrics.Registry, log *logrus.Logger,
+	ctx context.Context, lock Lock, upstream Upstream, holder string, fleet *follow.FleetView, engines backend.EngineClient,
+	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *Leader {
 	g := &Leader{
 		lock: lock, upstream: upstream, holder: holder, fleet: fleet, engines: engines, clock: clock, stats: stats, log: log,
--- a/order/leader.go
+++ b/order/leader.go
@@ -53,7 +53,10 @@
 }
 
 // New returns a Leader and starts it; it runs Step every Period until ctx ends.
-func New(ctx context.Context, fleet Fleet, lease *Lease, engines *engine.Client, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger) *Leader {
+func New(
+	ctx context.Context, fleet Fleet, lease *Lease, engines *engine.Client, clock *timer.Service, stats *metrics.Registry,
+	log *logrus.Logger,
+) *Leader {
 	l := &Leader{
 		fleet: fleet, lease: lease, engines: engines, clock: clock, stats: stats, log: log,
 		moving: map[string]time.Time{},
