--- a/entry/service.go
+++ b/entry/service.go
@@ -13,7 +13,7 @@
 	"junctioncross/service"
 )
 
-// service forwards a call to a plain service. If the call must not be repeated and has an idempotency key, it claims the key
+// service forwards a call to a plain service. If the call must run at most once and has an idempotency key, it claims the key
 // first.
 func (h *Handler) service(ctx *fasthttp.RequestCtx, c *call) *refusal {
 	name := ctx.UserValue("name").(string)
--- a/intent/document.go
+++ b/intent/document.go
@@ -64,7 +64,7 @@
 	Layers models.Layers `json:"layers" yaml:"-"`
 }
 
-// CallRule says whether the calls of a plain service whose method and path prefix match may be repeated.
+// CallRule says whether the calls of a plain service whose method and path prefix match may be retried (repeatable).
 type CallRule struct {
 	Method     string `json:"method" yaml:"method" validate:"oneof=GET POST PUT PATCH DELETE"`
 	Path       string `json:"path" yaml:"path" validate:"required"`
