--- a/forward/lifetime.go
+++ b/forward/lifetime.go
@@ -16,7 +16,7 @@
 	// safeQuantile is the quantile of the lifetimes that is counted on where a stream that lasts longer would be cut.
 	safeQuantile = 0.95
 	// usualQuantile is the quantile that is counted on where a stream that lasts longer is cut when its server ends, while
-	// one that ends earlier was moved in vain.
+	// one that ends earlier was moved needlessly.
 	usualQuantile = 0.8
 	// overdueFraction is the fraction of its expected lifetime that a stream which has exceeded that lifetime is assumed to
 	// need still.
--- a/forward/stop.go
+++ b/forward/stop.go
@@ -27,7 +27,7 @@
 // finishes reports whether the request would finish before the process ends.
 func (h *Handler) finishes(r *request) bool {
 	h.mu.Lock()
-	stopTold, stopBy := h.stopRequested, h.stopBy
+	stopRequested, stopBy := h.stopRequested, h.stopBy
 	h.mu.Unlock()
 	if stopBy.IsZero() {
 		return true
@@ -36,7 +36,7 @@
 	if r.group.Graph() == nil {
 		return now.Add(plainSlack * r.route.Objective).Before(stopBy)
 	}
-	if now.Sub(stopTold) > streamAcceptTime {
+	if now.Sub(stopRequested) > streamAcceptTime {
 		return false
 	}
 	need := h.needOf(r)
--- a/forward/wait.go
+++ b/forward/wait.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// minLikelihoodToStart is the likelihood of getting room in time that a request needs to start waiting. A wait in vain
+	// minLikelihoodToStart is the likelihood of getting room in time that a request needs to start waiting. A wait without success
 	// costs its caller time and the chance to be served elsewhere.
 	minLikelihoodToStart = 0.7
 	// minLikelihoodToContinue is the likelihood below which a wait ends. It is lower than minLikelihoodToStart, since part of
@@ -95,7 +95,7 @@
 	defer q.mu.Unlock()
 	expected.places = q.placesLocked(f, now, until)
 	if known {
-		// The servers have said when they accept work again: a wait that ends before that is in vain.
+		// The servers have said when they accept work again: a wait that ends before that cannot succeed.
 		expected.wait = usableIn
 		if usableIn <= expected.left {
 			expected.likelihood = 1
--- a/forward/watch_test.go
+++ b/forward/watch_test.go
@@ -43,7 +43,7 @@
 
 func (oneInstance) Instances() int { return 1 }
 
-// fakeEngineClient is a backend.EngineClient that stands in for servers, of which some are dead, and records the repairs and
+// fakeEngineClient is a backend.EngineClient that simulates servers, of which some are dead, and records the repairs and
 // queries.
 type fakeEngineClient struct {
 	mu   sync.Mutex
