--- a/census/census.go
+++ b/census/census.go
@@ -93,12 +93,12 @@
 	// Join writes a record that expires after ttl to a slot of the instance's domain and returns the lease that the record is
 	// bound to; it returns ErrTaken if the slot has changed in the meantime.
 	Join(ctx context.Context, self Instance, slot Slot, ttl time.Duration) (lease int64, err error)
-	// Renew extends the record by another ttl; it returns ErrOver if it has expired.
+	// Renew extends the record by another ttl; it returns ErrExpired if it has expired.
 	Renew(ctx context.Context, lease int64) error
 	// List returns the records and the fleet key; they may be some seconds old.
 	List(ctx context.Context) (Snapshot, error)
-	// Found writes the fleet key unless there is one, and returns the stored key.
-	Found(ctx context.Context, key []byte) ([]byte, error)
+	// EnsureKey writes the fleet key unless there is one, and returns the stored key.
+	EnsureKey(ctx context.Context, key []byte) ([]byte, error)
 }
 
 // Census counts the instances of the fleet and maintains the registration record of its own instance.
@@ -122,13 +122,13 @@
 	missingSince time.Time
 }
 
-// New starts a Census that publishes what it reads to board; it stops when ctx ends. NewKey generates a key for a fleet that
+// New starts a Census that publishes what it reads to the view; it stops when ctx ends. NewKey generates a key for a fleet that
 // has none.
 func New(
-	ctx context.Context, board *View, registry Registry, self Instance, newKey func() ([]byte, error), clock *timer.Service,
+	ctx context.Context, view *View, registry Registry, self Instance, newKey func() ([]byte, error), clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
 ) *Census {
-	c := &Census{View: board, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
+	c := &Census{View: view, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
 	go func() {
 		c.startUp(ctx)
 		for ctx.Err() == nil {
@@ -351,7 +351,7 @@
 	}
 	key, err := c.newKey()
 	if err == nil {
-		key, err = c.registry.Found(ctx, key)
+		key, err = c.registry.EnsureKey(ctx, key)
 	}
 	if err != nil {
 		c.log.WithError(err).Warn("the fleet's key not written")
--- a/control/backends.go
+++ b/control/backends.go
@@ -88,9 +88,9 @@
 			l.deps.Pool.Server(b.index).Restarted()
 		}
 		changed = b.update(newest[name], listedLeaving[name]) || changed
-		barred := b.spec.Retiring || movingNow[name] || b.chart.State() == "leaving" || b.chart.State() == "suspect"
-		l.deps.Pool.Server(b.index).SetExcluded(barred)
-		if b.chart.State() == "serving" && !barred {
+		excluded := b.spec.Retiring || movingNow[name] || b.chart.State() == "leaving" || b.chart.State() == "suspect"
+		l.deps.Pool.Server(b.index).SetExcluded(excluded)
+		if b.chart.State() == "serving" && !excluded {
 			serving++
 		}
 	}
@@ -156,7 +156,7 @@
 	for _, m := range l.index.Document().Models {
 		graphs[m.Name] = l.graph(&m)
 	}
-	l.deps.Board.Publish(view.NewSnapshot(l.index, graphs))
+	l.deps.Snapshots.Publish(view.NewSnapshot(l.index, graphs))
 }
 
 // graph returns the graph of a model's servers. It uses the servers of the own domain; only if these form no complete path does
@@ -217,14 +217,14 @@
 	return a
 }
 
-// Chosen implements order.Fleet.
-func (l *Loop) Chosen() bool { return l.chosen.Load() }
+// ShouldLead implements order.Fleet.
+func (l *Loop) ShouldLead() bool { return l.chosen.Load() }
 
 // Targets implements order.Fleet.
-func (l *Loop) Targets() []order.Target { return l.askServers().targets }
+func (l *Loop) Targets() []order.Target { return l.requestServers().targets }
 
 // Seen implements order.Fleet.
-func (l *Loop) Seen() map[string]order.Seen { return l.askServers().seen }
+func (l *Loop) Seen() map[string]order.Seen { return l.requestServers().seen }
 
 // SetMoving implements order.Fleet.
 func (l *Loop) SetMoving(names []string) { l.post(movingChanged{names: names}) }
@@ -232,6 +232,6 @@
 // SetLeads records whether this instance gives the orders in its domain.
 func (l *Loop) SetLeads(leads bool) { l.leads.Store(leads) }
 
-func (l *Loop) askServers() serversAnswer {
-	return ask(l, func(answer chan serversAnswer) message { return serversAsked{answer: answer} })
+func (l *Loop) requestServers() serversAnswer {
+	return ask(l, func(answer chan serversAnswer) message { return serversRequested{answer: answer} })
 }
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -41,7 +41,7 @@
 		return exchangeResponse{}, errOtherDomain
 	}
 	return ask(l, func(answer chan exchangeResponse) message {
-		return exchangeAsked{digest: request.Digest, answer: answer}
+		return exchangeRequested{digest: request.Digest, answer: answer}
 	}), nil
 }
 
@@ -167,7 +167,7 @@
 
 // push sends an instance the updates that its digest shows to be missing.
 func (l *Loop) push(ctx context.Context, addr string, theirs gossip.Digest) {
-	updates := ask(l, func(answer chan []gossip.Update) message { return deltaAsked{digest: theirs, answer: answer} })
+	updates := ask(l, func(answer chan []gossip.Update) message { return deltaRequested{digest: theirs, answer: answer} })
 	if len(updates) == 0 {
 		return
 	}
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -31,8 +31,8 @@
 	return h.answer(ctx, c, p, completionFormat{})
 }
 
-// answer runs a completion and writes the answer, as one body or as a stream. It returns a refusal only if no part of the answer was
-// written.
+// answer runs a completion and writes the answer, as one body or as a stream. It returns a refusal only if no part of the answer
+// was written.
 func (h *Handler) answer(ctx *fasthttp.RequestCtx, c *call, p completionParams, f format) *refusal {
 	if c.snapshot.Index().Document().Model(p.model) == nil {
 		return notRun(fasthttp.StatusNotFound, models.ReasonUnknownModel, "no model "+p.model)
@@ -76,7 +76,7 @@
 func (h *Handler) runPipeline(ctx context.Context, c *call, p completionParams, ticket *admit.Ticket, s *stream) error {
 	q := &pipeline.Request{
 		ID: c.id, Account: c.account.Name(), Model: p.model, Prompt: p.prompt, MaxTokens: p.maxTokens,
-		Graph: func() *route.Graph { return h.board.Current().Graph(p.model) },
+		Graph: func() *route.Graph { return h.snapshots.Current().Graph(p.model) },
 	}
 	charged := false
 	return h.runner.Run(ctx, q, func(t pipeline.Token) error {
--- a/entry/service.go
+++ b/entry/service.go
@@ -13,7 +13,8 @@
 	"junctioncross/service"
 )
 
-// service forwards a call to a plain service. If the call must not be repeated and has an idempotency key, it claims the key first.
+// service forwards a call to a plain service. If the call must run at most once and has an idempotency key, it claims the key
+// first.
 func (h *Handler) service(ctx *fasthttp.RequestCtx, c *call) *refusal {
 	name := ctx.UserValue("name").(string)
 	s := c.snapshot.Index().Document().Service(name)
@@ -48,7 +49,7 @@
 
 // claimKey claims the idempotency key, so that no other request runs under it; it returns a refusal if this request may not run.
 func (h *Handler) claimKey(ctx context.Context, c claim.Claim) *refusal {
-	verdict, err := h.claims.Ask(ctx, c)
+	verdict, err := h.claims.Submit(ctx, c)
 	if errors.Is(err, claim.ErrOutcomeUnknown) {
 		return notRun(fasthttp.StatusServiceUnavailable, models.ReasonClaimUnsure, "it is not known whether the key was claimed; the request was not sent")
 	}
@@ -77,8 +78,9 @@
 	return r
 }
 
-// recordOutcome adds the outcome of the claimed request to the claim log in the background, so that a later request with the same key is
-// told that this one has run. A request that was not run releases its key; one that may have run keeps the claim without an outcome.
+// recordOutcome adds the outcome of the claimed request to the claim log in the background, so that a later request with the same
+// key is told that this one has run. A request that was not run releases its key; one that may have run keeps the claim without
+// an outcome.
 func (h *Handler) recordOutcome(c claim.Claim, ctx *fasthttp.RequestCtx, r *refusal) {
 	switch {
 	case r == nil:
@@ -93,7 +95,7 @@
 		defer h.active.Done()
 		outcomeCtx, cancel := context.WithTimeout(context.Background(), service.CallTimeout)
 		defer cancel()
-		if _, err := h.claims.Ask(outcomeCtx, c); err != nil {
+		if _, err := h.claims.Submit(outcomeCtx, c); err != nil {
 			h.stats.Counter("claim_outcomes_lost_total").Inc(1)
 		}
 	}()
--- a/forward/watch_test.go
+++ b/forward/watch_test.go
@@ -27,11 +27,11 @@
 	"junctioncross/timer"
 )
 
-// noTeller is a Teller that sends nothing.
-type noTeller struct{}
+// noPublisher is an EndPublisher that writes nothing.
+type noPublisher struct{}
 
-// Wake implements Teller.
-func (noTeller) Wake() {}
+// Wake implements EndPublisher.
+func (noPublisher) Wake() {}
 
 // testBook returns a book with the default quarantine terms.
 func testBook() *quarantine.Book {
@@ -43,7 +43,8 @@
 
 func (oneInstance) Instances() int { return 1 }
 
-// fakeEngineClient is a backend.Caller that stands in for servers, of which some are dead, and records the repairs and queries.
+// fakeEngineClient is a backend.EngineClient that simulates servers, of which some are dead, and records the repairs and
+// queries.
 type fakeEngineClient struct {
 	mu   sync.Mutex
 	dead map[string]bool
@@ -71,7 +72,7 @@
 	return e
 }
 
-// Report implements backend.Caller.
+// Report implements backend.EngineClient.
 func (e *fakeEngineClient) Report(_ context.Context, addr string) (backend.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,10 +89,10 @@
 	return backend.Report{Layers: e.holds[addr], Pace: 1}, nil
 }
 
-// Place implements backend.Caller.
+// Place implements backend.EngineClient.
 func (*fakeEngineClient) Place(context.Context, string, string, backend.PlaceOrder) error { return nil }
 
-// Repair implements backend.Caller.
+// Repair implements backend.EngineClient.
 func (e *fakeEngineClient) Repair(_ context.Context, _, requestID string, path []call.Stage) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -107,12 +108,12 @@
 	return nil
 }
 
-func testHandler(t *testing.T, caller backend.EngineClient) (*Handler, *clockwork.FakeClock) {
+func testHandler(t *testing.T, engines backend.EngineClient) (*Handler, *clockwork.FakeClock) {
 	fake := clockwork.NewFakeClock()
 	clock, stats := timer.New(fake), metrics.New()
 	log := testlog.New(t)
-	h := New(t.Context(), Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 100}, DrainTime: 3 * time.Second}, follow.NewFleetView(), nil, caller, clock, stats,
-		decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noTeller{})
+	h := New(t.Context(), Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 100}, DrainTime: 3 * time.Second}, follow.NewFleetView(), nil, engines, clock, stats,
+		decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noPublisher{})
 	return withFullRetryBudget(h), fake
 }
 
@@ -164,11 +165,11 @@
 	g := twoCopies()
 	e := newFakeEngineClient(g, 1)
 	h, clock := testHandler(t, e)
-	still := newActiveStream(h, g, "still", 0, 0, 1)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1)
 	newActiveStream(h, g, "shorter", 80*time.Millisecond, 2, 1)
 	clock.Advance(140 * time.Millisecond)
 	newActiveStream(h, g, "elsewhere", 80*time.Millisecond, 2, 3)
-	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	for _, id := range []string{"still", "shorter"} {
 		require.Len(t, e.repairs[id], 2, id)
 		require.Equal(t, g.Servers()[3].Addr(), e.repairs[id][1].Addr)
@@ -182,10 +183,10 @@
 	g := fourStages()
 	e := newFakeEngineClient(g, 3)
 	h, clock := testHandler(t, e)
-	still := newActiveStream(h, g, "still", 0, 0, 1, 2, 3)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1, 2, 3)
 	newActiveStream(h, g, "moving", 110*time.Millisecond, 1, 2)
 	clock.Advance(140 * time.Millisecond)
-	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.Zero(t, e.asked[g.Servers()[1].Addr()])
 	require.Zero(t, e.asked[g.Servers()[2].Addr()])
 	require.NotZero(t, e.asked[g.Servers()[3].Addr()])
@@ -198,12 +199,12 @@
 	g := twoCopies()
 	e := newFakeEngineClient(g, 1)
 	h, clock := testHandler(t, e)
-	still := newActiveStream(h, g, "still", 0, 0, 1)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1)
 	clock.Advance(140 * time.Millisecond)
 	first := g.Servers()[0]
 	first.Remove()
 	now := backend.NewGroup(g.Service(), g.Servers()[1:])
-	h.watch.diagnose(t.Context(), first, now, []*inflight{still})
+	h.watch.diagnose(t.Context(), first, now, []*inflight{stalled})
 	require.Len(t, e.repairs["still"], 2)
 	require.Equal(t, first.Addr(), e.repairs["still"][0].Addr)
 	require.Equal(t, g.Servers()[3].Addr(), e.repairs["still"][1].Addr)
@@ -224,10 +225,10 @@
 	g := backend.NewGroup(service, servers)
 	e := newFakeEngineClient(g, 2)
 	h, clock := testHandler(t, e)
-	still := newActiveStream(h, g, "still", 0, 0, 1, 2)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1, 2)
 	clock.Advance(140 * time.Millisecond)
 	announceLeaving(servers[1])
-	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.Len(t, e.repairs["still"], 3)
 	require.Equal(t, servers[3].Addr(), e.repairs["still"][1].Addr)
 	require.Equal(t, servers[4].Addr(), e.repairs["still"][2].Addr)
@@ -252,13 +253,13 @@
 	g := twoCopies()
 	e := newFakeEngineClient(g, 1)
 	h, clock := testHandler(t, e)
-	still := newActiveStream(h, g, "still", 0, 0, 1)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1)
 	newActiveStream(h, g, "last", 130*time.Millisecond, 2, 1)
 	clock.Advance(140 * time.Millisecond)
-	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.Empty(t, e.repairs, "the dead server looks healthy")
 	clock.Advance(diagnosePeriod)
-	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.Len(t, e.repairs, 2)
 }
 
@@ -270,12 +271,12 @@
 	e.hanging, e.end = map[string]bool{g.Servers()[1].Addr(): true}, make(chan struct{})
 	t.Cleanup(func() { close(e.end) })
 	h, clock := testHandler(t, e)
-	still := newActiveStream(h, g, "still", 0, 0, 1)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1)
 	clock.Advance(140 * time.Millisecond)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+		h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	}()
 	require.Eventually(t, func() bool {
 		clock.Advance(secondQueryDelay)
@@ -295,12 +296,12 @@
 	g := twoCopies()
 	e := newFakeEngineClient(g)
 	h, clock := testHandler(t, e)
-	still := newActiveStream(h, g, "still", 0, 0, 1)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1)
 	clock.Advance(140 * time.Millisecond)
 	moved := g.Servers()[1]
 	moved.TryQuery(clock.Now())
 	moved.Update(backend.Entry{Layers: models.Layers{First: 0, End: 4}})
-	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.Zero(t, e.asked[moved.Addr()])
 	require.Len(t, e.repairs["still"], 2)
 }
@@ -313,15 +314,15 @@
 	loaded := g.Servers()[1]
 	e.holds[loaded.Addr()] = models.Layers{}
 	h, clock := testHandler(t, e)
-	still := newActiveStream(h, g, "still", 0, 0, 1)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1)
 	clock.Advance(140 * time.Millisecond)
 	loaded.NoteLayers(clock.Now())
-	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.NotZero(t, e.asked[loaded.Addr()])
 	require.Empty(t, e.repairs)
 	require.True(t, loaded.Usable(clock.Now()))
 	clock.Advance(time.Second)
-	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.Len(t, e.repairs["still"], 2, "a report of a second later is newer than the entry")
 }
 
@@ -331,11 +332,11 @@
 	g := twoCopies()
 	e := newFakeEngineClient(g)
 	h, clock := testHandler(t, e)
-	still := newActiveStream(h, g, "still", 0, 0, 1)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1)
 	newActiveStream(h, g, "moving", 130*time.Millisecond, 2, 1)
 	clock.Advance(140 * time.Millisecond)
 	g.Servers()[1].Remove()
-	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.Len(t, e.repairs["still"], 2)
 	require.NotContains(t, e.repairs, "moving", "it is evacuated later")
 }
@@ -356,9 +357,9 @@
 	e := newFakeEngineClient(g, 2)
 	e.reassigned = map[string]bool{servers[1].Addr(): true}
 	h, clock := testHandler(t, e)
-	still := newActiveStream(h, g, "still", 0, 0, 1, 2)
+	stalled := newActiveStream(h, g, "still", 0, 0, 1, 2)
 	clock.Advance(140 * time.Millisecond)
-	h.watch.diagnose(t.Context(), still.first, g, []*inflight{still})
+	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.Len(t, e.repairs["still"], 3)
 	require.NotEqual(t, servers[1].Addr(), e.repairs["still"][1].Addr)
 	require.Equal(t, servers[4].Addr(), e.repairs["still"][2].Addr)
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -56,7 +56,7 @@
 	upstream Upstream
 	holder   string
 	fleet    *follow.FleetView
-	caller   backend.EngineClient
+	engines  backend.EngineClient
 	clock    *timer.Service
 	stats    *metrics.Registry
 	log      *logrus.Logger
@@ -70,11 +70,11 @@
 // New returns a Leader and starts it; it runs until ctx ends or Stop is called. Holder identifies this run of the instance
 // in the lock.
 func New(
-	ctx context.Context, lock Lock, upstream Upstream, holder string, fleet *follow.FleetView, caller backend.EngineClient, clock *timer.Service,
-	stats *metrics.Registry, log *logrus.Logger,
+	ctx context.Context, lock Lock, upstream Upstream, holder string, fleet *follow.FleetView, engines backend.EngineClient,
+	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *Leader {
 	g := &Leader{
-		lock: lock, upstream: upstream, holder: holder, fleet: fleet, caller: caller, clock: clock, stats: stats, log: log,
+		lock: lock, upstream: upstream, holder: holder, fleet: fleet, engines: engines, clock: clock, stats: stats, log: log,
 		stop: make(chan struct{}), done: make(chan struct{}), lease: lease{clock: clock},
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -125,7 +125,7 @@
 	g.clock.Sleep(ctx, time.Duration(rand.Float64()*float64(startJitter)))
 	sentAt := g.clock.Now()
 	take, cancel := context.WithTimeout(ctx, lockTimeout)
-	grant, err := g.lock.Take(take, g.holder, leaseTTL)
+	grant, err := g.lock.Acquire(take, g.holder, leaseTTL)
 	cancel()
 	switch {
 	case errors.Is(err, ErrTaken):
@@ -164,7 +164,7 @@
 	sentAt := g.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
 	defer cancel()
-	err := g.lock.Keep(ctx, g.lease.grant)
+	err := g.lock.Renew(ctx, g.lease.grant)
 	switch {
 	case err == nil:
 		g.lease.renewed(sentAt)
@@ -183,7 +183,7 @@
 	g.stats.Gauge("gives_orders").Update(0)
 	ctx, cancel := context.WithTimeout(context.Background(), lockTimeout)
 	defer cancel()
-	if err := g.lock.End(ctx, g.lease.grant); err != nil {
+	if err := g.lock.Release(ctx, g.lease.grant); err != nil {
 		g.log.WithError(err).Warn("right to give orders not given back, it ends by itself")
 	}
 }
--- a/quarantine/publisher.go
+++ b/quarantine/publisher.go
@@ -27,25 +27,25 @@
 
 // EndStore writes to the store, where all instances read which servers terminated under which requests.
 type EndStore interface {
-	// Tell writes ends, which last for as long as ends count, and removes the records of cleared ones.
-	Tell(ctx context.Context, ends, cleared []End) error
+	// Publish writes ends to the store, which last for as long as ends count, and removes the records of cleared ones.
+	Publish(ctx context.Context, ends, cleared []End) error
 }
 
 // Publisher publishes the ends that a Book learns of: it writes them to the store, where all instances read them.
 type Publisher struct {
-	book     *Book
-	register EndStore
-	clock    *timer.Service
-	stats    *metrics.Registry
-	log      *logrus.Logger
-	wake     chan struct{}
+	book  *Book
+	store EndStore
+	clock *timer.Service
+	stats *metrics.Registry
+	log   *logrus.Logger
+	wake  chan struct{}
 }
 
-// NewPublisher returns a Teller and starts it; it stops when ctx ends.
+// NewPublisher returns a Publisher and starts it; it stops when ctx ends.
 func NewPublisher(
-	ctx context.Context, book *Book, register EndStore, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
+	ctx context.Context, book *Book, store EndStore, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *Publisher {
-	t := &Publisher{book: book, register: register, clock: clock, stats: stats, log: log, wake: make(chan struct{}, 1)}
+	t := &Publisher{book: book, store: store, clock: clock, stats: stats, log: log, wake: make(chan struct{}, 1)}
 	go func() {
 		for {
 			select {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Untold returns ends that could not be published yet, so that other instances can publish them.
-func (t *Publisher) Untold() []End {
+// Unpublished returns ends that could not be published yet, so that other instances can publish them.
+func (t *Publisher) Unpublished() []End {
 	if t.book.Size() == 0 {
 		return nil
 	}
@@ -113,5 +113,5 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	t.stats.Counter("quarantine_tells_total").Inc(1)
-	return t.register.Tell(ctx, ends, cleared)
+	return t.store.Publish(ctx, ends, cleared)
 }
--- a/quarantine/publisher_test.go
+++ b/quarantine/publisher_test.go
@@ -17,7 +17,7 @@
 
 const testTimeout = 30 * time.Second
 
-// fakeStore is a quarantine.Register that fails a given number of times before it accepts anything.
+// fakeStore is a quarantine.EndStore that fails a given number of times before it accepts anything.
 type fakeStore struct {
 	mu       sync.Mutex
 	failures int
@@ -25,8 +25,8 @@
 	cleared  []quarantine.End
 }
 
-// Tell implements quarantine.Register.
-func (r *fakeStore) Tell(_ context.Context, ends, cleared []quarantine.End) error {
+// Publish implements quarantine.EndStore.
+func (r *fakeStore) Publish(_ context.Context, ends, cleared []quarantine.End) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.failures > 0 {
@@ -64,11 +64,11 @@
 	store := &fakeStore{}
 	isolated := quarantine.NewPublisher(t.Context(), isolatedBook, &fakeStore{failures: 1 << 30}, timer.NewReal(), metrics.New(), testlog.New(t))
 	connected := quarantine.NewPublisher(t.Context(), connectedBook, store, timer.NewReal(), metrics.New(), testlog.New(t))
-	require.Empty(t, isolated.Untold())
+	require.Empty(t, isolated.Unpublished())
 	isolatedBook.Confirm(end(request(1), 1, "a"), startTime)
 	isolated.Wake()
-	connected.Adopt(isolated.Untold())
-	connected.Adopt(isolated.Untold())
+	connected.Adopt(isolated.Unpublished())
+	connected.Adopt(isolated.Unpublished())
 	require.Eventually(t, func() bool { ends, _ := store.counts(); return ends == 1 }, testTimeout, 5*time.Millisecond)
 	require.Equal(t, 1, connectedBook.Ends(request(1)))
 }
--- a/retry/windowcounter.go
+++ b/retry/windowcounter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// WindowCounter counts the events in a sliding window. The window is divided into slots of equal length, of which the oldest is dropped
-// as a whole.
+// WindowCounter counts the events in a sliding window. The window is divided into slots of equal length, of which the oldest is
+// dropped as a whole.
 type WindowCounter struct {
 	// slot is the length of a slot.
 	slot time.Duration
@@ -14,7 +14,7 @@
 	slotStart time.Time
 }
 
-// NewWindowCounter returns a Tally over a number of slots of length slot, including the current one.
+// NewWindowCounter returns a WindowCounter over a number of slots of length slot, including the current one.
 func NewWindowCounter(slots int, slot time.Duration) *WindowCounter {
 	return &WindowCounter{slot: slot, counts: make([]int, slots)}
 }
