--- a/app/provide.go
+++ b/app/provide.go
@@ -158,8 +158,8 @@
 	return loop
 }
 
-func newCluster(loop *control.Loop, links *link.Client, settings *config.Settings) *operator.Cluster {
-	return operator.NewCluster(loop, links, settings.Instance.Domain)
+func newCluster(loop *control.Loop, links *link.Client, settings *config.Settings) *operator.StatusCollector {
+	return operator.NewStatusCollector(loop, links, settings.Instance.Domain)
 }
 
 func newLeader(
--- a/bench/config.go
+++ b/bench/config.go
@@ -133,14 +133,14 @@
 }
 
 func (b *configBench) measureSlowKV() error {
-	if err := fleet.Post(b.fleet.KVAddr(), "/faults", standin.Faults{SlowMS: slowKVLatencyMS}); err != nil {
+	if err := fleet.Post(b.fleet.KVAddr(), "/faults", standin.KVFault{SlowMS: slowKVLatencyMS}); err != nil {
 		return err
 	}
 	all, err := b.confirmChanges(configChanges / 3)
 	if err != nil {
 		return err
 	}
-	if err := fleet.Post(b.fleet.KVAddr(), "/faults", standin.Faults{}); err != nil {
+	if err := fleet.Post(b.fleet.KVAddr(), "/faults", standin.KVFault{}); err != nil {
 		return err
 	}
 	return b.printDelays("config_slow_kv_ms", all)
@@ -246,7 +246,7 @@
 	all.Wait()
 	accepted := 0
 	for _, err := range results {
-		var refused *operator.Refused
+		var refused *operator.FailureError
 		switch {
 		case err == nil:
 			accepted++
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -63,7 +63,7 @@
 	defer cancel()
 	accounts := b.fleet.Spec().Accounts
 	next := requests(b.fleet, overloadAnswerTokens)
-	result := load.RunOpen(ctx, rate, func(n int) load.Ask {
+	result := load.RunOpen(ctx, rate, func(n int) load.Request {
 		a := next(n)
 		part := n % (heavyAccountFactor + len(accounts) - 1)
 		a.Key = accounts[max(part-heavyAccountFactor+1, 0)].Key
--- a/bench/pool.go
+++ b/bench/pool.go
@@ -59,20 +59,20 @@
 func answerCheck(spec fleet.Spec) load.Check {
 	m := spec.Models[0]
 	model := standin.NewModel(m.Name, m.Version, m.Layers)
-	return func(a load.Ask, r *load.Reply) bool {
-		text, _, _ := model.Answer(load.PromptText(a.Prompt), a.Limit)
+	return func(a load.Request, r *load.Response) bool {
+		text, _, _ := model.Answer(load.PromptText(a.Prompt), a.MaxTokens)
 		return text == r.Text
 	}
 }
 
 // requests returns a function that makes the n-th request, for an answer of at most limit tokens. It assigns requests to the
 // instances in turn.
-func requests(f *fleet.Fleet, limit int) func(n int) load.Ask {
-	return func(n int) load.Ask {
+func requests(f *fleet.Fleet, limit int) func(n int) load.Request {
+	return func(n int) load.Request {
 		e := f.Entries()[n%len(f.Entries())]
-		return load.Ask{
+		return load.Request{
 			Addr: e.Callers, Key: fleet.KeyCounter, Model: fleet.ModelCounter,
-			Prompt: fmt.Sprintf("question %d about a bundle", n), Limit: limit,
+			Prompt: fmt.Sprintf("question %d about a bundle", n), MaxTokens: limit,
 		}
 	}
 }
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -98,7 +98,7 @@
 	if disturb != nil {
 		go disturb(ctx, f)
 	}
-	result := load.RunClosed(ctx, saturatingCallers, func(n int) load.Ask {
+	result := load.RunClosed(ctx, saturatingCallers, func(n int) load.Request {
 		a := next(n)
 		a.OnToken = func(int) { meter.count(start, window) }
 		return a
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -64,8 +64,8 @@
 // TestAtMostOneRequestHoldsAKey lets several writers claim the same keys concurrently while the service loses calls and answers.
 func TestAtMostOneRequestHoldsAKey(t *testing.T) {
 	for seed := range uint64(8) {
-		keys := standin.NewKeys(time.Now)
-		faulty := standin.NewLocal(keys, seed, 0.15, 0.25)
+		keys := standin.NewKV(time.Now)
+		faulty := standin.NewLocalKV(keys, seed, 0.15, 0.25)
 		const writers, perWriter = 4, 25
 		keepers := make([]*claim.Logs, writers)
 		for w := range keepers {
@@ -142,8 +142,8 @@
 	}
 }
 
-func newKeeper(keys *standin.Keys, writer string) *claim.Logs {
-	return claim.NewLogs(standin.NewLocal(keys, 1, 0, 0), timer.NewReal(), metrics.New(), writer, 1)
+func newKeeper(keys *standin.KV, writer string) *claim.Logs {
+	return claim.NewLogs(standin.NewLocalKV(keys, 1, 0, 0), timer.NewReal(), metrics.New(), writer, 1)
 }
 
 func ask(t *testing.T, k *claim.Logs, c claim.Claim) claim.Verdict {
@@ -153,7 +153,7 @@
 }
 
 func TestRetriesOnOtherInstancesLearnTheOutcome(t *testing.T) {
-	keys := standin.NewKeys(time.Now)
+	keys := standin.NewKV(time.Now)
 	a := newKeeper(keys, "a")
 	first := claim.Claim{Key: "k", BodyHash: 7, Request: "r1"}
 	require.Equal(t, claim.Granted{}, ask(t, a, first))
@@ -166,7 +166,7 @@
 }
 
 func TestAKeyWhoseRequestWasNeverSentIsFreeAgain(t *testing.T) {
-	keys := standin.NewKeys(time.Now)
+	keys := standin.NewKV(time.Now)
 	a := newKeeper(keys, "a")
 	require.Equal(t, claim.Granted{}, ask(t, a, claim.Claim{Key: "k", Request: "r1"}))
 	ask(t, a, claim.Claim{Key: "k", Request: "r1", Void: true})
@@ -174,7 +174,7 @@
 }
 
 func TestClaimsFailWhileTheServiceIsDown(t *testing.T) {
-	down := standin.NewLocal(standin.NewKeys(time.Now), 1, 1, 0)
+	down := standin.NewLocalKV(standin.NewKV(time.Now), 1, 1, 0)
 	k := claim.NewLogs(down, timer.NewReal(), metrics.New(), "a", 1)
 	_, err := k.Submit(t.Context(), claim.Claim{Key: "k", Request: "r"})
 	require.ErrorIs(t, err, claim.ErrUnavailable)
--- a/cmd/jxfake/kv.go
+++ b/cmd/jxfake/kv.go
@@ -12,5 +12,5 @@
 
 // Run serves the key-value service.
 func (c *kvCommand) Run() error {
-	return serve(c.Listen, standin.NewKeyServer(standin.NewKeys(time.Now)).Handler())
+	return serve(c.Listen, standin.NewKVServer(standin.NewKV(time.Now)).Handler())
 }
--- a/cmd/jxfake/list.go
+++ b/cmd/jxfake/list.go
@@ -12,4 +12,4 @@
 }
 
 // Run serves the instance list.
-func (c *listCommand) Run() error { return serve(c.Listen, standin.NewList(c.Lag).Handler()) }
+func (c *listCommand) Run() error { return serve(c.Listen, standin.NewInstanceList(c.Lag).Handler()) }
--- a/control/loop.go
+++ b/control/loop.go
@@ -103,7 +103,7 @@
 	usageCache    *cache[[]modelUsage]
 	index         *view.Index
 	backends      map[string]*backend
-	listed        []member.Listed
+	listed        []member.ListedInstance
 	listedLeaving map[string]bool
 	kvAnswers     uint64
 	demand        map[string]float64
@@ -258,7 +258,7 @@
 	case statusRequested:
 		m.answer <- l.statuses()
 	case listRequested:
-		m.answer <- append([]member.Listed(nil), l.listed...)
+		m.answer <- append([]member.ListedInstance(nil), l.listed...)
 	case serversRequested:
 		m.answer <- l.domainServers()
 	case leaveRequested:
@@ -313,6 +313,6 @@
 }
 
 // Listed returns the platform's instance list as it was last read.
-func (l *Loop) Listed() []member.Listed {
-	return ask(l, func(answer chan []member.Listed) message { return listRequested{answer: answer} })
+func (l *Loop) Listed() []member.ListedInstance {
+	return ask(l, func(answer chan []member.ListedInstance) message { return listRequested{answer: answer} })
 }
--- a/control/messages.go
+++ b/control/messages.go
@@ -33,7 +33,7 @@
 }
 
 // listArrived holds the platform's instance list.
-type listArrived struct{ lines []member.Listed }
+type listArrived struct{ lines []member.ListedInstance }
 
 // configurationChanged notifies that a newer configuration is in force.
 type configurationChanged struct{}
@@ -48,7 +48,7 @@
 type statusRequested struct{ answer chan []InstanceStatus }
 
 // listRequested requests the platform's instance list as it was last read.
-type listRequested struct{ answer chan []member.Listed }
+type listRequested struct{ answer chan []member.ListedInstance }
 
 // serversRequested requests the servers of the domain as planned and as last reported.
 type serversRequested struct{ answer chan serversAnswer }
--- a/control/poll.go
+++ b/control/poll.go
@@ -128,7 +128,7 @@
 	}
 }
 
-func (l *Loop) readList(ctx context.Context) ([]member.Listed, error) {
+func (l *Loop) readList(ctx context.Context) ([]member.ListedInstance, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+l.self.ListAddr+member.PathInstances, http.NoBody)
 	if err != nil {
 		return nil, err
@@ -138,14 +138,14 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	var lines []member.Listed
+	var lines []member.ListedInstance
 	err = json.NewDecoder(resp.Body).Decode(&lines)
 	return lines, err
 }
 
 // handleList stores the platform's list and publishes the servers that it marks as leaving. A server stays marked, even without a
 // line in the list, until the list shows it as not leaving: the mark holds as long as the server's process lives.
-func (l *Loop) handleList(lines []member.Listed) {
+func (l *Loop) handleList(lines []member.ListedInstance) {
 	l.listed = lines
 	l.exchangeWithUnknown()
 	for _, line := range lines {
--- a/demo/answers.go
+++ b/demo/answers.go
@@ -84,8 +84,8 @@
 
 // modelRefusedNotRun checks that a request for a model that the account may not use is refused as not run.
 func modelRefusedNotRun(ctx context.Context, f *fleet.Fleet) (string, error) {
-	r, err := load.NewClient().Stream(ctx, load.Ask{
-		Addr: f.Entries()[2].Callers, Key: fleet.KeyCounter, Model: fleet.ModelQuotes, Prompt: "not mine", Limit: 4,
+	r, err := load.NewClient().Stream(ctx, load.Request{
+		Addr: f.Entries()[2].Callers, Key: fleet.KeyCounter, Model: fleet.ModelQuotes, Prompt: "not mine", MaxTokens: 4,
 	})
 	if err != nil {
 		return "", err
--- a/demo/control.go
+++ b/demo/control.go
@@ -74,7 +74,7 @@
 	accepted := 0
 	reported := false
 	for _, err := range outcomes {
-		var refused *operator.Refused
+		var refused *operator.FailureError
 		switch {
 		case err == nil:
 			accepted++
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -79,9 +79,9 @@
 
 // askCounter sends a request for the model of the account counter to an instance. It returns an error unless the answer is
 // complete and as expected.
-func askCounter(ctx context.Context, f *fleet.Fleet, addr, prompt string, limit int, onToken func(int)) (*load.Reply, error) {
-	r, err := load.NewClient().Stream(ctx, load.Ask{
-		Addr: addr, Key: fleet.KeyCounter, Model: fleet.ModelCounter, Prompt: prompt, Limit: limit, OnToken: onToken,
+func askCounter(ctx context.Context, f *fleet.Fleet, addr, prompt string, limit int, onToken func(int)) (*load.Response, error) {
+	r, err := load.NewClient().Stream(ctx, load.Request{
+		Addr: addr, Key: fleet.KeyCounter, Model: fleet.ModelCounter, Prompt: prompt, MaxTokens: limit, OnToken: onToken,
 	})
 	if err != nil {
 		return r, err
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -71,10 +71,10 @@
 
 // kvDown makes all calls to the key-value service fail and checks that every instance still answers.
 func kvDown(ctx context.Context, f *fleet.Fleet) (string, error) {
-	if err := fleet.Post(f.KVAddr(), "/faults", standin.Faults{Down: true}); err != nil {
+	if err := fleet.Post(f.KVAddr(), "/faults", standin.KVFault{Down: true}); err != nil {
 		return "", err
 	}
-	defer func() { _ = fleet.Post(f.KVAddr(), "/faults", standin.Faults{}) }()
+	defer func() { _ = fleet.Post(f.KVAddr(), "/faults", standin.KVFault{}) }()
 	time.Sleep(time.Second)
 	for i, e := range f.Entries() {
 		if _, err := askCounter(ctx, f, e.Callers, fmt.Sprintf("opening hours %d", i), 20, nil); err != nil {
--- a/entry/service.go
+++ b/entry/service.go
@@ -24,7 +24,7 @@
 	runCtx, cancel := context.WithTimeout(context.Background(), h.requestTimeout)
 	defer cancel()
 	path := "/" + ctx.UserValue("path").(string)
-	repeatable := service.Repeatable(s, string(ctx.Method()), path)
+	repeatable := service.MayRetry(s, string(ctx.Method()), path)
 	key := string(ctx.Request.Header.Peek(models.HeaderIdempotencyKey))
 	if repeatable || key == "" {
 		return h.forwardCall(runCtx, ctx, c, s, path, repeatable)
--- a/fleet/explain_test.go
+++ b/fleet/explain_test.go
@@ -57,7 +57,7 @@
 	requireExplained(t, f, "why", broken.RequestID, "tokens and could not be continued: "+string(broken.Reason))
 	requireExplained(t, f, "why", broken.RequestID, "; on the way: ")
 
-	refused := &load.Reply{}
+	refused := &load.Response{}
 	require.NoError(t, fleet.Eventually(testTimeout, func() error {
 		if refused = send(t, f, nil); refused.Reason != models.ReasonNoPipeline {
 			return errors.Errorf("status %d, reason %s", refused.Status, refused.Reason)
@@ -69,9 +69,9 @@
 }
 
 // send sends a request to the first instance and returns its reply, whatever it is.
-func send(t *testing.T, f *fleet.Fleet, onToken func(int)) *load.Reply {
-	r, err := load.NewClient().Stream(t.Context(), load.Ask{
-		Addr: f.Entries()[0].Callers, Key: fleet.KeyCounter, Model: f.Spec().Models[0].Name, Prompt: "anything", Limit: 30, OnToken: onToken,
+func send(t *testing.T, f *fleet.Fleet, onToken func(int)) *load.Response {
+	r, err := load.NewClient().Stream(t.Context(), load.Request{
+		Addr: f.Entries()[0].Callers, Key: fleet.KeyCounter, Model: f.Spec().Models[0].Name, Prompt: "anything", MaxTokens: 30, OnToken: onToken,
 	})
 	require.NoError(t, err)
 	return r
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -270,14 +270,14 @@
 // SetList replaces the platform's list of instances by all entry instances and engines of the fleet; those named in leaving
 // are marked as leaving.
 func (f *Fleet) SetList(leaving map[string]bool) error {
-	var listed []member.Listed
+	var listed []member.ListedInstance
 	for _, e := range f.entries {
-		listed = append(listed, member.Listed{
+		listed = append(listed, member.ListedInstance{
 			Name: e.Name, Addr: e.advertised, Domain: e.Domain, Role: member.RoleEntry, Leaving: leaving[e.Name],
 		})
 	}
 	for _, e := range f.engines {
-		listed = append(listed, member.Listed{
+		listed = append(listed, member.ListedInstance{
 			Name: e.Name, Addr: e.Addr, Domain: e.Domain, Role: member.RoleBackend, Leaving: leaving[e.Name],
 		})
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -80,11 +80,11 @@
 }
 
 // sendChecked sends one request and returns its reply, checked against the computed answer.
-func sendChecked(t *testing.T, f *fleet.Fleet, e *fleet.Entry, prompt string, onToken func(int)) *load.Reply {
+func sendChecked(t *testing.T, f *fleet.Fleet, e *fleet.Entry, prompt string, onToken func(int)) *load.Response {
 	const limit = 30
 	m := f.Spec().Models[0]
-	r, err := load.NewClient().Stream(t.Context(), load.Ask{
-		Addr: e.Callers, Key: fleet.KeyCounter, Model: m.Name, Prompt: prompt, Limit: limit, OnToken: onToken,
+	r, err := load.NewClient().Stream(t.Context(), load.Request{
+		Addr: e.Callers, Key: fleet.KeyCounter, Model: m.Name, Prompt: prompt, MaxTokens: limit, OnToken: onToken,
 	})
 	require.NoError(t, err)
 	require.Equal(t, 200, r.Status, "%s", r.Reason)
@@ -146,7 +146,7 @@
 func TestAPaymentRunsOnceWhenTheStoreLosesAnswers(t *testing.T) {
 	spec := smallSpec(3, "a", "a")
 	f := startFleet(t, spec)
-	require.NoError(t, fleet.Post(f.KVAddr(), "/faults", standin.Faults{LoseAnswers: 4}))
+	require.NoError(t, fleet.Post(f.KVAddr(), "/faults", standin.KVFault{LoseAnswers: 4}))
 	accepted := map[string]int{}
 	for n := range 12 {
 		key := fmt.Sprint("key-", n/3)
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -34,7 +34,7 @@
 // TestRequestsAvoidAServerAtItsRateLimit sends requests to two servers, one of which names a rate limit in its first answer.
 func TestRequestsAvoidAServerAtItsRateLimit(t *testing.T) {
 	limited := newTestServer(t, "limited", func(c net.Conn, _ int) {
-		_, _ = io.WriteString(c, fake.PlainLimit("0.1"))
+		_, _ = io.WriteString(c, fake.PlainRateLimit("0.1"))
 	})
 	other := newTestServer(t, "other", sealed)
 	s := plainFront(t, retryRoute(), limited, other)
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -108,7 +108,7 @@
 func TestALeaveNoticeInAnyAnswerMarksTheServerAsLeaving(t *testing.T) {
 	for _, status := range []string{"200 OK", "500 Internal Server Error", "503 Service Unavailable", "421 Misdirected Request"} {
 		ts := newTestServer(t, "1", func(c net.Conn, _ int) {
-			_, _ = io.WriteString(c, fake.PlainFarewell(status))
+			_, _ = io.WriteString(c, fake.PlainLeaveNotice(status))
 		})
 		s := plainFront(t, retryRoute(), ts)
 		readStatus(t, callFront(t, s, "one"))
--- a/load/client.go
+++ b/load/client.go
@@ -29,21 +29,21 @@
 	}}}
 }
 
-// Ask is one request for an answer of a model.
-type Ask struct {
+// Request is one request for an answer of a model.
+type Request struct {
 	Addr string
 	// Key is the bearer key of the account.
 	Key    string
 	Model  string
 	Prompt string
-	// Limit is the maximum length of the answer in tokens.
-	Limit int
+	// MaxTokens is the maximum length of the answer in tokens.
+	MaxTokens int
 	// OnToken, if not nil, is called for each token of the answer with the number of tokens before it.
 	OnToken func(n int)
 }
 
-// Reply is the answer to a request, as far as it arrived.
-type Reply struct {
+// Response is the answer to a request, as far as it arrived.
+type Response struct {
 	Text string
 	// Tokens is the number of events with text, each of which carries one token.
 	Tokens int
@@ -65,7 +65,7 @@
 }
 
 // Complete reports whether the answer arrived with its finish reason.
-func (r *Reply) Complete() bool { return r.Finish != "" }
+func (r *Response) Complete() bool { return r.Finish != "" }
 
 // requestBody is the body of a chat completion request.
 type requestBody struct {
@@ -103,9 +103,9 @@
 // Stream sends a request for a streamed answer. It returns an error if the connection failed before or during the answer, or
 // if the response could not be read. The Reply then holds what had arrived until then; it is nil if the request could not be
 // built.
-func (c *Client) Stream(ctx context.Context, a Ask) (*Reply, error) {
+func (c *Client) Stream(ctx context.Context, a Request) (*Response, error) {
 	body, err := json.Marshal(requestBody{
-		Model: a.Model, Messages: []message{{Role: RoleUser, Content: a.Prompt}}, MaxTokens: a.Limit, Stream: true,
+		Model: a.Model, Messages: []message{{Role: RoleUser, Content: a.Prompt}}, MaxTokens: a.MaxTokens, Stream: true,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "load: encode request")
@@ -119,10 +119,10 @@
 	start := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return &Reply{}, errors.Wrap(err, "load: send request")
+		return &Response{}, errors.Wrap(err, "load: send request")
 	}
 	defer resp.Body.Close()
-	r := &Reply{Status: resp.StatusCode, RequestID: resp.Header.Get(models.HeaderRequestID)}
+	r := &Response{Status: resp.StatusCode, RequestID: resp.Header.Get(models.HeaderRequestID)}
 	if resp.StatusCode != http.StatusOK {
 		err = r.readError(resp.Body)
 		return r, err
@@ -133,7 +133,7 @@
 }
 
 // readError reads fate and reason from the body of an error response.
-func (r *Reply) readError(body io.Reader) error {
+func (r *Response) readError(body io.Reader) error {
 	var c chunk
 	if err := json.NewDecoder(io.LimitReader(body, 1<<20)).Decode(&c); err != nil || c.Error == nil {
 		return errors.Errorf("load: status %d without an error body", r.Status)
@@ -143,7 +143,7 @@
 }
 
 // readEvents reads the events of a streamed answer up to its end or its error event.
-func (r *Reply) readEvents(body io.Reader, start time.Time, onToken func(int)) error {
+func (r *Response) readEvents(body io.Reader, start time.Time, onToken func(int)) error {
 	var text strings.Builder
 	defer func() { r.Text = text.String() }()
 	last := start
@@ -188,7 +188,7 @@
 }
 
 // addToken records the arrival of a token, given the times since the request and since the token before it.
-func (r *Reply) addToken(sinceStart, sinceLast time.Duration) {
+func (r *Response) addToken(sinceStart, sinceLast time.Duration) {
 	if r.Tokens == 0 {
 		r.FirstTokenTime = sinceStart
 	} else {
--- a/load/closed.go
+++ b/load/closed.go
@@ -10,8 +10,8 @@
 
 // Outcome is one finished request of a run. Reply and Err are the results of Client.Stream.
 type Outcome struct {
-	Ask   Ask
-	Reply *Reply
+	Ask   Request
+	Reply *Response
 	Err   error
 	// Start is when the request was sent.
 	Start time.Time
@@ -91,11 +91,11 @@
 }
 
 // Check reports whether a complete answer is as expected.
-type Check func(a Ask, r *Reply) bool
+type Check func(a Request, r *Response) bool
 
 // RunClosed runs a closed loop of that many workers until ctx ends: each worker sends a request, waits for its end and sends
 // the next one. next returns the n-th request. RunClosed waits for the requests that are in flight when ctx ends.
-func RunClosed(ctx context.Context, workers int, next func(n int) Ask, check Check) *Result {
+func RunClosed(ctx context.Context, workers int, next func(n int) Request, check Check) *Result {
 	result := &Result{}
 	client := NewClient()
 	numbers := make(chan int)
@@ -123,7 +123,7 @@
 
 // RunOpen runs an open loop until ctx ends: it starts rate requests a second without waiting for earlier ones. next returns
 // the n-th request. RunOpen waits for the requests that are in flight when ctx ends.
-func RunOpen(ctx context.Context, rate float64, next func(n int) Ask, check Check) *Result {
+func RunOpen(ctx context.Context, rate float64, next func(n int) Request, check Check) *Result {
 	result := &Result{}
 	client := NewClient()
 	start := time.Now()
@@ -144,7 +144,7 @@
 const requestTimeout = 60 * time.Second
 
 // run sends one request and checks its answer if it is complete.
-func (c *Client) run(a Ask, check Check) Outcome {
+func (c *Client) run(a Request, check Check) Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	o := Outcome{Ask: a, Start: time.Now()}
--- a/member/listed.go
+++ b/member/listed.go
@@ -12,8 +12,8 @@
 	RoleBackend Role = "backend"
 )
 
-// Listed is one entry of the platform's instance list.
-type Listed struct {
+// ListedInstance is one entry of the platform's instance list.
+type ListedInstance struct {
 	Name    string `json:"name"`
 	Addr    string `json:"addr"`
 	Domain  string `json:"domain"`
--- a/operator/client.go
+++ b/operator/client.go
@@ -30,14 +30,14 @@
 	}}
 }
 
-// Refused is the error for a failure that the instance reported.
-type Refused struct{ failure Failure }
+// FailureError is the error for a failure that the instance reported.
+type FailureError struct{ failure Failure }
 
 // Failure returns the instance's description of the failure.
-func (r *Refused) Failure() Failure { return r.failure }
+func (r *FailureError) Failure() Failure { return r.failure }
 
 // Error returns the message, followed by a line for each problem and, if the call may have taken effect, one that says so.
-func (r *Refused) Error() string {
+func (r *FailureError) Error() string {
 	lines := append([]string{r.failure.Message}, r.failure.Problems...)
 	if !r.failure.Settled {
 		lines = append(lines, "it is not known yet whether this took effect")
@@ -96,5 +96,5 @@
 	if err := json.Unmarshal(resp.Body(), &f); err != nil {
 		return value, errors.Errorf("status %d: %s", resp.StatusCode(), resp.Body())
 	}
-	return value, &Refused{failure: f}
+	return value, &FailureError{failure: f}
 }
--- a/operator/cluster.go
+++ b/operator/cluster.go
@@ -13,22 +13,22 @@
 // statusTimeout bounds the query to one instance.
 const statusTimeout = 1500 * time.Millisecond
 
-// Cluster collects the status of the instances of all failure domains: of its own domain from the control loop, of each other
+// StatusCollector collects the status of the instances of all failure domains: of its own domain from the control loop, of each other
 // domain from one of its instances.
-type Cluster struct {
+type StatusCollector struct {
 	loop   *control.Loop
 	links  *link.Client
 	domain string
 }
 
-// NewCluster returns a Cluster for an instance in the given failure domain.
-func NewCluster(loop *control.Loop, links *link.Client, domain string) *Cluster {
-	return &Cluster{loop: loop, links: links, domain: domain}
+// NewStatusCollector returns a Cluster for an instance in the given failure domain.
+func NewStatusCollector(loop *control.Loop, links *link.Client, domain string) *StatusCollector {
+	return &StatusCollector{loop: loop, links: links, domain: domain}
 }
 
 // Statuses returns the status of every instance that the platform's list or any domain knows, sorted by name. If several domains
 // report an instance, the latest status counts; an instance that only the list knows gets a note.
-func (c *Cluster) Statuses(ctx context.Context) []control.InstanceStatus {
+func (c *StatusCollector) Statuses(ctx context.Context) []control.InstanceStatus {
 	byName := map[string]control.InstanceStatus{}
 	add := func(all []control.InstanceStatus) {
 		for _, s := range all {
@@ -58,7 +58,7 @@
 	return sortedByName(byName)
 }
 
-func (c *Cluster) queryStatuses(ctx context.Context, addr string) ([]control.InstanceStatus, error) {
+func (c *StatusCollector) queryStatuses(ctx context.Context, addr string) ([]control.InstanceStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return link.Call[struct{}, []control.InstanceStatus](ctx, c.links, addr, link.KindStatus, struct{}{})
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -26,13 +26,13 @@
 type Handler struct {
 	store   *revision.Store
 	keeper  *revision.Keeper
-	cluster *Cluster
+	cluster *StatusCollector
 	clock   *timer.Service
 	log     *logrus.Logger
 }
 
 // New returns a Handler that keeps intents and plans in store and writes to log what operators do.
-func New(store *revision.Store, keeper *revision.Keeper, cluster *Cluster, clock *timer.Service, log *logrus.Logger) *Handler {
+func New(store *revision.Store, keeper *revision.Keeper, cluster *StatusCollector, clock *timer.Service, log *logrus.Logger) *Handler {
 	return &Handler{store: store, keeper: keeper, cluster: cluster, clock: clock, log: log}
 }
 
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -20,8 +20,8 @@
 func TestLeaseHasAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
-		keys := standin.NewKeys(clock.Now)
-		faulty := standin.NewLocal(keys, rapid.Uint64().Draw(t, "seed"), 0.2, 0.3)
+		keys := standin.NewKV(clock.Now)
+		faulty := standin.NewLocalKV(keys, rapid.Uint64().Draw(t, "seed"), 0.2, 0.3)
 		leases := []*order.Lease{
 			order.NewLease(faulty, timer.New(clock), "d", "a"), order.NewLease(faulty, timer.New(clock), "d", "b"),
 		}
--- a/revision/revision_test.go
+++ b/revision/revision_test.go
@@ -147,9 +147,9 @@
 // calls and answers.
 func TestConfirmationsUnderLostAnswersAreLinearizable(t *testing.T) {
 	for seed := range uint64(20) {
-		keys := standin.NewKeys(time.Now)
-		reliable := revision.NewStore(standin.NewLocal(keys, seed, 0, 0), timer.NewReal())
-		faulty := standin.NewLocal(keys, seed, 0.2, 0.3)
+		keys := standin.NewKV(time.Now)
+		reliable := revision.NewStore(standin.NewLocalKV(keys, seed, 0, 0), timer.NewReal())
+		faulty := standin.NewLocalKV(keys, seed, 0.2, 0.3)
 		clock := clockwork.NewFakeClock()
 		store := revision.NewStore(faulty, timer.New(clock))
 		var history []porcupine.Event
@@ -214,7 +214,7 @@
 }
 
 func TestAConflictSaysWhatChangedMeanwhile(t *testing.T) {
-	store := revision.NewStore(standin.NewLocal(standin.NewKeys(time.Now), 1, 0, 0), timer.NewReal())
+	store := revision.NewStore(standin.NewLocalKV(standin.NewKV(time.Now), 1, 0, 0), timer.NewReal())
 	head, _, err := store.Head(t.Context())
 	require.NoError(t, err)
 	plans := addPlans(t, store, head, 0)
@@ -232,7 +232,7 @@
 }
 
 func TestHistoryKeepsEveryConfirmation(t *testing.T) {
-	store := revision.NewStore(standin.NewLocal(standin.NewKeys(time.Now), 1, 0, 0), timer.NewReal())
+	store := revision.NewStore(standin.NewLocalKV(standin.NewKV(time.Now), 1, 0, 0), timer.NewReal())
 	const count = 40
 	for i := range count {
 		head, _, err := store.Head(t.Context())
--- a/service/forward.go
+++ b/service/forward.go
@@ -52,9 +52,9 @@
 	return client
 }
 
-// Repeatable reports whether the service's settings allow a retry of the call. The first rule for its method and a prefix of its
+// MayRetry reports whether the service's settings allow a retry of the call. The first rule for its method and a prefix of its
 // path decides; without a rule it must not be retried.
-func Repeatable(s *intent.Service, method, path string) bool {
+func MayRetry(s *intent.Service, method, path string) bool {
 	for _, c := range s.Calls {
 		if c.Method == method && strings.HasPrefix(path, c.Path) {
 			return c.Repeatable
--- a/standin/kv.go
+++ b/standin/kv.go
@@ -15,8 +15,8 @@
 	expires time.Time
 }
 
-// Keys is the in-memory store of the fake key-value service: records with revisions, leases and watches.
-type Keys struct {
+// KV is the in-memory store of the fake key-value service: records with revisions, leases and watches.
+type KV struct {
 	mu       sync.Mutex
 	revision kv.Revision
 	records  map[string]*leasedRecord
@@ -24,13 +24,13 @@
 	now      func() time.Time
 }
 
-// NewKeys returns an empty store that reads the time from now.
-func NewKeys(now func() time.Time) *Keys {
-	return &Keys{records: map[string]*leasedRecord{}, changed: make(chan struct{}), now: now}
+// NewKV returns an empty store that reads the time from now.
+func NewKV(now func() time.Time) *KV {
+	return &KV{records: map[string]*leasedRecord{}, changed: make(chan struct{}), now: now}
 }
 
 // Get returns the record under key, or false if there is none.
-func (k *Keys) Get(key string) (kv.Record, bool) {
+func (k *KV) Get(key string) (kv.Record, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.live(key)
@@ -41,7 +41,7 @@
 }
 
 // List returns the records whose keys begin with prefix, sorted by key.
-func (k *Keys) List(prefix string) []kv.Record {
+func (k *KV) List(prefix string) []kv.Record {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := []kv.Record{}
@@ -58,7 +58,7 @@
 }
 
 // Write stores a value if the record has the expected revision (zero: there is no record), and reports whether it did.
-func (k *Keys) Write(put kv.Put) (kv.Record, bool) {
+func (k *KV) Write(put kv.Put) (kv.Record, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.live(put.Key)
@@ -83,7 +83,7 @@
 }
 
 // Delete removes a record if it has the expected revision, and reports whether it did.
-func (k *Keys) Delete(key string, expect kv.Revision) bool {
+func (k *KV) Delete(key string, expect kv.Revision) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.live(key)
@@ -97,7 +97,7 @@
 }
 
 // Wait blocks until the record has a higher revision than after and returns it, or returns false when limit fires.
-func (k *Keys) Wait(key string, after kv.Revision, limit <-chan time.Time) (kv.Record, bool) {
+func (k *KV) Wait(key string, after kv.Revision, limit <-chan time.Time) (kv.Record, bool) {
 	for {
 		k.mu.Lock()
 		s := k.live(key)
@@ -115,7 +115,7 @@
 }
 
 // live returns the record under key, or nil if there is none or its lease has expired; k.mu must be held.
-func (k *Keys) live(key string) *leasedRecord {
+func (k *KV) live(key string) *leasedRecord {
 	s := k.records[key]
 	if s == nil {
 		return nil
@@ -127,7 +127,7 @@
 	return s
 }
 
-func (k *Keys) wake() {
+func (k *KV) wake() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
--- a/standin/kvserver.go
+++ b/standin/kvserver.go
@@ -11,8 +11,8 @@
 	"junctioncross/kv"
 )
 
-// Faults holds the faults of the fake key-value service.
-type Faults struct {
+// KVFault holds the faults of the fake key-value service.
+type KVFault struct {
 	// Down makes every call fail without effect.
 	Down bool `json:"down"`
 	// SlowMS delays every call, in milliseconds.
@@ -25,18 +25,18 @@
 
 // KVServer serves the HTTP calls of the fake key-value service.
 type KVServer struct {
-	keys          *Keys
-	faults        atomic.Pointer[Faults]
+	keys          *KV
+	faults        atomic.Pointer[KVFault]
 	answersToLose atomic.Int64
 	currentSecond atomic.Int64
 	callsInSecond atomic.Int64
 	totalCalls    atomic.Int64
 }
 
-// NewKeyServer returns a server of the records in keys, without faults.
-func NewKeyServer(keys *Keys) *KVServer {
+// NewKVServer returns a server of the records in keys, without faults.
+func NewKVServer(keys *KV) *KVServer {
 	s := &KVServer{keys: keys}
-	s.faults.Store(&Faults{})
+	s.faults.Store(&KVFault{})
 	return s
 }
 
@@ -54,7 +54,7 @@
 }
 
 func (s *KVServer) setFaults(ctx *fasthttp.RequestCtx) {
-	var f Faults
+	var f KVFault
 	if err := json.Unmarshal(ctx.PostBody(), &f); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
--- a/standin/local.go
+++ b/standin/local.go
@@ -8,9 +8,9 @@
 	"junctioncross/kv"
 )
 
-// Local is a kv.Store that calls Keys without a network and fails at random, repeatably for the same seed.
-type Local struct {
-	keys *Keys
+// LocalKV is a kv.Store that calls Keys without a network and fails at random, repeatably for the same seed.
+type LocalKV struct {
+	keys *KV
 
 	mu     sync.Mutex
 	random *rand.Rand
@@ -20,27 +20,27 @@
 	loseChance float64
 }
 
-// NewLocal returns a Local over keys; fail and lose are the probabilities that a call or its response is lost.
-func NewLocal(keys *Keys, seed uint64, fail, lose float64) *Local {
-	return &Local{keys: keys, random: rand.New(rand.NewPCG(seed, seed)), failChance: fail, loseChance: lose}
+// NewLocalKV returns a Local over keys; fail and lose are the probabilities that a call or its response is lost.
+func NewLocalKV(keys *KV, seed uint64, fail, lose float64) *LocalKV {
+	return &LocalKV{keys: keys, random: rand.New(rand.NewPCG(seed, seed)), failChance: fail, loseChance: lose}
 }
 
 // Heal ends the faults: no later call fails.
-func (l *Local) Heal() {
+func (l *LocalKV) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failChance, l.loseChance = 0, 0
 }
 
 // drawFaults decides at random whether the next call and its response are lost.
-func (l *Local) drawFaults() (failed, lost bool) {
+func (l *LocalKV) drawFaults() (failed, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.random.Float64() < l.failChance, l.random.Float64() < l.loseChance
 }
 
 // Get implements kv.Store.
-func (l *Local) Get(_ context.Context, key string) (kv.Record, error) {
+func (l *LocalKV) Get(_ context.Context, key string) (kv.Record, error) {
 	if failed, lost := l.drawFaults(); failed || lost {
 		return kv.Record{}, kv.ErrUnavailable
 	}
@@ -52,7 +52,7 @@
 }
 
 // List implements kv.Store.
-func (l *Local) List(_ context.Context, prefix string) ([]kv.Record, error) {
+func (l *LocalKV) List(_ context.Context, prefix string) ([]kv.Record, error) {
 	if failed, lost := l.drawFaults(); failed || lost {
 		return nil, kv.ErrUnavailable
 	}
@@ -60,7 +60,7 @@
 }
 
 // Write implements kv.Store.
-func (l *Local) Write(_ context.Context, put kv.Put) (kv.Revision, error) {
+func (l *LocalKV) Write(_ context.Context, put kv.Put) (kv.Revision, error) {
 	failed, lost := l.drawFaults()
 	if failed {
 		return 0, kv.ErrUnavailable
@@ -77,7 +77,7 @@
 }
 
 // Delete implements kv.Store.
-func (l *Local) Delete(_ context.Context, key string, expect kv.Revision) error {
+func (l *LocalKV) Delete(_ context.Context, key string, expect kv.Revision) error {
 	failed, lost := l.drawFaults()
 	if failed {
 		return kv.ErrUnavailable
@@ -94,7 +94,7 @@
 }
 
 // Wait implements kv.Store.
-func (l *Local) Wait(ctx context.Context, key string, after kv.Revision) (kv.Record, error) {
+func (l *LocalKV) Wait(ctx context.Context, key string, after kv.Revision) (kv.Record, error) {
 	if failed, lost := l.drawFaults(); failed || lost {
 		return kv.Record{}, kv.ErrUnavailable
 	}
