--- a/app/hosted.go
+++ b/app/hosted.go
@@ -14,7 +14,6 @@
 	"junctioncross/backend"
 	"junctioncross/call"
 	"junctioncross/catalog"
-	"junctioncross/census"
 	"junctioncross/chart"
 	"junctioncross/config"
 	"junctioncross/decision"
@@ -24,6 +23,7 @@
 	"junctioncross/keys"
 	"junctioncross/leader"
 	"junctioncross/link"
+	"junctioncross/membership"
 	"junctioncross/metrics"
 	"junctioncross/platform"
 	"junctioncross/quarantine"
@@ -55,21 +55,21 @@
 type hosted struct {
 	dig.In
 
-	Settings *config.Hosted
-	Front    *front.Server
-	Handler  *forward.Handler
-	Loop     *follow.Loop
-	Leader   *leader.Leader
-	Census   *census.Census
-	Registry *relay.Registry
-	Relay    *relay.Source
-	Links    *link.Client
-	Trust    link.Trust
-	Stats    *metrics.Registry
-	Checks   *checks
-	Queue    *decision.Queue
-	Clock    *timer.Service
-	Log      *logrus.Logger
+	Settings   *config.Hosted
+	Front      *front.Server
+	Handler    *forward.Handler
+	Loop       *follow.Loop
+	Leader     *leader.Leader
+	Membership *membership.Membership
+	Registry   *relay.Registry
+	Relay      *relay.Source
+	Links      *link.Client
+	Trust      link.Trust
+	Stats      *metrics.Registry
+	Checks     *checks
+	Queue      *decision.Queue
+	Clock      *timer.Service
+	Log        *logrus.Logger
 }
 
 // Reload carries new settings, or the reason why they cannot be used.
@@ -114,16 +114,16 @@
 		func(s *relay.Source) follow.Source { return s },
 		func(s *relay.Source) leader.Upstream { return s },
 		func(s *platform.Store) leader.Lock { return platform.NewLeaderLock(s) },
-		func(b *census.View) forward.Instances { return b },
-		func(b *census.View) relay.Fleet { return b },
+		func(b *membership.View) forward.Instances { return b },
+		func(b *membership.View) relay.Fleet { return b },
 		func(b *follow.FleetView) relay.SharedReports { return b },
 		func(t *quarantine.Publisher) relay.Ends { return t },
 		func(t *quarantine.Publisher) forward.EndPublisher { return t },
 		newQuarantineBook, newEndStore, quarantine.NewPublisher,
-		func(b *census.View) link.Trust { return keys.NewFleetKeyFrom(b.Key) },
+		func(b *membership.View) link.Trust { return keys.NewFleetKeyFrom(b.Key) },
 		func(clock *timer.Service) backend.EngineClient { return platform.NewEngineClient(clock) },
 		timer.NewSuspendable, metrics.New, follow.NewFleetView, follow.New, newStdoutQueue, newHostedLog, decision.NewRecorder,
-		forwardSettings, forward.New, newFront, newOrderLeader, newChecks, newMembershipView, newRegistry, newCensus, relaySelf,
+		forwardSettings, forward.New, newFront, newOrderLeader, newChecks, newMembershipView, newRegistry, newMembership, relaySelf,
 		relay.New, link.NewClient,
 	)
 }
@@ -171,19 +171,19 @@
 	return front.New(codec, handler, limits, maxConnections, clock, stats)
 }
 
-func newMembershipView(settings *config.Hosted) *census.View {
-	return census.NewView(settings.Relays.From)
+func newMembershipView(settings *config.Hosted) *membership.View {
+	return membership.NewView(settings.Relays.From)
 }
 
-func newCensus(
-	ctx context.Context, settings *config.Hosted, membership *census.View, registry *relay.Registry, clock *timer.Service,
+func newMembership(
+	ctx context.Context, settings *config.Hosted, view *membership.View, registry *relay.Registry, clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
-) *census.Census {
-	self := census.Instance{
+) *membership.Membership {
+	self := membership.Instance{
 		Name: settings.Instance.Name, Domain: settings.Instance.Domain, Addr: settings.Listen.Peers, Power: settings.Instance.Power,
 	}
 	newKey := func() ([]byte, error) { return keys.NewFleetKey(clock.Now()) }
-	return census.New(ctx, membership, registry, self, newKey, clock, stats, log)
+	return membership.New(ctx, view, registry, self, newKey, clock, stats, log)
 }
 
 func relaySelf(settings *config.Hosted) relay.Self {
--- a/capacity/hosted.go
+++ b/capacity/hosted.go
@@ -35,7 +35,7 @@
 	)
 	rows = append(rows, b.fleetRows()...)
 	return Role{
-		name: "Instance of jxd serve (one relay in each domain)", mechanism: "relay, follow, census, forward", rows: rows,
+		name: "Instance of jxd serve (one relay in each domain)", mechanism: "relay, follow, membership, forward", rows: rows,
 		twice: "from 985 instances on: the relay's answers in steady state, 2.5 to 5 a second for each instance of its domain, and changes of" +
 			" servers, which go to every instance; expected near 400 followers of a relay with 0.8 of two cores, not measured. The rows of the" +
 			" sweep are of the code before records were compressed.",
--- a/cmd/jxctl/why.go
+++ b/cmd/jxctl/why.go
@@ -7,7 +7,7 @@
 
 	"github.com/pkg/errors"
 
-	"junctioncross/story"
+	"junctioncross/explain"
 )
 
 // logFiles are the log files that a command reads.
@@ -16,18 +16,18 @@
 }
 
 // read returns the lines of all log files; it reports to standard error how many were skipped.
-func (f *logFiles) read() ([]story.Line, error) {
+func (f *logFiles) read() ([]explain.Line, error) {
 	if len(f.Logs) == 0 {
-		lines, _, err := story.Read(os.Stdin)
+		lines, _, err := explain.Read(os.Stdin)
 		return lines, err
 	}
-	var all []story.Line
+	var all []explain.Line
 	for _, name := range f.Logs {
 		file, err := os.Open(name)
 		if err != nil {
 			return nil, errors.Wrap(err, "jxctl: open log")
 		}
-		lines, skipped, err := story.Read(file)
+		lines, skipped, err := explain.Read(file)
 		_ = file.Close()
 		if err != nil {
 			return nil, err
@@ -41,7 +41,7 @@
 }
 
 // printMatches reads the logs and has write print the lines on one request or instance; it fails if there are none.
-func (f *logFiles) printMatches(write func(out io.Writer, lines []story.Line, name string) bool, kind, name string) error {
+func (f *logFiles) printMatches(write func(out io.Writer, lines []explain.Line, name string) bool, kind, name string) error {
 	lines, err := f.read()
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 }
 
 // Run prints what happened to one request, and why.
-func (c *whyCommand) Run() error { return c.printMatches(story.Why, "request", c.Request) }
+func (c *whyCommand) Run() error { return c.printMatches(explain.Why, "request", c.Request) }
 
 type timelineCommand struct {
 	Instance string `arg:"" help:"Name of the instance."`
@@ -66,4 +66,6 @@
 }
 
 // Run prints the log lines of an instance that belong to no request: what it did and what it knew of the fleet.
-func (c *timelineCommand) Run() error { return c.printMatches(story.Timeline, "instance", c.Instance) }
+func (c *timelineCommand) Run() error {
+	return c.printMatches(explain.Timeline, "instance", c.Instance)
+}
--- a/story/story_test.go
+++ b/explain/explain_test.go
@@ -1,4 +1,4 @@
-package story_test
+package explain_test
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/story"
+	"junctioncross/explain"
 )
 
 const log = `  12.5000 east-1 {"instance":"east-1","msg":"sent","request":"r1","path":"s1[0,4) s2[4,8)","server":"s1","time":"2026-01-01T00:00:01Z","attempt":1}
@@ -23,11 +23,11 @@
 `
 
 func why(t *testing.T, request string) string {
-	lines, skipped, err := story.Read(strings.NewReader(log))
+	lines, skipped, err := explain.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	require.Equal(t, 1, skipped)
 	var out strings.Builder
-	require.True(t, story.Why(&out, lines, request))
+	require.True(t, explain.Why(&out, lines, request))
 	return out.String()
 }
 
@@ -46,26 +46,26 @@
 }
 
 func TestWhyReportsARequestWithoutLines(t *testing.T) {
-	lines, _, err := story.Read(strings.NewReader(log))
+	lines, _, err := explain.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	var out strings.Builder
-	require.False(t, story.Why(&out, lines, "r9"))
+	require.False(t, explain.Why(&out, lines, "r9"))
 }
 
 func TestTimelineOmitsLinesAboutRequests(t *testing.T) {
-	lines, _, err := story.Read(strings.NewReader(log))
+	lines, _, err := explain.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	var out strings.Builder
-	require.True(t, story.Timeline(&out, lines, "west-1"))
+	require.True(t, explain.Timeline(&out, lines, "west-1"))
 	require.Equal(t, 1, strings.Count(out.String(), "\n"))
 }
 
 // cause returns the sentence on the cause that Why prints for a request of a log.
 func cause(t *testing.T, log, request string) string {
-	lines, _, err := story.Read(strings.NewReader(log))
+	lines, _, err := explain.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	var out strings.Builder
-	require.True(t, story.Why(&out, lines, request))
+	require.True(t, explain.Why(&out, lines, request))
 	_, sentence, _ := strings.Cut(out.String(), "cause: ")
 	return strings.TrimSpace(sentence)
 }
@@ -116,10 +116,10 @@
 {"instance":"i","msg":"path regained","request":"q","service":"s","spell_ms":700,"time":"2026-01-01T00:00:01Z"}
 {"instance":"i","msg":"lanes","request":"","service":"other","own_domain":3,"time":"2026-01-01T00:00:01Z"}
 ` + line("2", `"msg":"refused","service":"s","reason":"no_room"`)
-	lines, _, err := story.Read(strings.NewReader(log))
+	lines, _, err := explain.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	var out strings.Builder
-	require.True(t, story.Why(&out, lines, "r"))
+	require.True(t, explain.Why(&out, lines, "r"))
 	require.Contains(t, out.String(), "lanes own_domain=0")
 	require.Contains(t, out.String(), "path regained")
 	require.NotContains(t, out.String(), "own_domain=3")
@@ -139,10 +139,10 @@
 {"instance":"i","msg":"server gone","server":"s12","time":"2026-01-01T00:00:01Z"}
 {"instance":"i","msg":"stopping","time":"2026-01-01T00:00:01Z"}
 ` + line("1", `"msg":"sent","server":"s12","path":"s12[0,4) s3[4,8)"`) + line("2", `"msg":"broken off"`)
-	lines, _, err := story.Read(strings.NewReader(log))
+	lines, _, err := explain.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	var out strings.Builder
-	require.True(t, story.Why(&out, lines, "r"))
+	require.True(t, explain.Why(&out, lines, "r"))
 	require.Contains(t, out.String(), "server gone server=s12\n")
 	require.NotContains(t, out.String(), "server=s1\n")
 	require.NotContains(t, out.String(), "stopping")
--- a/story/line.go
+++ b/explain/line.go
@@ -1,4 +1,4 @@
-package story
+package explain
 
 import (
 	"bufio"
--- a/census/census.go
+++ b/membership/membership.go
@@ -1,4 +1,4 @@
-package census
+package membership
 
 import (
 	"context"
@@ -101,8 +101,8 @@
 	EnsureKey(ctx context.Context, key []byte) ([]byte, error)
 }
 
-// Census counts the instances of the fleet and maintains the registration record of its own instance.
-type Census struct {
+// Membership counts the instances of the fleet and maintains the registration record of its own instance.
+type Membership struct {
 	*View
 	registry Registry
 	self     Instance
@@ -127,8 +127,8 @@
 func New(
 	ctx context.Context, view *View, registry Registry, self Instance, newKey func() ([]byte, error), clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
-) *Census {
-	c := &Census{View: view, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
+) *Membership {
+	c := &Membership{View: view, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
 	go func() {
 		c.startUp(ctx)
 		for ctx.Err() == nil {
@@ -140,7 +140,7 @@
 
 // startUp reads the records. An instance that joins a running fleet knows at once which instances to poll. Among instances
 // that find no records the strongest register first, and the others read once more before they do.
-func (c *Census) startUp(ctx context.Context) {
+func (c *Membership) startUp(ctx context.Context) {
 	for !c.refresh(ctx) && c.clock.Sleep(ctx, halfJitter(firstCountRetryDelay)) {
 		continue
 	}
@@ -174,7 +174,7 @@
 
 // adoptRecord takes over the record that an earlier process of this instance has left, if its content is the same. Renewing
 // a record costs a twentieth of the calls that writing a new one does, for each instance that restarts.
-func (c *Census) adoptRecord() {
+func (c *Membership) adoptRecord() {
 	for _, r := range c.snapshot.Records {
 		if r.Instance == c.self {
 			c.lease = r.Lease
@@ -183,7 +183,7 @@
 }
 
 // step joins, renews the record or reads the records, and returns the delay until the next step.
-func (c *Census) step(ctx context.Context) time.Duration {
+func (c *Membership) step(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if c.lease == 0 {
@@ -210,7 +210,7 @@
 }
 
 // trackCount updates the number of reads in a row that have found the same number of instances.
-func (c *Census) trackCount() {
+func (c *Membership) trackCount() {
 	if n := c.Instances(); n != c.count {
 		c.count, c.sameCounts = n, 0
 		return
@@ -220,7 +220,7 @@
 
 // nextReadDelay returns the delay until an instance with a record reads again. Shared limits are divided by the number of
 // instances, so that a number that was read while others were still joining must soon be corrected.
-func (c *Census) nextReadDelay() time.Duration {
+func (c *Membership) nextReadDelay() time.Duration {
 	switch {
 	case c.sameCounts == 0 && c.count == AssumedInstances, c.sameCounts == 1 && c.count != AssumedInstances:
 		return recountDelay
@@ -233,14 +233,14 @@
 
 // nextReadDelayWithoutRecord returns the longest delay until an instance without a record reads again. While the number
 // of instances changes or is unknown, its list may lack the relay of its domain, so that no relay counts the instance.
-func (c *Census) nextReadDelayWithoutRecord() time.Duration {
+func (c *Membership) nextReadDelayWithoutRecord() time.Duration {
 	if c.sameCounts == 0 || c.count == AssumedInstances {
 		return recountDelay
 	}
 	return countInterval
 }
 
-func (c *Census) join(ctx context.Context, slot Slot) time.Duration {
+func (c *Membership) join(ctx context.Context, slot Slot) time.Duration {
 	lease, err := c.registry.Join(ctx, c.self, slot, recordTTL)
 	switch {
 	case errors.Is(err, ErrTaken):
@@ -257,7 +257,7 @@
 }
 
 // renew renews the record; if that fails, it returns the delay until the next step and false.
-func (c *Census) renew(ctx context.Context) (time.Duration, bool) {
+func (c *Membership) renew(ctx context.Context) (time.Duration, bool) {
 	err := c.registry.Renew(ctx, c.lease)
 	switch {
 	case errors.Is(err, ErrExpired):
@@ -273,12 +273,12 @@
 }
 
 // chooseSlot returns the slot to write the own record to, and false if this instance needs no record.
-func (c *Census) chooseSlot() (Slot, bool) {
+func (c *Membership) chooseSlot() (Slot, bool) {
 	return chooseSlot(c.snapshot.Records, c.self, c.relayThreshold, rand.IntN)
 }
 
 // refresh reads the records, publishes them, and reports whether that succeeded.
-func (c *Census) refresh(ctx context.Context) bool {
+func (c *Membership) refresh(ctx context.Context) bool {
 	if !c.list(ctx) {
 		return false
 	}
@@ -290,7 +290,7 @@
 }
 
 // list reads the records and reports whether that succeeded.
-func (c *Census) list(ctx context.Context) bool {
+func (c *Membership) list(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	snapshot, err := c.registry.List(ctx)
@@ -313,7 +313,7 @@
 
 // publish updates the view from the last snapshot. Instances that start together must not publish the first few records,
 // which look like the whole of a small fleet.
-func (c *Census) publish() {
+func (c *Membership) publish() {
 	snapshot := c.snapshot
 	before, after := c.setSnapshot(&snapshot)
 	c.stats.Gauge("instances_counted").Update(int64(c.Instances()))
@@ -325,7 +325,7 @@
 
 // checkReplaced abandons the own record after it has been missing from the list for replacedAfter: another instance has
 // replaced it.
-func (c *Census) checkReplaced(records []Record) {
+func (c *Membership) checkReplaced(records []Record) {
 	listed := c.lease == 0 || slices.ContainsFunc(records, func(r Record) bool { return r.Name == c.self.Name })
 	switch now := c.clock.Now(); {
 	case listed:
@@ -340,7 +340,7 @@
 
 // ensureKey creates the fleet key if there is none and this instance has the lowest name of those with a record; the other
 // instances find the key at their next read.
-func (c *Census) ensureKey(ctx context.Context) {
+func (c *Membership) ensureKey(ctx context.Context) {
 	if len(c.snapshot.Key) > 0 || c.lease == 0 {
 		return
 	}
--- a/census/census_test.go
+++ b/membership/membership_test.go
@@ -1,4 +1,4 @@
-package census_test
+package membership_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/census"
+	"junctioncross/membership"
 	"junctioncross/metrics"
 	"junctioncross/timer"
 )
@@ -24,10 +24,10 @@
 	relayThreshold = 24
 )
 
-// fakeRegistry is a census.Registry in memory.
+// fakeRegistry is a membership.Registry in memory.
 type fakeRegistry struct {
 	mu          sync.Mutex
-	members     map[int64]census.Instance
+	members     map[int64]membership.Instance
 	key         []byte
 	next        int64
 	keysWritten int
@@ -51,8 +51,8 @@
 	return r.next
 }
 
-// Join implements census.Registry.
-func (r *fakeRegistry) Join(_ context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
+// Join implements membership.Registry.
+func (r *fakeRegistry) Join(_ context.Context, self membership.Instance, slot membership.Slot, _ time.Duration) (int64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var there int64
@@ -62,7 +62,7 @@
 		}
 	}
 	if there != slot.Revision {
-		return 0, census.ErrTaken
+		return 0, membership.ErrTaken
 	}
 	delete(r.members, there)
 	r.next++
@@ -74,12 +74,12 @@
 	return r.next, nil
 }
 
-// Renew implements census.Registry.
+// Renew implements membership.Registry.
 func (r *fakeRegistry) Renew(_ context.Context, lease int64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, ok := r.members[lease]; !ok {
-		return census.ErrExpired
+		return membership.ErrExpired
 	}
 	if r.renewed == nil {
 		r.renewed = map[int64]int{}
@@ -88,22 +88,22 @@
 	return nil
 }
 
-// List implements census.Registry.
-func (r *fakeRegistry) List(context.Context) (census.Snapshot, error) {
+// List implements membership.Registry.
+func (r *fakeRegistry) List(context.Context) (membership.Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
-		return census.Snapshot{}, errors.New("down")
+		return membership.Snapshot{}, errors.New("down")
 	}
-	snapshot := census.Snapshot{Key: r.key}
+	snapshot := membership.Snapshot{Key: r.key}
 	for lease, m := range r.members {
-		slot := census.Slot{Number: r.slots[lease], Revision: lease}
-		snapshot.Records = append(snapshot.Records, census.Record{Instance: m, Slot: slot, Lease: lease})
+		slot := membership.Slot{Number: r.slots[lease], Revision: lease}
+		snapshot.Records = append(snapshot.Records, membership.Record{Instance: m, Slot: slot, Lease: lease})
 	}
 	return snapshot, nil
 }
 
-// EnsureKey implements census.Registry.
+// EnsureKey implements membership.Registry.
 func (r *fakeRegistry) EnsureKey(_ context.Context, key []byte) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,26 +114,26 @@
 	return r.key, nil
 }
 
-func start(t *testing.T, r *fakeRegistry, n int) []*census.Census {
+func start(t *testing.T, r *fakeRegistry, n int) []*membership.Membership {
 	return startAt(t, r, n, timer.NewReal())
 }
 
-func startAt(t *testing.T, r *fakeRegistry, n int, clock *timer.Service) []*census.Census {
+func startAt(t *testing.T, r *fakeRegistry, n int, clock *timer.Service) []*membership.Membership {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	out := make([]*census.Census, n)
+	out := make([]*membership.Membership, n)
 	for i := range out {
-		self := census.Instance{Name: fmt.Sprint("i-", i), Domain: "east", Addr: fmt.Sprint("addr-", i)}
+		self := membership.Instance{Name: fmt.Sprint("i-", i), Domain: "east", Addr: fmt.Sprint("addr-", i)}
 		newKey := func() ([]byte, error) { return []byte(self.Name), nil }
-		out[i] = census.New(t.Context(), census.NewView(relayThreshold), r, self, newKey, clock, metrics.New(), log)
+		out[i] = membership.New(t.Context(), membership.NewView(relayThreshold), r, self, newKey, clock, metrics.New(), log)
 	}
 	return out
 }
 
 func TestInstancesAgreeOnCountAndFleetKey(t *testing.T) {
-	r := &fakeRegistry{members: map[int64]census.Instance{}}
+	r := &fakeRegistry{members: map[int64]membership.Instance{}}
 	all := start(t, r, 4)
-	require.Equal(t, census.AssumedInstances, all[0].Instances(), "no instance may assume that it is alone before its first read")
+	require.Equal(t, membership.AssumedInstances, all[0].Instances(), "no instance may assume that it is alone before its first read")
 	for _, c := range all {
 		require.Eventually(t, func() bool { return c.Instances() == 4 && len(c.Key()) > 0 }, timeout, 20*time.Millisecond)
 		require.Equal(t, all[0].Key(), c.Key())
@@ -142,7 +142,7 @@
 }
 
 func TestLateInstanceKnowsTheOthersAtOnce(t *testing.T) {
-	r := &fakeRegistry{members: map[int64]census.Instance{1: {Name: "old"}, 2: {Name: "older"}}, next: 2, key: []byte("k")}
+	r := &fakeRegistry{members: map[int64]membership.Instance{1: {Name: "old"}, 2: {Name: "older"}}, next: 2, key: []byte("k")}
 	late := start(t, r, 1)[0]
 	require.Eventually(t, func() bool { return len(late.Members()) >= 2 && string(late.Key()) == "k" }, timeout, time.Millisecond)
 }
@@ -156,7 +156,7 @@
 		soon   = time.Second
 		step   = 10 * time.Millisecond
 	)
-	r := &fakeRegistry{members: map[int64]census.Instance{1: {Name: "old"}}, next: 1, key: []byte("k"), down: true}
+	r := &fakeRegistry{members: map[int64]membership.Instance{1: {Name: "old"}}, next: 1, key: []byte("k"), down: true}
 	fake := clockwork.NewFakeClock()
 	one := startAt(t, r, 1, timer.New(fake))[0]
 	pass := func(d time.Duration) {
@@ -179,7 +179,7 @@
 // TestRestartedInstanceKeepsItsRecord restarts an instance before its record has expired, as happens when the whole fleet
 // restarts: writing a new record costs twenty times the calls of renewing the old one.
 func TestRestartedInstanceKeepsItsRecord(t *testing.T) {
-	r := &fakeRegistry{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "addr-0"}}, next: 7, key: []byte("k")}
+	r := &fakeRegistry{members: map[int64]membership.Instance{7: {Name: "i-0", Domain: "east", Addr: "addr-0"}}, next: 7, key: []byte("k")}
 	start(t, r, 1)
 	require.Eventually(t, func() bool { return r.renewals(7) > 0 }, timeout, time.Millisecond)
 	require.Equal(t, int64(7), r.newest())
@@ -187,7 +187,7 @@
 
 // TestInstanceAtANewAddressWritesANewRecord starts an instance whose record holds an address that is no longer its own.
 func TestInstanceAtANewAddressWritesANewRecord(t *testing.T) {
-	r := &fakeRegistry{members: map[int64]census.Instance{7: {Name: "i-0", Domain: "east", Addr: "former"}}, next: 7, key: []byte("k")}
+	r := &fakeRegistry{members: map[int64]membership.Instance{7: {Name: "i-0", Domain: "east", Addr: "former"}}, next: 7, key: []byte("k")}
 	start(t, r, 1)
 	require.Eventually(t, func() bool { return r.newest() == 8 }, timeout, time.Millisecond)
 	require.Zero(t, r.renewals(7))
@@ -197,7 +197,7 @@
 // that knew only the first few records would take the fleet for one too small for relays.
 func TestInstancesStartingTogetherDoNotPublishTheFirstRecords(t *testing.T) {
 	const fleet = 40
-	r := &fakeRegistry{members: map[int64]census.Instance{}}
+	r := &fakeRegistry{members: map[int64]membership.Instance{}}
 	for _, c := range start(t, r, fleet) {
 		require.Eventually(t, func() bool { return len(c.Members()) > 0 }, timeout, time.Millisecond)
 		require.GreaterOrEqual(t, len(c.Members()), relayThreshold)
@@ -206,7 +206,7 @@
 
 // TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted starts the largest fleet in which every instance has a record.
 func TestEveryInstanceOfAFleetBelowTheRelayThresholdIsCounted(t *testing.T) {
-	r := &fakeRegistry{members: map[int64]census.Instance{}}
+	r := &fakeRegistry{members: map[int64]membership.Instance{}}
 	for _, c := range start(t, r, relayThreshold-1) {
 		require.Eventually(t, func() bool { return len(c.Members()) == relayThreshold-1 && c.Instances() == relayThreshold-1 }, timeout, time.Millisecond)
 	}
--- a/census/slot.go
+++ b/membership/slot.go
@@ -1,4 +1,4 @@
-package census
+package membership
 
 const (
 	// relayCandidates is the least number of instances of a domain that have records: its relay and those that can take over
--- a/census/slot_test.go
+++ b/membership/slot_test.go
@@ -1,4 +1,4 @@
-package census
+package membership
 
 import (
 	"fmt"
--- a/relay/fleetstart_test.go
+++ b/relay/fleetstart_test.go
@@ -14,8 +14,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/census"
 	"junctioncross/follow"
+	"junctioncross/membership"
 	"junctioncross/metrics"
 	"junctioncross/quarantine"
 	"junctioncross/timer"
@@ -75,13 +75,13 @@
 
 // storedRecord is a registration record in the store with the time at which it was written.
 type storedRecord struct {
-	census.Record
+	membership.Record
 	at time.Time
 }
 
 // startSimulation simulates a fleet whose instances all start at once while the store holds no registration records.
 type startSimulation struct {
-	members []census.Instance
+	members []membership.Instance
 	index   map[string]int
 	// config and entries are the contents of the configuration and servers feeds.
 	config, entries []byte
@@ -98,7 +98,7 @@
 	revision int64
 	// calls is the sum of the costs of the calls to the store.
 	calls      float64
-	views      []*census.View
+	views      []*membership.View
 	sources    []*Source
 	registries []*Registry
 }
@@ -123,7 +123,7 @@
 	for d := range domains {
 		for i := range each {
 			name := fmt.Sprintf("d%d-%d", d, i)
-			m, rate := census.Instance{Name: name, Domain: fmt.Sprint("d", d), Addr: name, Power: 0.192}, weakRate
+			m, rate := membership.Instance{Name: name, Domain: fmt.Sprint("d", d), Addr: name, Power: 0.192}, weakRate
 			if i < strong {
 				m.Power, rate = 0.8, strongRate
 			}
@@ -132,7 +132,7 @@
 		}
 	}
 	n := len(b.members)
-	b.views, b.sources, b.registries = make([]*census.View, n), make([]*Source, n), make([]*Registry, n)
+	b.views, b.sources, b.registries = make([]*membership.View, n), make([]*Source, n), make([]*Registry, n)
 	return b
 }
 
@@ -142,7 +142,7 @@
 	clock, stats := timer.NewReal(), metrics.New()
 	for i, m := range b.members {
 		self := Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: whole, ApplyTime: applyDeadline}
-		b.views[i] = census.NewView(whole)
+		b.views[i] = membership.NewView(whole)
 		b.sources[i] = New(self, simStore{b}, b.views[i], follow.NewFleetView(), noEnds{}, nil, clock, stats, b.log)
 		b.sources[i].peers = simPeers{b, i}
 		b.registries[i] = NewRegistry(self, simRegistry{b}, b.views[i], nil, clock)
@@ -150,7 +150,7 @@
 	}
 	for i, m := range b.members {
 		newKey := func() ([]byte, error) { return []byte(m.Name), nil }
-		census.New(ctx, b.views[i], b.registries[i], m, newKey, clock, stats, b.log)
+		membership.New(ctx, b.views[i], b.registries[i], m, newKey, clock, stats, b.log)
 		follow.New(ctx, b.sources[i], follow.NewFleetView(), quarantine.NewBook(quarantine.Settings{Keep: time.Hour, MaxRequests: 10}), clock, stats, b.log)
 	}
 }
--- a/relay/fleetstore_test.go
+++ b/relay/fleetstore_test.go
@@ -8,16 +8,16 @@
 	"github.com/pkg/errors"
 
 	"junctioncross/catalog"
-	"junctioncross/census"
 	"junctioncross/follow"
 	"junctioncross/link"
+	"junctioncross/membership"
 )
 
-// simRegistry is the simulated store's registration records as seen by an instance; it implements census.Registry.
+// simRegistry is the simulated store's registration records as seen by an instance; it implements membership.Registry.
 type simRegistry struct{ b *startSimulation }
 
-// Join implements census.Registry.
-func (r simRegistry) Join(ctx context.Context, self census.Instance, slot census.Slot, _ time.Duration) (int64, error) {
+// Join implements membership.Registry.
+func (r simRegistry) Join(ctx context.Context, self membership.Instance, slot membership.Slot, _ time.Duration) (int64, error) {
 	for range 2 {
 		if err := r.b.call(ctx, 1, recordBytes); err != nil {
 			return 0, err
@@ -27,23 +27,23 @@
 	defer r.b.mu.Unlock()
 	key := fmt.Sprint(self.Domain, "/", slot.Number)
 	if r.b.records[key].Revision != slot.Revision {
-		return 0, census.ErrTaken
+		return 0, membership.ErrTaken
 	}
 	r.b.revision++
 	slot.Revision = r.b.revision
-	r.b.records[key] = storedRecord{Record: census.Record{Instance: self, Slot: slot, Lease: slot.Revision}, at: time.Now()}
+	r.b.records[key] = storedRecord{Record: membership.Record{Instance: self, Slot: slot, Lease: slot.Revision}, at: time.Now()}
 	return slot.Revision, nil
 }
 
-// Renew implements census.Registry.
+// Renew implements membership.Registry.
 func (r simRegistry) Renew(ctx context.Context, _ int64) error {
 	return r.b.call(ctx, lowCost, recordBytes)
 }
 
-// List implements census.Registry.
-func (r simRegistry) List(ctx context.Context) (census.Snapshot, error) {
+// List implements membership.Registry.
+func (r simRegistry) List(ctx context.Context) (membership.Snapshot, error) {
 	r.b.mu.Lock()
-	snapshot := census.Snapshot{Key: r.b.key}
+	snapshot := membership.Snapshot{Key: r.b.key}
 	for _, w := range r.b.records {
 		if time.Since(w.at) >= storeLag {
 			snapshot.Records = append(snapshot.Records, w.Record)
@@ -53,7 +53,7 @@
 	return snapshot, r.b.call(ctx, lowCost, float64(1+len(snapshot.Records))*recordBytes)
 }
 
-// EnsureKey implements census.Registry.
+// EnsureKey implements membership.Registry.
 func (r simRegistry) EnsureKey(ctx context.Context, key []byte) ([]byte, error) {
 	if err := r.b.call(ctx, 1, recordBytes); err != nil {
 		return nil, err
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -12,11 +12,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/census"
+	"junctioncross/membership"
 )
 
 // drawDay draws the faults of a scenario at random; members must be grouped by domain.
-func drawDay(random *rand.Rand, members []census.Instance, promise time.Duration) scenario {
+func drawDay(random *rand.Rand, members []membership.Instance, promise time.Duration) scenario {
 	d := scenario{length: 30 * time.Second, applyDeadline: promise}
 	for range 1 + random.IntN(3) {
 		d.faults = append(d.faults, drawFault(random, members))
@@ -32,7 +32,7 @@
 	return d
 }
 
-func drawFault(random *rand.Rand, members []census.Instance) fault {
+func drawFault(random *rand.Rand, members []membership.Instance) fault {
 	f := fault{affected: make([]bool, len(members)), from: warmUpTime + time.Duration(random.Float64()*float64(15*time.Second))}
 	f.until = f.from + time.Duration((0.5+8*random.Float64())*float64(time.Second))
 	share := []float64{0.05, 0.35, 0.7, 0.95, 1}[random.IntN(5)]
@@ -55,7 +55,7 @@
 }
 
 // inDomain makes a fault hit all instances of one domain.
-func inDomain(hits []bool, members []census.Instance, random *rand.Rand) {
+func inDomain(hits []bool, members []membership.Instance, random *rand.Rand) {
 	domain := members[random.IntN(len(members))].Domain
 	for i, m := range members {
 		hits[i] = m.Domain == domain
@@ -63,12 +63,12 @@
 }
 
 // instances returns the members of a fleet with some domains.
-func instances(domains, each int) []census.Instance {
-	var out []census.Instance
+func instances(domains, each int) []membership.Instance {
+	var out []membership.Instance
 	for d := range domains {
 		for i := range each {
 			name := fmt.Sprintf("d%d-%d", d, i)
-			out = append(out, census.Instance{Name: name, Domain: fmt.Sprint("d", d), Addr: name})
+			out = append(out, membership.Instance{Name: name, Domain: fmt.Sprint("d", d), Addr: name})
 		}
 	}
 	return out
--- a/relay/rank.go
+++ b/relay/rank.go
@@ -4,7 +4,7 @@
 	"hash/fnv"
 	"sort"
 
-	"junctioncross/census"
+	"junctioncross/membership"
 )
 
 const (
@@ -19,8 +19,8 @@
 
 // ranked returns the instances of each domain in the order in which they should be its relay. The most powerful comes first,
 // since the relay does the work of all; among equals the one whose name has the lowest hash, so that all instances agree.
-func ranked(members []census.Instance) map[string][]census.Instance {
-	byDomain := map[string][]census.Instance{}
+func ranked(members []membership.Instance) map[string][]membership.Instance {
+	byDomain := map[string][]membership.Instance{}
 	for _, m := range members {
 		if m.Addr != "" {
 			byDomain[m.Domain] = append(byDomain[m.Domain], m)
@@ -64,7 +64,7 @@
 // relay, some relays of other domains, which help when the first two cannot reach the store, and last the store, which counts
 // each call of each instance. The relay itself asks the store first, the standby relay asks it right after the relay, and
 // both then ask the relays of all other domains.
-func upstreamsOf(self string, domain string, members []census.Instance) []upstream {
+func upstreamsOf(self string, domain string, members []membership.Instance) []upstream {
 	byDomain := ranked(members)
 	var upstreams []upstream
 	for i, m := range byDomain[domain] {
@@ -82,7 +82,7 @@
 
 // relayUpstreams returns the relays of all domains except one. Each instance starts at another position of the list, so that
 // the relays share the load.
-func relayUpstreams(byDomain map[string][]census.Instance, self, except string) []upstream {
+func relayUpstreams(byDomain map[string][]membership.Instance, self, except string) []upstream {
 	domains := make([]string, 0, len(byDomain))
 	for d := range byDomain {
 		if d != except {
--- a/relay/rank_test.go
+++ b/relay/rank_test.go
@@ -6,14 +6,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/census"
+	"junctioncross/membership"
 )
 
-func members(perDomain int) []census.Instance {
-	var out []census.Instance
+func members(perDomain int) []membership.Instance {
+	var out []membership.Instance
 	for _, domain := range []string{"east", "west", "south"} {
 		for n := range perDomain {
-			out = append(out, census.Instance{
+			out = append(out, membership.Instance{
 				Name: fmt.Sprintf("%s-%d", domain, n), Domain: domain, Addr: fmt.Sprintf("%s:%d", domain, n), Power: 0.2,
 			})
 		}
--- a/relay/referral_test.go
+++ b/relay/referral_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/census"
 	"junctioncross/follow"
+	"junctioncross/membership"
 )
 
 // TestRejectedInstancesGetUpdatesFromDirectPeers uses a store that rejects a third of the instances for 8 s, the relays and
@@ -18,14 +18,14 @@
 // serves, each instance must meet the 3.6 s; before that its confirmation must be less than 5 s old. Without referrals,
 // rejected instances had no confirmation since the outage began.
 func TestRejectedInstancesGetUpdatesFromDirectPeers(t *testing.T) {
-	for name, members := range map[string][]census.Instance{"with relays": instances(3, 24), "without": instances(2, 4)} {
+	for name, members := range map[string][]membership.Instance{"with relays": instances(3, 24), "without": instances(2, 4)} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { checkRejectedInstances(t, members) })
 		})
 	}
 }
 
-func checkRejectedInstances(t *testing.T, members []census.Instance) {
+func checkRejectedInstances(t *testing.T, members []membership.Instance) {
 	const (
 		outage   = 8 * time.Second
 		keysAge  = 3600 * time.Millisecond
--- a/relay/registry.go
+++ b/relay/registry.go
@@ -11,9 +11,9 @@
 
 	"github.com/pkg/errors"
 
-	"junctioncross/census"
 	"junctioncross/keys"
 	"junctioncross/link"
+	"junctioncross/membership"
 	"junctioncross/timer"
 )
 
@@ -40,16 +40,16 @@
 // recordsReply is the answer to a request for the records.
 type recordsReply struct {
 	// Same is true if the requesting instance knows all records already; Records is empty then.
-	Same    bool            `cbor:"1,keyasint,omitempty"`
-	Records []census.Record `cbor:"2,keyasint,omitempty"`
+	Same    bool                `cbor:"1,keyasint,omitempty"`
+	Records []membership.Record `cbor:"2,keyasint,omitempty"`
 	// Counts holds the number of instances of each domain.
 	Counts map[string]int `cbor:"3,keyasint,omitempty"`
 }
 
-// Registry is a census.Registry that reads the registration records through the relay of the domain, so that they are read from
+// Registry is a membership.Registry that reads the registration records through the relay of the domain, so that they are read from
 // the store once for each domain and not by each instance.
 type Registry struct {
-	census.Registry
+	membership.Registry
 	self  Self
 	fleet Fleet
 	peers peers
@@ -57,15 +57,15 @@
 
 	// readLock is a semaphore that is held during a read; snapshot and readAt are the result and the time of the last read.
 	readLock chan struct{}
-	snapshot census.Snapshot
+	snapshot membership.Snapshot
 	readAt   time.Time
 	// lostRecords holds the records from before the store lost writes; they count up to lostUntil.
-	lostRecords []census.Record
+	lostRecords []membership.Record
 	lostUntil   time.Time
 }
 
 // NewRegistry wraps the registry of the store: it lists the records through relays and passes all other calls on.
-func NewRegistry(self Self, records census.Registry, fleet Fleet, links *link.Client, clock *timer.Service) *Registry {
+func NewRegistry(self Self, records membership.Registry, fleet Fleet, links *link.Client, clock *timer.Service) *Registry {
 	return &Registry{
 		Registry: records, self: self, fleet: fleet, peers: linkPeers{client: links}, clock: clock, readLock: make(chan struct{}, 1),
 	}
@@ -78,8 +78,8 @@
 	})
 }
 
-// List implements census.Registry.
-func (r *Registry) List(ctx context.Context) (census.Snapshot, error) {
+// List implements membership.Registry.
+func (r *Registry) List(ctx context.Context) (membership.Snapshot, error) {
 	members := r.fleet.Members()
 	if !r.self.relays(len(members), r.fleet.Instances()) || len(r.fleet.Key()) == 0 {
 		return r.readRecords(ctx, 0)
@@ -92,14 +92,14 @@
 			break
 		}
 		if records, err := r.fetchRecords(ctx, w.addr, r.fleet.Records()); err == nil {
-			return census.Snapshot{Records: records, Key: r.fleet.Key()}, nil
+			return membership.Snapshot{Records: records, Key: r.fleet.Key()}, nil
 		}
 	}
 	return r.readRecords(ctx, 0)
 }
 
 // fetchRecords requests the records from the instance at addr; known is returned if they are unchanged.
-func (r *Registry) fetchRecords(ctx context.Context, addr string, known []census.Record) ([]census.Record, error) {
+func (r *Registry) fetchRecords(ctx context.Context, addr string, known []membership.Record) ([]membership.Record, error) {
 	ctx, cancel := r.clock.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
 	reply, err := r.peers.records(ctx, addr, recordsRequest{Known: digest(known)})
@@ -114,7 +114,7 @@
 }
 
 // fetchCounts asks the relay of each other domain for the number of instances that it counts there.
-func (r *Registry) fetchCounts(ctx context.Context, members []census.Instance) {
+func (r *Registry) fetchCounts(ctx context.Context, members []membership.Instance) {
 	ctx, cancel := r.clock.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
 	var all sync.WaitGroup
@@ -147,11 +147,11 @@
 }
 
 // readRecords returns a snapshot of at most the given age; concurrent calls share one read.
-func (r *Registry) readRecords(ctx context.Context, age time.Duration) (census.Snapshot, error) {
+func (r *Registry) readRecords(ctx context.Context, age time.Duration) (membership.Snapshot, error) {
 	select {
 	case r.readLock <- struct{}{}:
 	case <-ctx.Done():
-		return census.Snapshot{}, errors.Wrap(errNoRecords, ctx.Err().Error())
+		return membership.Snapshot{}, errors.Wrap(errNoRecords, ctx.Err().Error())
 	}
 	defer func() { <-r.readLock }()
 	if !r.readAt.IsZero() && len(r.snapshot.Records) > 0 && len(r.snapshot.Key) > 0 && r.clock.Since(r.readAt) < age {
@@ -169,7 +169,7 @@
 // withLostRecords adds the records that the store has lost until lostUntil: shared limits must not be divided by only the
 // instances whose records are left. Their slots are marked as free, since no other record is known there. The caller holds
 // readLock.
-func (r *Registry) withLostRecords(snapshot census.Snapshot) census.Snapshot {
+func (r *Registry) withLostRecords(snapshot membership.Snapshot) membership.Snapshot {
 	now := r.clock.Now()
 	if !r.readAt.IsZero() && snapshot.Era > r.snapshot.Era {
 		r.lostRecords, r.lostUntil = r.snapshot.Records, now.Add(lostRecordTTL)
@@ -193,7 +193,7 @@
 }
 
 // digest returns a hash of the names, addresses and revisions of records that does not depend on their order.
-func digest(records []census.Record) uint64 {
+func digest(records []membership.Record) uint64 {
 	lines := make([]string, len(records))
 	for i, r := range records {
 		lines[i] = r.Name + " " + r.Addr + " " + strconv.FormatInt(r.Revision, 10)
--- a/relay/registry_test.go
+++ b/relay/registry_test.go
@@ -13,9 +13,9 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/census"
 	"junctioncross/keys"
 	"junctioncross/link"
+	"junctioncross/membership"
 	"junctioncross/metrics"
 	"junctioncross/ports"
 	"junctioncross/relay"
@@ -24,20 +24,20 @@
 
 // fakeRegistry holds the records of a fleet in memory, as one instance reads them from the store.
 type fakeRegistry struct {
-	census.Registry
+	membership.Registry
 	mu       sync.Mutex
-	snapshot census.Snapshot
+	snapshot membership.Snapshot
 	down     bool
 	reads    int
 }
 
-// List implements census.Registry.
-func (r *fakeRegistry) List(context.Context) (census.Snapshot, error) {
+// List implements membership.Registry.
+func (r *fakeRegistry) List(context.Context) (membership.Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reads++
 	if r.down {
-		return census.Snapshot{}, errors.New("down")
+		return membership.Snapshot{}, errors.New("down")
 	}
 	return r.snapshot, nil
 }
@@ -49,7 +49,7 @@
 }
 
 // setMembers sets the instances that have records.
-func (r *fakeRegistry) setMembers(members []census.Instance) {
+func (r *fakeRegistry) setMembers(members []membership.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.snapshot.Records = recordsOf(members)
@@ -64,7 +64,7 @@
 
 // registryFleet holds instances of one domain that list each other's records; the first one is the relay.
 type registryFleet struct {
-	members    []census.Instance
+	members    []membership.Instance
 	records    []*fakeRegistry
 	registries []*relay.Registry
 	servers    []*link.Server
@@ -78,14 +78,14 @@
 	require.NoError(t, err)
 	var c registryFleet
 	for i, addr := range addrs {
-		c.members = append(c.members, census.Instance{Name: addr, Domain: "east", Addr: addr, Power: float64(n - i)})
+		c.members = append(c.members, membership.Instance{Name: addr, Domain: "east", Addr: addr, Power: float64(n - i)})
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for _, m := range c.members {
 		links := link.NewClient(trust, metrics.New())
 		t.Cleanup(links.Close)
-		own := &fakeRegistry{snapshot: census.Snapshot{Records: recordsOf(c.members), Key: key}}
+		own := &fakeRegistry{snapshot: membership.Snapshot{Records: recordsOf(c.members), Key: key}}
 		self := relay.Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: 2, ApplyTime: 3 * time.Second}
 		registry := relay.NewRegistry(self, own, fleet{members: c.members, key: key}, links, timer.NewReal())
 		mux := link.NewMux()
@@ -115,7 +115,7 @@
 // TestNewInstanceIsListed adds a record that the listing instances do not know yet.
 func TestNewInstanceIsListed(t *testing.T) {
 	c := newRegistryFleet(t, 3)
-	more := append([]census.Instance{{Name: "new", Domain: "east", Addr: "127.0.0.1:1", Power: 0.5}}, c.members...)
+	more := append([]membership.Instance{{Name: "new", Domain: "east", Addr: "127.0.0.1:1", Power: 0.5}}, c.members...)
 	c.records[0].setMembers(more)
 	snapshot, err := c.registries[2].List(t.Context())
 	require.NoError(t, err)
@@ -138,14 +138,14 @@
 // written again.
 func TestRecordsLostByTheStoreCountUntilTheyAreWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var members []census.Instance
+		var members []membership.Instance
 		for n := range 8 {
-			members = append(members, census.Instance{Name: fmt.Sprint(n), Domain: "east", Power: 1})
+			members = append(members, membership.Instance{Name: fmt.Sprint(n), Domain: "east", Power: 1})
 		}
-		r := &fakeRegistry{snapshot: census.Snapshot{Era: 1}}
+		r := &fakeRegistry{snapshot: membership.Snapshot{Era: 1}}
 		r.setMembers(members)
-		registry := relay.NewRegistry(relay.Self{Name: "0", Domain: "east", RelaysFrom: 24}, r, census.NewView(24), nil, timer.NewReal())
-		count := func() []census.Record {
+		registry := relay.NewRegistry(relay.Self{Name: "0", Domain: "east", RelaysFrom: 24}, r, membership.NewView(24), nil, timer.NewReal())
+		count := func() []membership.Record {
 			snapshot, err := registry.List(t.Context())
 			require.NoError(t, err)
 			return snapshot.Records
--- a/relay/rejecting_test.go
+++ b/relay/rejecting_test.go
@@ -10,10 +10,10 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/census"
 	"junctioncross/follow"
 	"junctioncross/keys"
 	"junctioncross/link"
+	"junctioncross/membership"
 	"junctioncross/metrics"
 	"junctioncross/relay"
 	"junctioncross/timer"
@@ -45,7 +45,7 @@
 	trust := keys.NewFleetKeyFrom(func() []byte { return key })
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := fleet{key: key, members: []census.Instance{
+	f := fleet{key: key, members: []membership.Instance{
 		{Name: "self", Domain: "east", Addr: "127.0.0.1:1"}, {Name: "other", Domain: "west", Addr: "unreachable"},
 	}}
 	links := link.NewClient(trust, metrics.New())
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -11,10 +11,10 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/census"
 	"junctioncross/follow"
 	"junctioncross/keys"
 	"junctioncross/link"
+	"junctioncross/membership"
 	"junctioncross/metrics"
 	"junctioncross/ports"
 	"junctioncross/relay"
@@ -26,15 +26,15 @@
 
 // fleet is a relay.Fleet that is the same for all instances and does not change.
 type fleet struct {
-	members []census.Instance
+	members []membership.Instance
 	key     []byte
 }
 
 // Members implements relay.Fleet.
-func (f fleet) Members() []census.Instance { return f.members }
+func (f fleet) Members() []membership.Instance { return f.members }
 
 // Records implements relay.Fleet.
-func (f fleet) Records() []census.Record { return recordsOf(f.members) }
+func (f fleet) Records() []membership.Record { return recordsOf(f.members) }
 
 // Instances implements relay.Fleet.
 func (f fleet) Instances() int { return len(f.members) }
@@ -52,10 +52,10 @@
 func (fleet) NoteCounts(map[string]int) {}
 
 // recordsOf returns the registration records of instances, each in a slot of its own.
-func recordsOf(members []census.Instance) []census.Record {
-	out := make([]census.Record, len(members))
+func recordsOf(members []membership.Instance) []membership.Record {
+	out := make([]membership.Record, len(members))
 	for i, m := range members {
-		out[i] = census.Record{Instance: m, Slot: census.Slot{Number: i, Revision: int64(i + 1)}}
+		out[i] = membership.Record{Instance: m, Slot: membership.Slot{Number: i, Revision: int64(i + 1)}}
 	}
 	return out
 }
@@ -143,7 +143,7 @@
 	addrs, err := ports.Free(n)
 	require.NoError(t, err)
 	for i := range n {
-		f.members = append(f.members, census.Instance{
+		f.members = append(f.members, membership.Instance{
 			Name: fmt.Sprint("i-", i), Domain: in(i), Addr: addrs[i], Power: float64(n - i),
 		})
 	}
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"junctioncross/census"
 	"junctioncross/follow"
+	"junctioncross/membership"
 	"junctioncross/metrics"
 	"junctioncross/quarantine"
 	"junctioncross/timer"
@@ -40,7 +40,7 @@
 type simulation struct {
 	scenario
 	begun   time.Time
-	members []census.Instance
+	members []membership.Instance
 	index   map[string]int
 	log     *logrus.Logger
 
@@ -57,7 +57,7 @@
 	calls   []int
 }
 
-func newSimulation(members []census.Instance, d scenario) *simulation {
+func newSimulation(members []membership.Instance, d scenario) *simulation {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.SetLevel(logrus.PanicLevel)
--- a/relay/source.go
+++ b/relay/source.go
@@ -10,9 +10,9 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
-	"junctioncross/census"
 	"junctioncross/follow"
 	"junctioncross/link"
+	"junctioncross/membership"
 	"junctioncross/metrics"
 	"junctioncross/timer"
 )
@@ -34,9 +34,9 @@
 // Fleet says which instances there are.
 type Fleet interface {
 	// Members returns the instances that have registration records; it is empty until the records were first read.
-	Members() []census.Instance
+	Members() []membership.Instance
 	// Records returns the registration records.
-	Records() []census.Record
+	Records() []membership.Record
 	// Empty reports whether the records were read and there were none.
 	Empty() bool
 	// Changed returns a channel that is closed when the records or the key change.
--- a/relay/start.go
+++ b/relay/start.go
@@ -7,9 +7,9 @@
 
 	"github.com/pkg/errors"
 
-	"junctioncross/census"
 	"junctioncross/follow"
 	"junctioncross/link"
+	"junctioncross/membership"
 )
 
 const (
@@ -105,8 +105,8 @@
 }
 
 // registered reports whether this instance is one of the members, that is, has a registration record.
-func (s *Source) registered(members []census.Instance) bool {
-	return slices.ContainsFunc(members, func(m census.Instance) bool { return m.Name == s.self.Name })
+func (s *Source) registered(members []membership.Instance) bool {
+	return slices.ContainsFunc(members, func(m membership.Instance) bool { return m.Name == s.self.Name })
 }
 
 // fullFeedUpstreams returns the upstreams that an instance which starts asks for a full feed. The instances with registration
@@ -128,7 +128,7 @@
 }
 
 // mostPowerful returns those of the ranked instances that have at least half the power of the first.
-func mostPowerful(list []census.Instance) []census.Instance {
+func mostPowerful(list []membership.Instance) []membership.Instance {
 	for i, m := range list {
 		if m.Power < list[0].Power/2 {
 			return list[:i]
--- a/relay/start_test.go
+++ b/relay/start_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/census"
 	"junctioncross/follow"
 	"junctioncross/keys"
 	"junctioncross/link"
+	"junctioncross/membership"
 	"junctioncross/metrics"
 	"junctioncross/ports"
 	"junctioncross/relay"
@@ -35,7 +35,7 @@
 	trust := keys.NewFleetKeyFrom(func() []byte { return key })
 	addrs, err := ports.Free(3)
 	require.NoError(t, err)
-	f := fleet{key: key, members: []census.Instance{
+	f := fleet{key: key, members: []membership.Instance{
 		{Name: "self", Domain: "east", Addr: addrs[0], Power: 1},
 		{Name: "relay", Domain: "east", Addr: addrs[1], Power: 3},
 		{Name: "stand-in", Domain: "east", Addr: addrs[2], Power: 2},
--- a/relay/staticfleet_test.go
+++ b/relay/staticfleet_test.go
@@ -1,18 +1,18 @@
 package relay
 
-import "junctioncross/census"
+import "junctioncross/membership"
 
 // staticFleet is a Fleet that does not change.
-type staticFleet []census.Instance
+type staticFleet []membership.Instance
 
 // Members implements Fleet.
-func (k staticFleet) Members() []census.Instance { return k }
+func (k staticFleet) Members() []membership.Instance { return k }
 
 // Records implements Fleet.
-func (k staticFleet) Records() []census.Record {
-	out := make([]census.Record, len(k))
+func (k staticFleet) Records() []membership.Record {
+	out := make([]membership.Record, len(k))
 	for i, m := range k {
-		out[i] = census.Record{Instance: m}
+		out[i] = membership.Record{Instance: m}
 	}
 	return out
 }
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"junctioncross/census"
 	"junctioncross/follow"
+	"junctioncross/membership"
 	"junctioncross/metrics"
 	"junctioncross/timer"
 )
@@ -51,7 +51,7 @@
 		store := &countingStore{}
 		log := logrus.New()
 		log.SetLevel(logrus.PanicLevel)
-		one := staticFleet{census.Instance{Name: "self", Domain: "east"}}
+		one := staticFleet{membership.Instance{Name: "self", Domain: "east"}}
 		s := New(Self{Name: "self", Domain: "east", RelaysFrom: 24, ApplyTime: applyDeadline}, store, one, nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
 		next := func(feed follow.Feed) error {
 			_, err := s.Next(t.Context(), feed, 1)
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
-	"junctioncross/census"
 	"junctioncross/follow"
+	"junctioncross/membership"
 	"junctioncross/retry"
 )
 
@@ -32,14 +32,14 @@
 // cache, 295 instances that poll through an outage spend half of their time on ranking the same members again.
 type upstreamCache struct {
 	mu      sync.Mutex
-	members []census.Instance
+	members []membership.Instance
 	relays  bool
 	list    []upstream
 }
 
 // get returns the upstreams that compute derives from these members. The list of members must not be changed after the call,
 // since it is recognized by its first element.
-func (c *upstreamCache) get(members []census.Instance, relays bool, compute func([]census.Instance, bool) []upstream) []upstream {
+func (c *upstreamCache) get(members []membership.Instance, relays bool, compute func([]membership.Instance, bool) []upstream) []upstream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(members) == 0 || len(members) != len(c.members) || &members[0] != &c.members[0] || relays != c.relays {
@@ -56,7 +56,7 @@
 }
 
 // upstreamsAmong computes the upstreams from the members of the fleet; relays says whether the fleet uses relays.
-func (s *Source) upstreamsAmong(members []census.Instance, relays bool) []upstream {
+func (s *Source) upstreamsAmong(members []membership.Instance, relays bool) []upstream {
 	switch {
 	case len(members) == 0:
 		return nil
@@ -69,7 +69,7 @@
 
 // peerUpstreams returns some of the other instances of a fleet without relays. Each instance starts at another position of
 // the list, so that they share the load.
-func (s *Source) peerUpstreams(members []census.Instance) []upstream {
+func (s *Source) peerUpstreams(members []membership.Instance) []upstream {
 	var out []upstream
 	first := int(hashOf(s.self.Name))
 	for i := range members {
