--- a/engine/progress.go
+++ b/engine/progress.go
@@ -27,7 +27,7 @@
 // the time since its last answer is too long compared with its own mean step time.
 type Progress struct {
 	mu sync.Mutex
-	// frames and positions count what is in flight.
+	// frames is the number of frames in flight, positions the number of token positions in them.
 	frames    int
 	positions int
 	// lastAnswer is the time of the last answer, or of the first frame after a time without frames if that is later.
