--- a/app/run.go
+++ b/app/run.go
@@ -38,18 +38,18 @@
 type instance struct {
 	dig.In
 
-	Settings *config.Settings
-	Entry    *entry.Handler
-	Ops      *operator.Handler
-	Loop     *control.Loop
-	Leader   *order.Leader
-	Mux      *link.Mux
-	Certs    *keys.CertReloader
-	Board    *view.SnapshotHolder
-	Clock    *timer.Service
-	Stats    *metrics.Registry
-	Queue    *decision.Queue
-	Log      *logrus.Logger
+	Settings  *config.Settings
+	Entry     *entry.Handler
+	Ops       *operator.Handler
+	Loop      *control.Loop
+	Leader    *order.Leader
+	Mux       *link.Mux
+	Certs     *keys.CertReloader
+	Snapshots *view.SnapshotHolder
+	Clock     *timer.Service
+	Stats     *metrics.Registry
+	Queue     *decision.Queue
+	Log       *logrus.Logger
 }
 
 // Run runs an entry instance until stop is closed and it has stopped; it returns an error if the instance cannot start.
@@ -78,7 +78,7 @@
 		return err
 	}
 	defer peers.Close()
-	health := newHealth(i.Board, i.Entry, i.Stats)
+	health := newHealth(i.Snapshots, i.Entry, i.Stats)
 	servers, err := i.listen(health)
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 		select {
 		case <-ticks.C():
 			i.Loop.SetLeads(i.Leader.Leads())
-			if m.Can("configured") && i.Board.Current().Index() != nil {
+			if m.Can("configured") && i.Snapshots.Current().Index() != nil {
 				fire(i.Log, m, "configured")
 				i.Log.Info("serving")
 			}
