--- a/entry/service.go
+++ b/entry/service.go
@@ -24,10 +24,10 @@
 	runCtx, cancel := context.WithTimeout(context.Background(), h.requestTimeout)
 	defer cancel()
 	path := "/" + ctx.UserValue("path").(string)
-	repeatable := service.MayRetry(s, string(ctx.Method()), path)
+	mayRetry := service.MayRetry(s, string(ctx.Method()), path)
 	key := string(ctx.Request.Header.Peek(models.HeaderIdempotencyKey))
-	if repeatable || key == "" {
-		return h.forwardCall(runCtx, ctx, c, s, path, repeatable)
+	if mayRetry || key == "" {
+		return h.forwardCall(runCtx, ctx, c, s, path, mayRetry)
 	}
 	keyClaim := claim.Claim{Key: c.account.Name() + "/" + name + "/" + key, BodyHash: bodyHash(ctx, path), Request: c.id}
 	if r := h.claimKey(runCtx, keyClaim); r != nil {
@@ -101,7 +101,7 @@
 	}()
 }
 
-func (h *Handler) forwardCall(runCtx context.Context, ctx *fasthttp.RequestCtx, c *call, s *intent.Service, path string, repeatable bool) *refusal {
+func (h *Handler) forwardCall(runCtx context.Context, ctx *fasthttp.RequestCtx, c *call, s *intent.Service, path string, mayRetry bool) *refusal {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	ctx.Request.CopyTo(req)
@@ -109,7 +109,7 @@
 	req.Header.Set(models.HeaderRequestID, c.id)
 	req.URI().SetPath(path)
 	req.URI().SetScheme("http")
-	err := h.forward.Forward(runCtx, s, req, &ctx.Response, repeatable)
+	err := h.forward.Forward(runCtx, s, req, &ctx.Response, mayRetry)
 	switch {
 	case err == nil:
 		ctx.Response.Header.Set(models.HeaderRequestID, c.id)
