--- a/schema/beliefs.go
+++ b/schema/beliefs.go
@@ -201,7 +201,7 @@
 	_ struct{} `msg:"record of the instance has ended" level:"warning"`
 }
 
-// Another instance has overwritten the registration record of this one, which was of less use.
+// Another, more powerful instance has overwritten the registration record of this one.
 type recordReplaced struct {
 	_ struct{} `msg:"record of the instance was replaced" level:"warning"`
 }
--- a/schema/common.go
+++ b/schema/common.go
@@ -55,7 +55,7 @@
 	Address string `log:"address"`
 }
 
-// fingerprint is embedded in lines about a request that a server may have terminated under.
+// fingerprint is embedded in lines about a request while running which a server may have terminated.
 type fingerprint struct {
 	// Hash of the request's path, caller and body; the same for all attempts of a caller.
 	Fingerprint string `log:"fingerprint"`
--- a/schema/orders.go
+++ b/schema/orders.go
@@ -3,7 +3,7 @@
 // The instance has acquired the leader lock: it alone gives orders to servers.
 type leadershipGained struct {
 	_ struct{} `msg:"gives orders" level:"info"`
-	// Name of the instance and its present start, under which it takes the lock.
+	// Name under which the instance holds the lock: its own name and the time at which its process started.
 	Holder string `log:"holder"`
 	// The lease that the leader lock is attached to.
 	Lease int64 `log:"lease"`
@@ -12,7 +12,7 @@
 // The instance has lost the leader lock or given it back.
 type leadershipLost struct {
 	_ struct{} `msg:"no longer gives orders" level:"warning"`
-	// Name of the instance and its present start, under which it takes the lock.
+	// Name under which the instance holds the lock: its own name and the time at which its process started.
 	Holder string `log:"holder"`
 }
 
