--- a/leader/arrivals_test.go
+++ b/leader/arrivals_test.go
@@ -9,25 +9,25 @@
 
 // TestServersThatAppearTogetherAreWaitedFor follows a domain whose entries come back after a partition.
 func TestServersThatAppearTogetherAreWaitedFor(t *testing.T) {
-	const whole, cut = 0.0, 0.8
+	const nothingMissing, nearlyAllMissing = 0.0, 0.8
 	start := time.Unix(100, 0)
 	var a arrivals
-	require.False(t, a.expectsMore(start, cut), "nothing has appeared")
+	require.False(t, a.expectsMore(start, nearlyAllMissing), "nothing has appeared")
 	a = a.add(start)
-	require.True(t, a.expectsMore(start, cut), "the first server of a domain that lacks nearly all layers")
-	require.False(t, a.expectsMore(start, whole), "one server that comes back or replaces another")
+	require.True(t, a.expectsMore(start, nearlyAllMissing), "the first server of a domain that lacks nearly all layers")
+	require.False(t, a.expectsMore(start, nothingMissing), "one server that comes back or replaces another")
 	for i := range arrivalBurst {
 		a = a.add(start.Add(time.Duration(i) * 200 * time.Millisecond))
 	}
 	last := start.Add(400 * time.Millisecond)
-	require.True(t, a.expectsMore(last.Add(arrivalGap/2), whole), "several within a heartbeat")
-	require.False(t, a.expectsMore(last.Add(arrivalGap), cut), "no further server has appeared")
+	require.True(t, a.expectsMore(last.Add(arrivalGap/2), nothingMissing), "several within a heartbeat")
+	require.False(t, a.expectsMore(last.Add(arrivalGap), nearlyAllMissing), "no further server has appeared")
 	for i := range 10 {
 		a = a.add(start.Add(time.Duration(i) * time.Second))
 	}
-	require.False(t, a.expectsMore(start.Add(9*time.Second), cut), "the wait is limited")
+	require.False(t, a.expectsMore(start.Add(9*time.Second), nearlyAllMissing), "the wait is limited")
 	later := start.Add(time.Minute)
-	require.True(t, a.add(later).expectsMore(later.Add(time.Second), cut), "a later return is waited for again")
+	require.True(t, a.add(later).expectsMore(later.Add(time.Second), nearlyAllMissing), "a later return is waited for again")
 }
 
 // TestRollingReleaseDoesNotDelayMoves replaces the servers of a domain one after the other.
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -73,117 +73,117 @@
 	ctx context.Context, lock Lock, upstream Upstream, holder string, fleet *follow.FleetView, engines backend.EngineClient,
 	clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *Leader {
-	g := &Leader{
+	l := &Leader{
 		lock: lock, upstream: upstream, holder: holder, fleet: fleet, engines: engines, clock: clock, stats: stats, log: log,
 		stop: make(chan struct{}), done: make(chan struct{}), lease: lease{clock: clock},
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
-		<-g.stop
+		<-l.stop
 		cancel()
 	}()
 	go func() {
-		defer close(g.done)
-		g.run(ctx)
-		g.resign()
+		defer close(l.done)
+		l.run(ctx)
+		l.resign()
 	}()
-	return g
+	return l
 }
 
 // Stop stops the Leader, releases the lock and returns when that is done.
-func (g *Leader) Stop() {
-	close(g.stop)
-	<-g.done
+func (l *Leader) Stop() {
+	close(l.stop)
+	<-l.done
 }
 
-func (g *Leader) run(ctx context.Context) {
+func (l *Leader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if g.lease.held() {
-			g.lead(ctx)
+		if l.lease.held() {
+			l.lead(ctx)
 			continue
 		}
-		g.campaign(ctx)
+		l.campaign(ctx)
 	}
 }
 
 // campaign waits for the lock to become free and tries to acquire it.
-func (g *Leader) campaign(ctx context.Context) {
-	if !g.upstream.Direct() {
-		g.clock.Sleep(ctx, directCheckPeriod)
+func (l *Leader) campaign(ctx context.Context) {
+	if !l.upstream.Direct() {
+		l.clock.Sleep(ctx, directCheckPeriod)
 		return
 	}
-	wait, cancel := context.WithTimeout(ctx, maxAwait+lockTimeout)
-	free, err := g.lock.Await(wait, maxAwait)
+	awaitCtx, cancel := context.WithTimeout(ctx, maxAwait+lockTimeout)
+	free, err := l.lock.Await(awaitCtx, maxAwait)
 	cancel()
 	if err != nil {
-		g.clock.Sleep(ctx, lockTimeout)
+		l.clock.Sleep(ctx, lockTimeout)
 		return
 	}
 	if !free {
 		return
 	}
-	g.clock.Sleep(ctx, time.Duration(rand.Float64()*float64(startJitter)))
-	sentAt := g.clock.Now()
-	take, cancel := context.WithTimeout(ctx, lockTimeout)
-	grant, err := g.lock.Acquire(take, g.holder, leaseTTL)
+	l.clock.Sleep(ctx, time.Duration(rand.Float64()*float64(startJitter)))
+	sentAt := l.clock.Now()
+	acquireCtx, cancel := context.WithTimeout(ctx, lockTimeout)
+	grant, err := l.lock.Acquire(acquireCtx, l.holder, leaseTTL)
 	cancel()
 	switch {
 	case errors.Is(err, ErrTaken):
 		return
 	case err != nil:
-		g.log.WithError(err).Warn("right to give orders not taken")
-		g.clock.Sleep(ctx, lockTimeout)
+		l.log.WithError(err).Warn("right to give orders not taken")
+		l.clock.Sleep(ctx, lockTimeout)
 		return
 	}
-	g.lease.acquired(grant, sentAt)
-	g.term = newTerm(g)
-	g.stats.Counter("leader_terms_total").Inc(1)
-	g.stats.Gauge("gives_orders").Update(1)
-	g.log.WithFields(logrus.Fields{"holder": g.holder, "lease": grant.Lease}).Info("gives orders")
+	l.lease.acquired(grant, sentAt)
+	l.term = newTerm(l)
+	l.stats.Counter("leader_terms_total").Inc(1)
+	l.stats.Gauge("gives_orders").Update(1)
+	l.log.WithFields(logrus.Fields{"holder": l.holder, "lease": grant.Lease}).Info("gives orders")
 }
 
 // lead runs one round of a leader: it renews the lease when that is due and gives orders.
-func (g *Leader) lead(ctx context.Context) {
-	if g.clock.Since(g.lease.renewedAt) >= renewPeriod {
-		g.renew(ctx)
+func (l *Leader) lead(ctx context.Context) {
+	if l.clock.Since(l.lease.renewedAt) >= renewPeriod {
+		l.renew(ctx)
 	}
-	if g.lease.held() {
-		g.term.round(ctx)
+	if l.lease.held() {
+		l.term.round(ctx)
 	}
-	if !g.lease.held() {
-		g.log.WithField("holder", g.holder).Warn("no longer gives orders")
-		g.stats.Gauge("gives_orders").Update(0)
-		g.lease.drop()
+	if !l.lease.held() {
+		l.log.WithField("holder", l.holder).Warn("no longer gives orders")
+		l.stats.Gauge("gives_orders").Update(0)
+		l.lease.drop()
 		return
 	}
-	g.clock.Sleep(ctx, roundPeriod)
+	l.clock.Sleep(ctx, roundPeriod)
 }
 
 // renew renews the lease; a lease that has ended is dropped.
-func (g *Leader) renew(ctx context.Context) {
-	sentAt := g.clock.Now()
+func (l *Leader) renew(ctx context.Context) {
+	sentAt := l.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
 	defer cancel()
-	err := g.lock.Renew(ctx, g.lease.grant)
+	err := l.lock.Renew(ctx, l.lease.grant)
 	switch {
 	case err == nil:
-		g.lease.renewed(sentAt)
+		l.lease.renewed(sentAt)
 	case errors.Is(err, ErrLeaseEnded):
-		g.lease.drop()
+		l.lease.drop()
 	default:
-		g.log.WithError(err).Warn("right to give orders not renewed")
+		l.log.WithError(err).Warn("right to give orders not renewed")
 	}
 }
 
 // resign releases the lock, so that another instance can take over at once.
-func (g *Leader) resign() {
-	if g.lease.grant.Lease == 0 {
+func (l *Leader) resign() {
+	if l.lease.grant.Lease == 0 {
 		return
 	}
-	g.stats.Gauge("gives_orders").Update(0)
+	l.stats.Gauge("gives_orders").Update(0)
 	ctx, cancel := context.WithTimeout(context.Background(), lockTimeout)
 	defer cancel()
-	if err := g.lock.Release(ctx, g.lease.grant); err != nil {
-		g.log.WithError(err).Warn("right to give orders not given back, it ends by itself")
+	if err := l.lock.Release(ctx, l.lease.grant); err != nil {
+		l.log.WithError(err).Warn("right to give orders not given back, it ends by itself")
 	}
 }
--- a/leader/term.go
+++ b/leader/term.go
@@ -56,10 +56,10 @@
 	coverage []placement.Coverage
 }
 
-func newTerm(g *Leader) *term {
+func newTerm(l *Leader) *term {
 	return &term{
-		leader: g, pending: map[string]*pendingOrder{}, orders: map[string]int64{}, knownSince: map[string]time.Time{},
-		lastArrival: g.clock.Now(), arrivals: map[string]arrivals{},
+		leader: l, pending: map[string]*pendingOrder{}, orders: map[string]int64{}, knownSince: map[string]time.Time{},
+		lastArrival: l.clock.Now(), arrivals: map[string]arrivals{},
 	}
 }
 
@@ -225,29 +225,29 @@
 
 // checkOrder queries a server for the outcome of its order.
 func (t *term) checkOrder(ctx context.Context, s *backend.Server, p *pendingOrder) {
-	g := t.leader
+	l := t.leader
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	report, err := g.engines.Report(ctx, s.Addr())
+	report, err := l.engines.Report(ctx, s.Addr())
 	if err != nil || report.Born != s.Incarnation().Born {
 		// The server may be gone or have restarted, which its entry will show. Until then it counts as holding what it was
 		// ordered to hold.
-		p.since = g.clock.Now()
+		p.since = l.clock.Now()
 		return
 	}
 	t.orders[s.Incarnation().String()] = report.Orders
 	if report.Busy {
 		// Whether the server is carrying out this order or another one shows only when it has finished.
-		p.since = g.clock.Now()
+		p.since = l.clock.Now()
 		return
 	}
 	p.uncertain = false
 	if report.Layers == p.layers {
-		p.since = g.clock.Now()
+		p.since = l.clock.Now()
 		return
 	}
 	delete(t.pending, s.Incarnation().String())
-	g.log.WithFields(logrus.Fields{
+	l.log.WithFields(logrus.Fields{
 		"server": s.ID(), "layers": p.layers.String(), "holds": report.Layers.String(), "orders": report.Orders,
 	}).Warn("order had no effect")
 }
@@ -290,26 +290,26 @@
 
 // recordOrder logs an order and its outcome and keeps it as pending.
 func (t *term) recordOrder(ctx context.Context, engine *catalog.Engine, s *backend.Server, o placement.Order, err error) {
-	g := t.leader
-	g.stats.Counter("orders_total").Inc(1)
+	l := t.leader
+	l.stats.Counter("orders_total").Inc(1)
 	load := time.Duration(float64(engine.LoadTime) * float64(o.Layers.Count()) / float64(engine.Layers))
-	p := &pendingOrder{layers: o.Layers, since: g.clock.Now(), timeout: 2*load + orderSlack}
+	p := &pendingOrder{layers: o.Layers, since: l.clock.Now(), timeout: 2*load + orderSlack}
 	fields := logrus.Fields{
 		"server": s.ID(), "address": s.Addr(), "layers": o.Layers.String(), "moves": o.Moves, "expect_orders": t.expectedOrders(s),
-		"lease": g.lease.grant.Lease,
+		"lease": l.lease.grant.Lease,
 	}
 	switch {
 	case err == nil:
 		t.pending[s.Incarnation().String()] = p
 		t.orders[s.Incarnation().String()] = t.expectedOrders(s) + 1
-		g.log.WithFields(fields).Info("order given")
+		l.log.WithFields(fields).Info("order given")
 	case errors.Is(err, backend.ErrNoAnswer):
 		p.uncertain = true
 		t.pending[s.Incarnation().String()] = p
-		g.log.WithFields(fields).WithError(err).Warn("order without an answer")
+		l.log.WithFields(fields).WithError(err).Warn("order without an answer")
 	default:
-		g.stats.Counter("orders_refused_total").Inc(1)
-		g.log.WithFields(fields).WithError(err).Warn("order refused")
+		l.stats.Counter("orders_refused_total").Inc(1)
+		l.log.WithFields(fields).WithError(err).Warn("order refused")
 		// A server that is carrying out an order of a former leader refuses all others until it has finished.
 		p.uncertain = true
 		t.pending[s.Incarnation().String()] = p
--- a/leader/term_test.go
+++ b/leader/term_test.go
@@ -94,29 +94,29 @@
 // TestBusyServerIsNotOrderedInEachRound places layers while an empty server carries out the order of another leader and
 // refuses all others: it must get one order, not one in each round.
 func TestBusyServerIsNotOrderedInEachRound(t *testing.T) {
-	caller := newFakeServers()
-	term, clock := newTestTerm(t, caller)
+	engines := newFakeServers()
+	term, clock := newTestTerm(t, engines)
 	whole := server(1, "fast", models.Layers{First: 0, End: 8})
 	empty := server(2, "fast", models.Layers{})
-	caller.busy[empty.Addr()] = true
+	engines.busy[empty.Addr()] = true
 	for range 10 {
 		term.place(t.Context(), engine(), []*backend.Server{whole, empty})
 		clock.Advance(roundPeriod)
 	}
-	require.Len(t, caller.placed[empty.Addr()], 1)
-	caller.busy[empty.Addr()] = false
+	require.Len(t, engines.placed[empty.Addr()], 1)
+	engines.busy[empty.Addr()] = false
 	for range 20 {
 		term.place(t.Context(), engine(), []*backend.Server{whole, empty})
 		clock.Advance(roundPeriod)
 	}
-	require.Len(t, caller.placed[empty.Addr()], 2, "it is ordered again once it is free")
+	require.Len(t, engines.placed[empty.Addr()], 2, "it is ordered again once it is free")
 }
 
 // TestAColdServiceWaitsForItsFastServers lets a slow server appear a heartbeat before the fast one, which must still become
 // the first server of the path.
 func TestAColdServiceWaitsForItsFastServers(t *testing.T) {
-	caller := newFakeServers()
-	term, clock := newTestTerm(t, caller)
+	engines := newFakeServers()
+	term, clock := newTestTerm(t, engines)
 	slow, fast := server(1, "slow", models.Layers{}), server(2, "fast", models.Layers{})
 	present := []*backend.Server{slow}
 	for elapsed := time.Duration(0); elapsed < 3*time.Second; elapsed += roundPeriod {
@@ -126,15 +126,15 @@
 		term.place(t.Context(), engine(), present)
 		clock.Advance(roundPeriod)
 	}
-	require.Len(t, caller.placed[fast.Addr()], 1)
-	require.Equal(t, 0, caller.placed[fast.Addr()][0].First, "the fast server is first on the path")
+	require.Len(t, engines.placed[fast.Addr()], 1)
+	require.Equal(t, 0, engines.placed[fast.Addr()][0].First, "the fast server is first on the path")
 }
 
 // TestAnEmptyServerWaitsForTheOneThatItReplaces lets an empty server appear a second before one that holds layers leaves, as
 // a release does: it must take just the layers of that one.
 func TestAnEmptyServerWaitsForTheOneThatItReplaces(t *testing.T) {
-	caller := newFakeServers()
-	term, clock := newTestTerm(t, caller)
+	engines := newFakeServers()
+	term, clock := newTestTerm(t, engines)
 	first, second := server(1, "fast", models.Layers{First: 0, End: 4}), server(2, "fast", models.Layers{First: 4, End: 8})
 	empty := server(3, "slow", models.Layers{})
 	rounds := func(of time.Duration, present ...*backend.Server) {
@@ -145,29 +145,29 @@
 	}
 	rounds(4*time.Second, first, second)
 	rounds(time.Second, first, second, empty)
-	require.Empty(t, caller.placed[empty.Addr()], "it is not known yet which server it replaces")
+	require.Empty(t, engines.placed[empty.Addr()], "it is not known yet which server it replaces")
 	rounds(roundPeriod, first, empty)
-	require.Equal(t, []models.Layers{{First: 4, End: 8}}, caller.placed[empty.Addr()])
+	require.Equal(t, []models.Layers{{First: 4, End: 8}}, engines.placed[empty.Addr()])
 }
 
 // TestEmptyServerThatReplacesNoServerIsPlaced adds an empty server while no server leaves: it must get layers when its
 // reservation ends.
 func TestEmptyServerThatReplacesNoServerIsPlaced(t *testing.T) {
-	caller := newFakeServers()
-	term, clock := newTestTerm(t, caller)
+	engines := newFakeServers()
+	term, clock := newTestTerm(t, engines)
 	whole, empty := server(1, "fast", models.Layers{First: 0, End: 8}), server(2, "slow", models.Layers{})
 	for elapsed := time.Duration(0); elapsed < replacementWait+maxQuietWait; elapsed += roundPeriod {
 		term.place(t.Context(), engine(), []*backend.Server{whole, empty})
 		clock.Advance(roundPeriod)
 	}
-	require.Len(t, caller.placed[empty.Addr()], 1)
+	require.Len(t, engines.placed[empty.Addr()], 1)
 }
 
 // TestArrivalsInOtherDomainsDoNotDelayADomain lets servers appear in another domain one after the other: an empty server
 // must not wait for a quiet period there.
 func TestArrivalsInOtherDomainsDoNotDelayADomain(t *testing.T) {
-	caller := newFakeServers()
-	term, clock := newTestTerm(t, caller)
+	engines := newFakeServers()
+	term, clock := newTestTerm(t, engines)
 	empty := server(2, "slow", models.Layers{})
 	present := []*backend.Server{server(1, "fast", models.Layers{First: 0, End: 8}), empty}
 	for elapsed := time.Duration(0); elapsed < replacementWait+2*roundPeriod; elapsed += roundPeriod {
@@ -175,7 +175,7 @@
 		term.place(t.Context(), engine(), present)
 		clock.Advance(roundPeriod)
 	}
-	require.Len(t, caller.placed[empty.Addr()], 1)
+	require.Len(t, engines.placed[empty.Addr()], 1)
 }
 
 // TestADomainThatIsTooSmallIsLogged leaves a domain with one server, which holds half of the model.
@@ -208,14 +208,14 @@
 		held models.Layers
 		cuts int
 	}{{models.Layers{First: 0, End: 4}, 0}, {models.Layers{First: 4, End: 8}, 1}} {
-		caller := newFakeServers()
-		term, clock := newTestTerm(t, caller)
+		engines := newFakeServers()
+		term, clock := newTestTerm(t, engines)
 		servers := []*backend.Server{server(1, "fast", c.held), server(2, "fast", c.held)}
 		for elapsed := time.Duration(0); elapsed < replacementWait; elapsed += roundPeriod {
 			term.place(t.Context(), smallEngine(), servers)
 			clock.Advance(roundPeriod)
 		}
-		require.Len(t, caller.placed, 1, "one of them moves")
-		require.Equal(t, c.cuts, caller.cuts, "orders that cut the streams through a holder of %s", c.held)
+		require.Len(t, engines.placed, 1, "one of them moves")
+		require.Equal(t, c.cuts, engines.cuts, "orders that cut the streams through a holder of %s", c.held)
 	}
 }
