--- a/placement/decide.go
+++ b/placement/decide.go
@@ -94,7 +94,7 @@
 	budget := c.countLayers(servers)
 	for _, s := range free {
 		usual := LayersOf(c.engine, s.Kind, wantedSequences)
-		r, ok := c.choose(s, budget.mayBeStandby(s.Domain, usual, c.engine.Layers))
+		r, ok := c.chooseRange(s, budget.mayBeStandby(s.Domain, usual, c.engine.Layers))
 		if !ok {
 			continue
 		}
@@ -108,8 +108,8 @@
 	return orders
 }
 
-// choose returns the range that an empty server should hold; false means that no layer fits.
-func (c *coverageMap) choose(s *Server, mayBeStandby bool) (models.Layers, bool) {
+// chooseRange returns the range that an empty server should hold; false means that no layer fits.
+func (c *coverageMap) chooseRange(s *Server, mayBeStandby bool) (models.Layers, bool) {
 	n := LayersOf(c.engine, s.Kind, wantedSequences)
 	if n == 0 {
 		return models.Layers{}, false
--- a/placement/retile.go
+++ b/placement/retile.go
@@ -117,12 +117,12 @@
 // nextOrder returns the next order on the way from what a server holds to the range to: the range itself when every layer
 // that the server drops has another holder, otherwise the union of both when it fits; false means that neither is possible
 // now.
-func nextOrder(e *catalog.Engine, live *coverageMap, s *Server, to models.Layers) (Order, bool) {
-	if live.othersHold(s, to) {
+func nextOrder(e *catalog.Engine, live *coverageMap, s *Server, target models.Layers) (Order, bool) {
+	if live.othersHold(s, target) {
 		live.add(s, s.Layers, -1)
-		return Order{ID: s.ID, Layers: to, Moves: true}, true
+		return Order{ID: s.ID, Layers: target, Moves: true}, true
 	}
-	union := models.Layers{First: min(s.Layers.First, to.First), End: max(s.Layers.End, to.End)}
+	union := models.Layers{First: min(s.Layers.First, target.First), End: max(s.Layers.End, target.End)}
 	if union != s.Layers && sequencesOf(e, s.Kind, union.Count()) >= minRetiledSequences/2 {
 		return Order{ID: s.ID, Layers: union, Moves: true}, true
 	}
@@ -130,11 +130,11 @@
 }
 
 // othersHold reports whether every layer that the server would drop for the range to has another holder in its domain.
-func (c *coverageMap) othersHold(s *Server, to models.Layers) bool {
+func (c *coverageMap) othersHold(s *Server, target models.Layers) bool {
 	d := c.ofDomain(s.Domain)
 	own := max(sequencesOf(c.engine, s.Kind, s.Layers.Count()), 1)
 	for l := s.Layers.First; l < s.Layers.End; l++ {
-		if (l < to.First || l >= to.End) && d[l]-own < minRoom {
+		if (l < target.First || l >= target.End) && d[l]-own < minRoom {
 			return false
 		}
 	}
