--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -12,8 +12,8 @@
 const maxDoublings = 16
 
 // Backoff returns an exponential backoff: first, doubled so many times, but no more than longest.
-func Backoff(first, longest time.Duration, times int) time.Duration {
-	return min(first<<min(times, maxDoublings), longest)
+func Backoff(first, longest time.Duration, doublings int) time.Duration {
+	return min(first<<min(doublings, maxDoublings), longest)
 }
 
 // Pause returns how long to wait before a retry, by exponential backoff with full jitter. Retries are counted from zero, and the
--- a/retry/pace_test.go
+++ b/retry/pace_test.go
@@ -29,9 +29,9 @@
 }
 
 // run advances the time by lasts; in each step, each instance has a request for the server with probability demand.
-func (f *pacedFleet) run(lasts time.Duration, demand float64) {
+func (f *pacedFleet) run(span time.Duration, demand float64) {
 	quota := QuotaOf(f.limit, len(f.pacers))
-	for range lasts / paceStep {
+	for range span / paceStep {
 		sent := 0
 		for i := range f.pacers {
 			if f.random.Float64() < demand && f.pacers[i].Ready(quota, f.now, f.random.Float64()) {
--- a/retry/synccircuit.go
+++ b/retry/synccircuit.go
@@ -12,36 +12,36 @@
 }
 
 // Failed records a failure.
-func (g *SyncCircuit) Failed(now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.circuit.Failed(now)
+func (c *SyncCircuit) Failed(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.circuit.Failed(now)
 }
 
 // Succeeded closes the circuit.
-func (g *SyncCircuit) Succeeded() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.circuit.Succeeded()
+func (c *SyncCircuit) Succeeded() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.circuit.Succeeded()
 }
 
 // ReleaseTrial allows another trial request, after one whose outcome says nothing about the server.
-func (g *SyncCircuit) ReleaseTrial() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.circuit.ReleaseTrial()
+func (c *SyncCircuit) ReleaseTrial() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.circuit.ReleaseTrial()
 }
 
 // StartTrial records that the single trial request is sent once the circuit has been open for long enough.
-func (g *SyncCircuit) StartTrial() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.circuit.StartTrial()
+func (c *SyncCircuit) StartTrial() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.circuit.StartTrial()
 }
 
 // Open reports whether work must be kept away from the server now.
-func (g *SyncCircuit) Open(now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.circuit.Open(now)
+func (c *SyncCircuit) Open(now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.circuit.Open(now)
 }
--- a/retry/windowcounter.go
+++ b/retry/windowcounter.go
@@ -20,46 +20,46 @@
 }
 
 // Add counts one event.
-func (t *WindowCounter) Add(now time.Time) {
-	t.advance(now)
-	t.counts[t.current]++
+func (w *WindowCounter) Add(now time.Time) {
+	w.advance(now)
+	w.counts[w.current]++
 }
 
 // Sum returns the number of events in the window.
-func (t *WindowCounter) Sum(now time.Time) int {
-	t.advance(now)
-	return t.total()
+func (w *WindowCounter) Sum(now time.Time) int {
+	w.advance(now)
+	return w.total()
 }
 
 // setSlot changes the length of the slots. All events counted so far are counted as if they had happened in the current slot.
-func (t *WindowCounter) setSlot(slot time.Duration) {
-	if slot == t.slot {
+func (w *WindowCounter) setSlot(slot time.Duration) {
+	if slot == w.slot {
 		return
 	}
-	sum := t.total()
-	clear(t.counts)
-	t.counts[t.current], t.slot = sum, slot
+	sum := w.total()
+	clear(w.counts)
+	w.counts[w.current], w.slot = sum, slot
 }
 
-func (t *WindowCounter) total() int {
+func (w *WindowCounter) total() int {
 	sum := 0
-	for _, c := range t.counts {
+	for _, c := range w.counts {
 		sum += c
 	}
 	return sum
 }
 
-func (t *WindowCounter) advance(now time.Time) {
-	if t.slotStart.IsZero() {
-		t.slotStart = now
+func (w *WindowCounter) advance(now time.Time) {
+	if w.slotStart.IsZero() {
+		w.slotStart = now
 	}
-	steps := int(now.Sub(t.slotStart) / t.slot)
+	steps := int(now.Sub(w.slotStart) / w.slot)
 	if steps <= 0 {
 		return
 	}
-	t.slotStart = t.slotStart.Add(time.Duration(steps) * t.slot)
-	for range min(steps, len(t.counts)) {
-		t.current = (t.current + 1) % len(t.counts)
-		t.counts[t.current] = 0
+	w.slotStart = w.slotStart.Add(time.Duration(steps) * w.slot)
+	for range min(steps, len(w.counts)) {
+		w.current = (w.current + 1) % len(w.counts)
+		w.counts[w.current] = 0
 	}
 }
