--- a/chain/repair_test.go
+++ b/chain/repair_test.go
@@ -25,7 +25,7 @@
 	return 1e12
 }
 
-func mendEngine() *catalog.Engine {
+func repairEngine() *catalog.Engine {
 	return &catalog.Engine{
 		Layers: 12, LayerMB: 100, TokenBytes: 8000, Step: time.Millisecond, ReadPerSecond: 1e5, UsualPrompt: 100, UsualAnswer: 40,
 		ActivationBytes: 29500, LinkMbps: 4000, Kinds: []catalog.Kind{{Name: "k", MemoryMB: 1000, StepPace: 1, ReadPace: 1}},
@@ -45,7 +45,7 @@
 // TestRepairKeepsOtherStagesAndStaysInTheDomain loses the middle one of three servers. A much faster server is in another domain;
 // the repair must use it only when its own domain has no room.
 func TestRepairKeepsOtherStagesAndStaysInTheDomain(t *testing.T) {
-	e := mendEngine()
+	e := repairEngine()
 	e.Kinds = append(e.Kinds, catalog.Kind{Name: "fast", MemoryMB: 1000, StepPace: 0.01, ReadPace: 0.01})
 	fast := node(e, 4, "b", 0, 12)
 	fast.Kind = &e.Kinds[1]
@@ -72,7 +72,7 @@
 // once, on servers that hold it, and keep the servers that are not lost.
 func TestRepairedPathsTileTheModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := mendEngine()
+		e := repairEngine()
 		var nodes []chain.Node
 		for s := range rapid.IntRange(4, 30).Draw(t, "servers") {
 			first := rapid.IntRange(0, 11).Draw(t, "first")
