--- a/backend/atomictime.go
+++ b/backend/atomictime.go
@@ -10,31 +10,31 @@
 type atomicTime struct{ at atomic.Pointer[time.Time] }
 
 // load returns the time, or the zero time if none is set.
-func (m *atomicTime) load() time.Time {
-	if at := m.at.Load(); at != nil {
+func (t *atomicTime) load() time.Time {
+	if at := t.at.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
 // store sets the time; the zero time means that none is set.
-func (m *atomicTime) store(at time.Time) { m.at.Store(&at) }
+func (t *atomicTime) store(at time.Time) { t.at.Store(&at) }
 
 // storeIfUnset sets the time if none is set.
-func (m *atomicTime) storeIfUnset(at time.Time) {
+func (t *atomicTime) storeIfUnset(at time.Time) {
 	for {
-		was := m.at.Load()
-		if was != nil && !was.IsZero() || m.at.CompareAndSwap(was, &at) {
+		was := t.at.Load()
+		if was != nil && !was.IsZero() || t.at.CompareAndSwap(was, &at) {
 			return
 		}
 	}
 }
 
 // storeIfLater sets the time if it is later than the present one.
-func (m *atomicTime) storeIfLater(at time.Time) {
+func (t *atomicTime) storeIfLater(at time.Time) {
 	for {
-		was := m.at.Load()
-		if was != nil && !at.After(*was) || m.at.CompareAndSwap(was, &at) {
+		was := t.at.Load()
+		if was != nil && !at.After(*was) || t.at.CompareAndSwap(was, &at) {
 			return
 		}
 	}
--- a/backend/sharedreport.go
+++ b/backend/sharedreport.go
@@ -45,7 +45,7 @@
 }
 
 // bad reports whether the server that w describes should get no new work if other servers can take it.
-func (w SharedReport) bad() bool { return w.Silent || w.Pace >= slowPace }
+func (r SharedReport) bad() bool { return r.Silent || r.Pace >= slowPace }
 
 // NoteAnswer records that the server answered a state query of this instance.
 func (s *Server) NoteAnswer(now time.Time) {
@@ -89,11 +89,11 @@
 
 // reportLocked returns the latest report on the server; the caller holds the lock.
 func (s *Server) reportLocked(now time.Time) SharedReport {
-	w := SharedReport{ID: s.incarnation.ID, Born: s.incarnation.Born, Age: now.Sub(s.reportSource.queriedAt), Silent: s.reportSource.silent}
-	if !w.Silent {
-		w.Pace, w.Used, w.Total, w.Waiting = s.pace, s.memory.used, s.memory.total, s.memory.waiting
+	r := SharedReport{ID: s.incarnation.ID, Born: s.incarnation.Born, Age: now.Sub(s.reportSource.queriedAt), Silent: s.reportSource.silent}
+	if !r.Silent {
+		r.Pace, r.Used, r.Total, r.Waiting = s.pace, s.memory.used, s.memory.total, s.memory.waiting
 	}
-	return w
+	return r
 }
 
 // ReportAge returns the age of the latest report on the server, whichever instance queried it.
@@ -105,23 +105,23 @@
 
 // ApplySharedReport applies a report from another instance, if it is newer than the latest one. It reports whether the server was
 // good by the former report and is bad by this one: silent or slow.
-func (s *Server) ApplySharedReport(w SharedReport, now time.Time) bool {
-	at := now.Add(-w.Age)
+func (s *Server) ApplySharedReport(r SharedReport, now time.Time) bool {
+	at := now.Add(-r.Age)
 	s.mu.Lock()
 	if at.Sub(s.reportSource.queriedAt) < minNewer {
 		s.mu.Unlock()
 		return false
 	}
 	was := s.reportLocked(now).bad()
-	s.reportSource = reportSource{queriedAt: at, learnedAt: now, silent: w.Silent}
-	if !w.Silent && w.Total > 0 {
-		s.pace, s.paceAt = w.Pace, at
-		s.memory.used, s.memory.total, s.memory.waiting = w.Used, w.Total, w.Waiting
+	s.reportSource = reportSource{queriedAt: at, learnedAt: now, silent: r.Silent}
+	if !r.Silent && r.Total > 0 {
+		s.pace, s.paceAt = r.Pace, at
+		s.memory.used, s.memory.total, s.memory.waiting = r.Used, r.Total, r.Waiting
 		s.memory.at, s.memory.reservedAtReport = at, s.reserved.Load()
 	}
 	s.mu.Unlock()
-	if w.Silent {
+	if r.Silent {
 		s.SetAside(at.Add(sharedSilenceTime))
 	}
-	return w.bad() && !was
+	return r.bad() && !was
 }
