--- a/backend/memory.go
+++ b/backend/memory.go
@@ -16,7 +16,7 @@
 	refusedAt time.Time
 }
 
-// SetMemory applies the server's report on its memory, which all instances use.
+// SetMemory applies the server's report on its memory; the report includes the requests of all instances.
 func (s *Server) SetMemory(used, total float64, waiting int, now time.Time) {
 	if total <= 0 {
 		return
@@ -38,7 +38,8 @@
 
 // Filled returns the fraction of the server's memory that all instances use: what its last report said, if that is no older than
 // age, and the change of this instance's reservations since. An increase is multiplied by instances, since the other instances
-// have probably added as much. False means that the use is not known.
+// have probably added as much. A server that has just refused work for lack of memory counts as full. False means that the
+// fraction is not known.
 func (s *Server) Filled(now time.Time, age time.Duration, instances float64) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/backend/report.go
+++ b/backend/report.go
@@ -15,7 +15,7 @@
 	ErrNoAnswer = errors.New("backend: no answer")
 	// ErrNotListening means that nothing listens at the address. An error that is ErrNotListening is also ErrNoAnswer.
 	ErrNotListening = errors.New("backend: nothing listens at the address")
-	// ErrStale means that the server's state has changed since the one that the order was decided on.
+	// ErrStale means that the server's state has changed since the order was decided on.
 	ErrStale = errors.New("backend: order does not fit the server's state")
 	// ErrUnknownRequest means that the server does not know the request.
 	ErrUnknownRequest = errors.New("backend: no such request")
--- a/backend/server.go
+++ b/backend/server.go
@@ -52,7 +52,7 @@
 	// ctx ends once another incarnation of the server is known, so that this one no longer runs anything; cancel ends it.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// ended is true once nothing listens at the server's address any more, as far as is known.
+	// ended is true once the server is known to have terminated.
 	ended atomic.Bool
 	// leavingSince is when this instance first learned that the server leaves, if it has.
 	leavingSince atomicTime
@@ -162,7 +162,7 @@
 // Layers returns the range of layers that the server holds.
 func (s *Server) Layers() models.Layers { return *s.layers.Load() }
 
-// Leaving reports whether the server takes no new work.
+// Leaving reports whether the server takes no new work, since it leaves or its entry was removed.
 func (s *Server) Leaving() bool { return s.leaving.Load() || s.gone.Load() || s.leaveNotice.Load() }
 
 // NoteLeaving records when the instance learned that the server leaves. If that is known already, it changes nothing.
--- a/backend/sharedreport.go
+++ b/backend/sharedreport.go
@@ -44,7 +44,7 @@
 	silent bool
 }
 
-// bad reports whether the server that w describes should get no new work if other servers can take it.
+// bad reports whether the server that the report describes should get no new work if other servers can take it.
 func (r SharedReport) bad() bool { return r.Silent || r.Pace >= slowPace }
 
 // NoteAnswer records that the server answered a state query of this instance.
