--- a/retry/pace.go
+++ b/retry/pace.go
@@ -14,12 +14,12 @@
 	// smallFleetUse is the fraction of a limit that a small fleet uses. Each of its instances may keep one permit unused, and the
 	// rest of the limit leaves room for all of these permits being used at once.
 	smallFleetUse = 0.75
-	// A fleet is small, so that there is room for an unused permit of each instance, up to smallFleetShare instances for each
-	// request a second of the limit, and smallFleetFixed more.
+	// A fleet is small up to smallFleetShare instances for each request a second of the limit, and smallFleetFixed more: up to
+	// that number, the server accepts an unused permit of every instance at once.
 	smallFleetShare, smallFleetFixed = 2.0, 4.0
-	// deviations is the number of standard deviations above the mean for which the requests of a large fleet in a window leave
-	// room, since they come at random times. Low limits need as many: small counts deviate further than a normal distribution
-	// does.
+	// deviations is how many standard deviations above its mean the number of requests in a window may be before the server
+	// refuses some; the requests of a large fleet come at random times. Low limits need as many as this, since small counts
+	// deviate further than a normal distribution does.
 	deviations = 8.0
 	// permitLifetime is how long an instance of a large fleet may keep its permit unused. With a longer lifetime, more instances
 	// would hold permits, and could all use them at the same time.
@@ -27,8 +27,8 @@
 	// minLimit is the limit, in requests a second, that a small fleet assumes instead of a lower one: an instance learns only
 	// from the answer to a request that a limit has ended, so that it must not stop sending.
 	minLimit = 0.1
-	// initialDelay is how long an instance sends nothing after it has learned of a limit: the server has just got
-	// more requests than the limit allows.
+	// initialDelay is how long an instance sends nothing after it has learned of a limit: the server has just got more requests
+	// than the limit allows.
 	initialDelay = 2500 * time.Millisecond
 )
 
@@ -52,7 +52,8 @@
 
 // largeFleetRate returns the rate, in requests a second, at which a large fleet sends. Its instances send at random and
 // independently of each other, so that the number of requests in a window has a standard deviation of the square root of its
-// mean. The mean is chosen so that the mean plus deviations times its square root is the number that is allowed in a window.
+// mean. The mean is chosen so that the mean plus deviations times its square root is the number that is allowed in a window. It
+// is spread over the window and permitLifetime, since permits from before the window may be used in it.
 func largeFleetRate(perSecond float64) float64 {
 	allowed := limitShare*limitWindow.Seconds()*perSecond + limitFixed
 	root := (math.Sqrt(deviations*deviations+4*allowed) - deviations) / 2
