--- a/chain/choose.go
+++ b/chain/choose.go
@@ -49,7 +49,7 @@
 // Path is a sequence of servers whose layer ranges tile the requested layers, with the predicted times.
 type Path struct {
 	Hops []Hop
-	// Step is the predicted time between two tokens.
+	// Step is the predicted time between two tokens, including crossingPenalty for each hop to another domain.
 	Step time.Duration
 	// Read is the predicted time to read the prompt on servers that read no other prompt meanwhile.
 	Read time.Duration
@@ -66,12 +66,12 @@
 	return choose(g, state, need, first.Layers.End, first.Server)
 }
 
-// partialPath is the cheapest known path to the boundary before a layer whose last server is in a given domain.
+// partialPath is the cheapest known path that ends at the boundary before a given layer, with its last server in a given domain.
 type partialPath struct {
 	cost time.Duration
 	// node is the last node of the path, or -1 at its start.
 	node int
-	// from and fromDomain are the boundary at which that node is entered and the domain of the node before it.
+	// from is the boundary at which that node is entered, and fromDomain the index of the domain of the node before it.
 	from       int
 	fromDomain int
 }
@@ -81,7 +81,7 @@
 
 // choose finds the path with the lowest cost by dynamic programming over the boundaries between layers, from start on. A path
 // may enter a server at any layer that it holds and runs it to the end of its range, so that no server is on a path twice. The
-// server used is left out; -1 means none.
+// parameter used is a server to leave out, or -1.
 func choose(g *Graph, state State, need Need, start, used int) (Path, bool) {
 	domains := len(g.domains)
 	best := make([]partialPath, (g.engine.Layers+1)*domains)
@@ -105,7 +105,8 @@
 	return trace(g, best, need, start)
 }
 
-// markStart sets the cost of the starting point to 0: in the domain of the kept first hop, or else in that of the request.
+// markStart sets the cost of the starting point to 0: in the domain of the kept first hop, or else in that of the request, or in
+// the first domain if no server is in that one.
 func markStart(g *Graph, best []partialPath, need Need, start, used int) {
 	domain := need.Domain
 	for i, n := range g.nodes {
@@ -143,7 +144,8 @@
 	return out
 }
 
-// relax extends the paths that reach the boundary at by node n and keeps those that are cheaper than the ones known so far.
+// relax adds node n to the paths in row, which end at the boundary before layer at, and keeps those that are cheaper than the
+// ones known so far.
 func relax(g *Graph, state State, need Need, best, row []partialPath, n, at int) {
 	node := &g.nodes[n]
 	layers := node.Layers.End - at
--- a/chain/lanes.go
+++ b/chain/lanes.go
@@ -27,7 +27,7 @@
 
 // Lanes splits the memory of the usable servers into lanes. First come lanes within one domain, as many as its memory allows:
 // each is the fastest of those that are not much narrower than the widest. Then come lanes across domains from the memory that
-// is left, the widest first. Need gives the tokens of a usual request.
+// is left, the widest first. The need gives the tokens of a usual request.
 //
 // Pace returns how many times slower than usual a server is; its share of the work is divided by that number.
 //
--- a/chain/lanesearch.go
+++ b/chain/lanesearch.go
@@ -9,7 +9,8 @@
 type partialLane struct {
 	// sequences is the number of sequences that every server of the lane has memory for; 0 means that there is no lane.
 	sequences float64
-	cost      time.Duration
+	// cost is the predicted time between two tokens, including crossingPenalty for each crossing.
+	cost time.Duration
 	// node is the last node of the lane, or -1 at its start; from is the boundary at which it is entered.
 	node      int
 	from      int
@@ -71,7 +72,7 @@
 	return best
 }
 
-// extend returns the lane before, extended by node n from the boundary at to the end of the node's range.
+// extend returns the lane before with node n added to it; the node runs the layers from at to the end of its range.
 func (s *laneSplitter) extend(before *partialLane, n, at int) partialLane {
 	node := &s.graph.nodes[n]
 	layers := node.Layers.End - at
--- a/chain/repair.go
+++ b/chain/repair.go
@@ -99,15 +99,15 @@
 	return f.trace()
 }
 
-// row returns the partial paths to the boundary at, by the domain of their last server.
+// row returns the partial paths that end at the boundary before layer at, by the domain of their last server.
 func (f *gapFiller) row(at int) []partialPath {
 	domains := len(f.graph.domains)
 	first := (at - f.gap.First) * domains
 	return f.best[first : first+domains]
 }
 
-// extend extends the paths that reach the boundary at by node n, to the end of its range or of the gap, and keeps those that are
-// cheaper than the ones known so far.
+// extend adds node n to the paths that end at the boundary before layer at, and keeps those that are cheaper than the ones known
+// so far. The node runs the layers up to the end of its range or of the gap.
 func (f *gapFiller) extend(n, at int) {
 	node := &f.graph.nodes[n]
 	if f.used[node.Server] || f.repair.Lost(node.Server) || !f.state.Usable(node.Server) {
