--- a/placement/cover.go
+++ b/placement/cover.go
@@ -64,8 +64,8 @@
 	// without one in the domain paths cross to other domains.
 	missingInFleet  = 10000.0
 	missingInDomain = 100.0
-	// loadCost is subtracted from the value of a move for each layer that it loads: loading takes seconds of one server,
-	// which is little against a missing layer, which sends all paths of its domain elsewhere.
+	// loadCost is subtracted from the value of a move for each layer that it loads. Loading takes seconds of one server, which
+	// costs little compared with a missing layer: that sends all paths of its domain elsewhere.
 	loadCost = 2.0
 	// minRoom is the number of sequences below which a layer counts as having no holder; rounding may leave a small
 	// remainder there.
--- a/placement/retile.go
+++ b/placement/retile.go
@@ -14,7 +14,8 @@
 
 // retile returns the orders that bring the servers of a domain with missing layers to a tiling of the whole model, with as
 // much memory for sequences as that leaves. It is the last resort, for domains that have lost servers for good and have none
-// to spare: ranges are shifted by a few layers at a time, and a server drops a layer only when another one holds it.
+// to spare. The servers keep their order along the model, so that their ranges shift by few layers, and a server drops a layer
+// only when another one holds it.
 func retile(e *catalog.Engine, servers []Server) []Order {
 	live := settledCoverageMap(e, servers)
 	planned := newCoverageMap(e, servers)
@@ -114,9 +115,9 @@
 	return total
 }
 
-// nextOrder returns the next order on the way from what a server holds to the range to: the range itself when every layer
-// that the server drops has another holder, otherwise the union of both when it fits; false means that neither is possible
-// now.
+// nextOrder returns the next order that brings a server from the range that it holds to the target range: the target itself if
+// every layer that the server drops has another holder, otherwise the range that spans both if it fits; false means that neither
+// is possible now.
 func nextOrder(e *catalog.Engine, live *coverageMap, s *Server, target models.Layers) (Order, bool) {
 	if live.othersHold(s, target) {
 		live.add(s, s.Layers, -1)
@@ -129,7 +130,7 @@
 	return Order{}, false
 }
 
-// othersHold reports whether every layer that the server would drop for the range to has another holder in its domain.
+// othersHold reports whether every layer that the server would drop for the target range has another holder in its domain.
 func (c *coverageMap) othersHold(s *Server, target models.Layers) bool {
 	d := c.ofDomain(s.Domain)
 	own := max(sequencesOf(c.engine, s.Kind, s.Layers.Count()), 1)
--- a/placement/standby.go
+++ b/placement/standby.go
@@ -28,9 +28,9 @@
 	return out
 }
 
-// mayBeStandby reports whether a server that can hold usual layers with wantedSequences may be a standby server. Standbys are
-// limited to the memory that is left over when the domain holds as many whole copies of the model as it can; they are the
-// slowest servers, which are placed last.
+// mayBeStandby reports whether a server may be a standby server; usual is the number of layers that it can hold with
+// wantedSequences beside them, and layers the number of layers of the model. Standbys are limited to the memory that is left
+// over when the domain holds as many whole copies of the model as it can; they are the slowest servers, which are placed last.
 func (s layerBudget) mayBeStandby(domain string, usual, layers int) bool {
 	leftOver := s.all[domain] % layers
 	return s.free[domain] <= leftOver && s.standby[domain]+usual <= leftOver
