--- a/leader/arrivals_test.go
+++ b/leader/arrivals_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestServersThatAppearTogetherAreWaitedFor follows a domain whose entries come back after a partition.
+// TestServersThatAppearTogetherAreWaitedFor lets the entries of a domain come back after a partition.
 func TestServersThatAppearTogetherAreWaitedFor(t *testing.T) {
 	const nothingMissing, nearlyAllMissing = 0.0, 0.8
 	start := time.Unix(100, 0)
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -33,12 +33,12 @@
 	quietTime = 400 * time.Millisecond
 	// maxQuietWait is the longest that empty servers wait for such a quiet period.
 	maxQuietWait = 1500 * time.Millisecond
-	// replacementWait is how long an empty server of a domain that does not lack most of a model is reserved for one that it
-	// may have been started to replace; such a server usually leaves within that time.
+	// replacementWait is how long a new empty server is reserved, since it may have been started to replace another one, which
+	// then usually leaves within that time. In a domain that lacks most of a model, no servers are reserved.
 	replacementWait = 1500 * time.Millisecond
-	// coldQuietTime and maxColdQuietWait are the same for a cold service, of which no server holds any layer: it serves no
-	// requests meanwhile, and the fastest servers can be chosen only when all are known. Entries appear within one heartbeat
-	// of the platform, 1.2 s.
+	// coldQuietTime and maxColdQuietWait replace quietTime and maxQuietWait for a cold service, of which no server holds any
+	// layer: it serves no requests meanwhile, and the fastest servers can be chosen only when all are known. Entries appear
+	// within one heartbeat of the platform, 1.2 s.
 	coldQuietTime    = 1500 * time.Millisecond
 	maxColdQuietWait = 4 * time.Second
 )
@@ -159,7 +159,7 @@
 	l.clock.Sleep(ctx, roundPeriod)
 }
 
-// renew renews the lease; a lease that has ended is dropped.
+// renew renews the lease, or drops it if it has ended.
 func (l *Leader) renew(ctx context.Context) {
 	sentAt := l.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
--- a/leader/term.go
+++ b/leader/term.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// orderTimeout limits a call that gives an order or asks for a server's report.
+	// orderTimeout limits a call that gives an order to a server or queries its state.
 	orderTimeout = 500 * time.Millisecond
 	// maxConcurrentOrders limits the orders that are sent at the same time.
 	maxConcurrentOrders = 8
@@ -186,8 +186,8 @@
 }
 
 // mayGiveOrders reports whether orders may be given now. While an empty server is in a domain that lacks most of a model,
-// they wait for a quiet period, with a limit. Otherwise they need not wait: layers that are missing elsewhere are given to
-// the servers that are there.
+// they wait for a quiet period, but no longer than a maximum; both are longer for a cold service. Otherwise they need not wait:
+// layers that are missing are given to the servers that are there.
 func (t *term) mayGiveOrders(servers []placement.Server, missing map[string]float64) bool {
 	now := t.leader.clock.Now()
 	empty, cold := false, true
