--- a/forward/choice_test.go
+++ b/forward/choice_test.go
@@ -70,7 +70,7 @@
 	require.Equal(t, 1, c.pick())
 }
 
-func TestAServerThatIsCrowdedOnlyByOthersIsAskedForItsMemory(t *testing.T) {
+func TestAServerThatIsCrowdedOnlyByOthersIsQueriedForItsMemory(t *testing.T) {
 	g := twoCopies()
 	e := newFakeEngineClient(g)
 	h, clock := testHandler(t, e)
@@ -80,9 +80,9 @@
 	require.Eventually(t, func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return len(e.asked) == 1
+		return len(e.queries) == 1
 	}, 10*time.Second, time.Millisecond)
 	require.Less(t, p.allowed, 1.0)
 	p.probe(g)
-	require.Len(t, e.asked, 1, "no more than the instance's part of the questions")
+	require.Len(t, e.queries, 1, "no more than the instance's part of the questions")
 }
--- a/forward/evacuate.go
+++ b/forward/evacuate.go
@@ -21,8 +21,8 @@
 	// minTimeLeft is the least time over which the remaining streams are spread; it bounds the pace for those that found no
 	// other path in time.
 	minTimeLeft = 200 * time.Millisecond
-	// minPace is the least number of streams that are moved off a server per second, so that the last few do not linger.
-	minPace = 20.0
+	// minMoveRate is the least number of streams that are moved off a server per second, so that the last few do not linger.
+	minMoveRate = 20.0
 	// maxBacklogRounds bounds the backlog that gathers while there is no other path, in rounds: streams that are moved
 	// together are also read together by their new servers.
 	maxBacklogRounds = 4
@@ -30,13 +30,13 @@
 	maxEvacuationTries = 16
 )
 
-// departures holds, for each server that leaves, how many streams should have been moved off it by now and have not.
-type departures map[*backend.Server]float64
+// evacuationBacklog holds, for each server that leaves, how many streams should have been moved off it by now and have not.
+type evacuationBacklog map[*backend.Server]float64
 
 // evacuate moves streams off the servers that leave or drop layers while these still work. A stream whose stage is replaced
 // is stalled only while the new server reads its tokens; a stream whose server has terminated is stalled until that is
 // detected, together with all others that used it. Streams that end before the server does stay.
-func (w *watcher) evacuate(ctx context.Context, backlog departures, groupOf func(service string) *backend.Group) {
+func (w *watcher) evacuate(ctx context.Context, backlog evacuationBacklog, groupOf func(service string) *backend.Group) {
 	byServer := w.leaving()
 	for s := range backlog {
 		if len(byServer[s]) == 0 {
@@ -49,8 +49,8 @@
 		if group == nil {
 			continue
 		}
-		pace := w.pace(s, len(streams))
-		backlog[s] = min(backlog[s]+pace, max(maxBacklogRounds*pace, 1))
+		perRound := w.movesPerRound(s, len(streams))
+		backlog[s] = min(backlog[s]+perRound, max(maxBacklogRounds*perRound, 1))
 		for _, f := range streams {
 			if backlog[s] < 1 || tries == maxEvacuationTries {
 				break
@@ -66,16 +66,16 @@
 	}
 }
 
-// pace returns how many of the given number of streams should be moved off a server in one round. After evacuationTime the
+// movesPerRound returns how many of the given number of streams should be moved off a server in one round. After evacuationTime the
 // remaining streams are spread over the rest of the drain time, since a server that has outlasted the shortest notice works
 // until its drain is over.
-func (w *watcher) pace(s *backend.Server, streams int) float64 {
+func (w *watcher) movesPerRound(s *backend.Server, streams int) float64 {
 	since := s.LeavingFor(w.handler.clock.Now())
 	left := evacuationTime - since
 	if left < 0 {
 		left = w.handler.settings.Load().DrainTime - minTimeLeft - since
 	}
-	return max(float64(streams)/max(left, minTimeLeft).Seconds(), minPace) * watchPeriod.Seconds()
+	return max(float64(streams)/max(left, minTimeLeft).Seconds(), minMoveRate) * watchPeriod.Seconds()
 }
 
 // leaving returns the streams that have to be moved, by the server of their path that has been leaving for longest, and for
--- a/forward/evacuate_test.go
+++ b/forward/evacuate_test.go
@@ -57,13 +57,13 @@
 	g := twoCopies()
 	h, clock := testHandler(t, newFakeEngineClient(g))
 	f := newActiveStream(h, g, "one", 0, 0, 1)
-	part := g.Servers()[1]
-	part.SetPossiblyLeaving(true)
-	part.NoteLeaving(clock.Now())
-	require.Equal(t, part, h.serverToLeave(f))
+	server := g.Servers()[1]
+	server.SetPossiblyLeaving(true)
+	server.NoteLeaving(clock.Now())
+	require.Equal(t, server, h.serverToLeave(f))
 	require.True(t, h.watch.evacuateOne(t.Context(), f, g))
-	part.SetPossiblyLeaving(false)
-	part.ForgetLeaving()
+	server.SetPossiblyLeaving(false)
+	server.ForgetLeaving()
 	other := newActiveStream(h, g, "other", 0, 0, 1)
 	require.Nil(t, h.serverToLeave(other))
 }
--- a/forward/findings.go
+++ b/forward/findings.go
@@ -139,7 +139,7 @@
 }
 
 // lacks reports whether a server is dead or does not hold some layers.
-func (f *findings) lacks(s *backend.Server, part models.Layers) bool {
+func (f *findings) lacks(s *backend.Server, layers models.Layers) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	held, known := f.holds[s]
@@ -147,5 +147,5 @@
 		// The entry may be older than a report, but it is newer than the choice of a path.
 		held = s.Layers()
 	}
-	return f.dead[s] || s.Suspected(f.now) || !held.Holds(part)
+	return f.dead[s] || s.Suspected(f.now) || !held.Holds(layers)
 }
--- a/forward/forecast_test.go
+++ b/forward/forecast_test.go
@@ -77,7 +77,7 @@
 	const streams, rounds, places = 30, 4000, 4
 	within := 300 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
-	stated, came := 0.0, 0.0
+	predicted, came := 0.0, 0.0
 	for range rounds {
 		lifetimes := newSample(initialLifetime)
 		for range maxSamples {
@@ -94,11 +94,11 @@
 				freed++
 			}
 		}
-		stated += c.likelihood(places, within)
+		predicted += c.likelihood(places, within)
 		if freed >= places {
 			came++
 		}
 	}
-	t.Logf("stated %.3f, came %.3f", stated/rounds, came/rounds)
-	require.InDelta(t, came/rounds, stated/rounds, 0.05)
+	t.Logf("stated %.3f, came %.3f", predicted/rounds, came/rounds)
+	require.InDelta(t, came/rounds, predicted/rounds, 0.05)
 }
--- a/forward/gauges_test.go
+++ b/forward/gauges_test.go
@@ -20,7 +20,7 @@
 	return out.String()
 }
 
-func TestTheBudgetOfRepeatsIsAGauge(t *testing.T) {
+func TestTheRetryBudgetIsAGauge(t *testing.T) {
 	g := twoCopies()
 	h, clock := testHandler(t, newFakeEngineClient(g))
 	h.ApplySettings(Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Share: 0.1, Fixed: 20}})
--- a/forward/handover_test.go
+++ b/forward/handover_test.go
@@ -48,10 +48,10 @@
 			first.Remove()
 			group = backend.NewGroup(g.Service(), g.Servers()[1:])
 		}
-		leaving := departures{}
+		backlog := evacuationBacklog{}
 		for range evacuationTime / watchPeriod {
 			clock.Advance(watchPeriod)
-			h.watch.evacuate(t.Context(), leaving, func(string) *backend.Group { return group })
+			h.watch.evacuate(t.Context(), backlog, func(string) *backend.Group { return group })
 		}
 		require.False(t, isOpen(conn), "announced %v: the stream has left its server", announced)
 		next := f.takeNext()
@@ -68,10 +68,10 @@
 	f, conn := connected(t, h, g, "one", 0, 1)
 	f.expectedLifetime = 2 * time.Second
 	sendLeaveNotice(g.Servers()[0], clock)
-	leaving := departures{}
+	backlog := evacuationBacklog{}
 	for range 40 {
 		clock.Advance(watchPeriod)
-		h.watch.evacuate(t.Context(), leaving, func(string) *backend.Group { return g })
+		h.watch.evacuate(t.Context(), backlog, func(string) *backend.Group { return g })
 	}
 	require.True(t, isOpen(conn))
 }
@@ -112,10 +112,10 @@
 		all = append(all, f)
 	}
 	sendLeaveNotice(g.Servers()[0], clock)
-	leaving := departures{}
+	backlog := evacuationBacklog{}
 	round := func() {
 		clock.Advance(watchPeriod)
-		h.watch.evacuate(t.Context(), leaving, func(string) *backend.Group { return g })
+		h.watch.evacuate(t.Context(), backlog, func(string) *backend.Group { return g })
 		for _, f := range all {
 			if f.next.Load() != nil {
 				h.watch.remove(f)
@@ -146,10 +146,10 @@
 		all = append(all, f)
 	}
 	sendLeaveNotice(g.Servers()[0], clock)
-	leaving, alone := departures{}, backend.NewGroup(g.Service(), g.Servers()[:2])
+	backlog, alone := evacuationBacklog{}, backend.NewGroup(g.Service(), g.Servers()[:2])
 	round := func(group *backend.Group) {
 		clock.Advance(watchPeriod)
-		h.watch.evacuate(t.Context(), leaving, func(string) *backend.Group { return group })
+		h.watch.evacuate(t.Context(), backlog, func(string) *backend.Group { return group })
 		for _, f := range all {
 			if f.next.Load() != nil {
 				h.watch.remove(f)
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -125,9 +125,9 @@
 // TestARefusedStateQueryDoesNotMarkTheServerAsSilent lets a server refuse a state query with a Retry-After time.
 func TestARefusedStateQueryDoesNotMarkTheServerAsSilent(t *testing.T) {
 	h, clock := testHandler(t, newFakeEngineClient(twoCopies()))
-	terms := *h.settings.Load()
-	terms.LongestBackOff = time.Hour
-	h.ApplySettings(terms)
+	settings := *h.settings.Load()
+	settings.LongestBackOff = time.Hour
+	h.ApplySettings(settings)
 	server := twoCopies().Servers()[0]
 	h.applyReport(server, backend.Report{Notice: call.Notice{RetryAfter: 3 * time.Second}}, backend.ErrRefused, "test")
 	require.False(t, server.Suspected(clock.Now()))
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -124,8 +124,8 @@
 	h, _ := testHandler(t, newFakeEngineClient(g, 0, 1, 2, 3))
 	r := &request{x: &front.Exchange{}, group: g, route: onceRoute()}
 	for n, s := range g.Servers() {
-		_, kept := h.quarantineOf(r)
-		require.False(t, kept, "%d ends", n)
+		_, isQuarantined := h.quarantineOf(r)
+		require.False(t, isQuarantined, "%d ends", n)
 		h.suspectEnd(r, s, 0)
 	}
 	k, ok := h.quarantineOf(r)
@@ -138,10 +138,10 @@
 // while no server has ended under a request and 0.7 us while ends are known, most of it for the fingerprint. Without the
 // check it is nothing.
 func BenchmarkQuarantineCheckPerSend(b *testing.B) {
-	for _, cases := range []int{0, 1} {
-		b.Run(fmt.Sprint(cases), func(b *testing.B) {
+	for _, ends := range []int{0, 1} {
+		b.Run(fmt.Sprint(ends), func(b *testing.B) {
 			h := &Handler{ends: testBook(), clock: timer.NewReal()}
-			for n := range cases {
+			for n := range ends {
 				h.ends.AddListed(endOf(n), time.Now())
 			}
 			for b.Loop() {
--- a/forward/reload_test.go
+++ b/forward/reload_test.go
@@ -35,15 +35,15 @@
 			h.ApplySettings(base)
 			f, conn := connected(t, h, g, "one", 0, 1)
 			was, reserved := f.path(), g.Servers()[0].Reserved()
-			terms := base
-			change(&terms)
-			h.ApplySettings(terms)
-			leaving := departures{}
+			settings := base
+			change(&settings)
+			h.ApplySettings(settings)
+			backlog := evacuationBacklog{}
 			for range 20 {
 				clock.Advance(watchPeriod)
 				f.touch(h)
 				h.watch.scan(t.Context())
-				h.watch.evacuate(t.Context(), leaving, h.watch.group)
+				h.watch.evacuate(t.Context(), backlog, h.watch.group)
 			}
 			require.True(t, isOpen(conn))
 			require.Equal(t, was, f.path())
@@ -58,14 +58,14 @@
 func TestAReloadChangesTheRetryLimitOfKnownServices(t *testing.T) {
 	g := twoCopies()
 	h, _ := testHandler(t, newFakeEngineClient(g))
-	terms := Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 2}}
-	h.ApplySettings(terms)
+	settings := Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 2}}
+	h.ApplySettings(settings)
 	r := &request{group: g, route: &catalog.Route{}}
 	h.countRequest(r)
 	require.True(t, h.takeRetry(r))
 	require.False(t, h.takeRetry(r))
-	terms.Repeats.Share = 0.25
-	h.ApplySettings(terms)
+	settings.Repeats.Share = 0.25
+	h.ApplySettings(settings)
 	for range 10 {
 		h.countRequest(r)
 	}
--- a/forward/reportsharing_test.go
+++ b/forward/reportsharing_test.go
@@ -34,7 +34,7 @@
 // simInstance is an instance of a simulated domain, with its own view of the servers.
 type simInstance struct {
 	group    *backend.Group
-	book     laneCache
+	lanes    laneCache
 	allowed  float64
 	passedOn time.Time
 	received time.Time
@@ -50,7 +50,7 @@
 }
 
 func (d *simDomain) query(i *simInstance, now time.Time) {
-	lanes, _ := i.book.get(i.group, now)
+	lanes, _ := i.lanes.get(i.group, now)
 	due := bottlenecks(i.group, lanes, "a")
 	due.addDomain("a")
 	for i.allowed += sharedProbes * probePeriod.Seconds(); i.allowed >= 1; i.allowed-- {
@@ -86,7 +86,7 @@
 
 // start picks a path for a stream and reports whether a slow server is on it.
 func (d *simDomain) start(i *simInstance, now time.Time) bool {
-	lanes, _ := i.book.get(i.group, now)
+	lanes, _ := i.lanes.get(i.group, now)
 	picked := newLaneChoice(i.group, lanes, "a", len(d.all), now).pick()
 	for _, hop := range lanes[picked].Hops {
 		if d.slow[i.group.Servers()[hop.Server].ID()] {
@@ -102,21 +102,21 @@
 // is 0.02 with one query a second and shared reports.
 func TestStreamsAvoidSlowServersWithinTwoSeconds(t *testing.T) {
 	const (
-		instances = 59
-		turn      = 5 * time.Second
-		known     = 2 * time.Second
-		end       = 15 * time.Second
-		most      = 0.03
+		instances    = 59
+		slowFrom     = 5 * time.Second
+		graceTime    = 2 * time.Second
+		end          = 15 * time.Second
+		maxLateShare = 0.03
 	)
 	d := &simDomain{slow: map[string]bool{}, random: rand.New(rand.NewPCG(1, 2))}
 	for range instances {
 		d.all = append(d.all, &simInstance{group: threeStageCopies(14), allowed: d.random.Float64()})
 	}
-	begun := time.Unix(100, 0)
+	start := time.Unix(100, 0)
 	late, started := 0, 0
 	for at := time.Duration(0); at < end; at += probePeriod {
-		now := begun.Add(at)
-		if at == turn {
+		now := start.Add(at)
+		if at == slowFrom {
 			for i, s := range d.all[0].group.Servers() {
 				d.slow[s.ID()] = i%5 < 2
 			}
@@ -126,7 +126,7 @@
 			if (at/probePeriod+time.Duration(i))%4 == 0 {
 				d.exchange(n, now)
 			}
-			if passes := d.start(n, now); at >= turn+known {
+			if passes := d.start(n, now); at >= slowFrom+graceTime {
 				started++
 				if passes {
 					late++
@@ -134,6 +134,6 @@
 			}
 		}
 	}
-	require.Less(t, float64(late)/float64(started), most)
+	require.Less(t, float64(late)/float64(started), maxLateShare)
 	require.LessOrEqual(t, float64(d.queries), instances*(sharedProbes*end.Seconds()+1))
 }
--- a/forward/resumable_test.go
+++ b/forward/resumable_test.go
@@ -24,10 +24,10 @@
 	}
 	f, conn := connected(t, h, g, "one", 0, 1)
 	sendLeaveNotice(g.Servers()[0], clock)
-	leaving := departures{}
+	backlog := evacuationBacklog{}
 	for range minLeaveNotice / watchPeriod {
 		clock.Advance(watchPeriod)
-		h.watch.evacuate(t.Context(), leaving, func(string) *backend.Group { return g })
+		h.watch.evacuate(t.Context(), backlog, func(string) *backend.Group { return g })
 	}
 	require.False(t, isOpen(conn))
 	require.NotNil(t, f.takeNext())
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -58,9 +58,9 @@
 	h, clock := testHandler(t, newFakeEngineClient(g))
 	h.ApplySettings(Settings{Domain: "a", Repeats: retry.Limit{Window: 10 * time.Second, Fixed: 10}})
 	f := newBegunStream(g, 2, 0)
-	away := clock.Now().Add(4 * time.Second)
+	unusableUntil := clock.Now().Add(4 * time.Second)
 	for _, s := range g.Servers() {
-		s.SetAside(away)
+		s.SetAside(unusableUntil)
 	}
 	done := make(chan bool, 1)
 	go func() {
@@ -77,7 +77,7 @@
 			return false
 		}
 	}, 30*time.Second, time.Millisecond)
-	require.False(t, clock.Now().Before(away), "there is no room before")
+	require.False(t, clock.Now().Before(unusableUntil), "there is no room before")
 }
 
 // TestAStreamIsBrokenOffAtOnceIfItsServersAreAllRunning has both servers that a stream ran on answer that they are well.
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -41,10 +41,10 @@
 // revoked meanwhile, so the last confirmation is too old for keyed requests, and a denial for an unknown key may be wrong as
 // well.
 func TestKeysAreNotTrustedAfterASuspension(t *testing.T) {
-	var asleep atomic.Int64
+	var suspended atomic.Int64
 	fake := clockwork.NewFakeClock()
 	begun := fake.Now()
-	clock, err := timer.NewWithBootClock(fake, func() (time.Duration, error) { return fake.Since(begun) + time.Duration(asleep.Load()), nil })
+	clock, err := timer.NewWithBootClock(fake, func() (time.Duration, error) { return fake.Since(begun) + time.Duration(suspended.Load()), nil })
 	require.NoError(t, err)
 	c, err := catalog.New(&catalog.Content{Version: 1})
 	require.NoError(t, err)
@@ -52,7 +52,7 @@
 	h := New(t.Context(), Settings{Domain: "a", KeysAge: 3 * time.Second}, fleetView, nil, nil, clock, stats, decision.NewRecorder(log, clock, stats), oneInstance{}, testBook(), noPublisher{})
 	follow.New(t.Context(), confirming{catalog: c, at: clock.Now()}, fleetView, h.ends, clock, stats, log)
 	require.Eventually(t, h.KeysConfirmed, testTimeout, time.Millisecond)
-	asleep.Store(int64(8 * time.Second))
+	suspended.Store(int64(8 * time.Second))
 	gap, err := clock.CheckSuspension()
 	require.NoError(t, err)
 	require.Equal(t, 8*time.Second, gap)
--- a/forward/unreachable_test.go
+++ b/forward/unreachable_test.go
@@ -9,16 +9,16 @@
 	"junctioncross/backend"
 )
 
-// TestAWaitingStreamGoesOnOnceItsFormerServerHasEnded has a stream whose last server left without notice and still answers at
+// TestAWaitingStreamIsResumedOnceItsFormerServerHasEnded has a stream whose last server left without notice and still answers at
 // first, so that the stream may not run on one more server. It must go on soon after that server stops answering.
-func TestAWaitingStreamGoesOnOnceItsFormerServerHasEnded(t *testing.T) {
+func TestAWaitingStreamIsResumedOnceItsFormerServerHasEnded(t *testing.T) {
 	g := twoCopies()
 	e := newFakeEngineClient(g)
 	h, clock := testHandler(t, e)
 	f := newBegunStream(g, 2, 0, 2)
-	leaver := g.Servers()[2]
-	leaver.NoteLeaving(clock.Now())
-	leaver.Remove()
+	formerServer := g.Servers()[2]
+	formerServer.NoteLeaving(clock.Now())
+	formerServer.Remove()
 	done := make(chan bool, 1)
 	go func() {
 		_, _, ok := h.awaitResumePath(t.Context(), f)
@@ -27,10 +27,10 @@
 	require.Eventually(t, func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return e.asked[leaver.Addr()] > 0
+		return e.queries[formerServer.Addr()] > 0
 	}, testTimeout, time.Millisecond)
 	e.mu.Lock()
-	e.dead[leaver.Addr()] = true
+	e.dead[formerServer.Addr()] = true
 	e.mu.Unlock()
 	// The other copy of the model is whole without the server that has left.
 	for range 2 * time.Second / roomPoll {
--- a/forward/wait_test.go
+++ b/forward/wait_test.go
@@ -15,9 +15,9 @@
 )
 
 // reportFilled makes all servers of a group report that a part of their memory is used.
-func reportFilled(g *backend.Group, part float64, now time.Time) {
+func reportFilled(g *backend.Group, share float64, now time.Time) {
 	for _, s := range g.Servers() {
-		s.SetMemory(part, 1, 0, now)
+		s.SetMemory(share, 1, 0, now)
 	}
 }
 
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -48,7 +48,7 @@
 	ticks := h.clock.Subscribe(watchPeriod)
 	go func() {
 		defer ticks.Stop()
-		backlog := departures{}
+		backlog := evacuationBacklog{}
 		for {
 			select {
 			case <-ticks.C():
--- a/forward/watch_test.go
+++ b/forward/watch_test.go
@@ -35,8 +35,8 @@
 
 // testBook returns a book with the default quarantine terms.
 func testBook() *quarantine.Book {
-	set := config.DefaultHosted().Quarantine
-	return quarantine.NewBook(quarantine.Settings{Ends: set.Ends, EndsOfOne: set.EndsOfOne, Keep: set.Keep, MaxRequests: set.Most})
+	settings := config.DefaultHosted().Quarantine
+	return quarantine.NewBook(quarantine.Settings{Ends: settings.Ends, EndsOfOne: settings.EndsOfOne, Keep: settings.Keep, MaxRequests: settings.Most})
 }
 
 type oneInstance struct{}
@@ -57,12 +57,12 @@
 	reassigned map[string]bool
 	// forgets lists the requests that their first servers accepted and do not know.
 	forgets map[string]bool
-	asked   map[string]int
+	queries map[string]int
 	repairs map[string][]call.Stage
 }
 
 func newFakeEngineClient(g *backend.Group, dead ...int) *fakeEngineClient {
-	e := &fakeEngineClient{dead: map[string]bool{}, holds: map[string]models.Layers{}, asked: map[string]int{}, repairs: map[string][]call.Stage{}}
+	e := &fakeEngineClient{dead: map[string]bool{}, holds: map[string]models.Layers{}, queries: map[string]int{}, repairs: map[string][]call.Stage{}}
 	for _, s := range g.Servers() {
 		e.holds[s.Addr()] = s.Layers()
 	}
@@ -76,7 +76,7 @@
 func (e *fakeEngineClient) Report(_ context.Context, addr string) (backend.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked[addr]++
+	e.queries[addr]++
 	if e.hanging[addr] {
 		e.mu.Unlock()
 		<-e.end
@@ -187,9 +187,9 @@
 	newActiveStream(h, g, "moving", 110*time.Millisecond, 1, 2)
 	clock.Advance(140 * time.Millisecond)
 	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
-	require.Zero(t, e.asked[g.Servers()[1].Addr()])
-	require.Zero(t, e.asked[g.Servers()[2].Addr()])
-	require.NotZero(t, e.asked[g.Servers()[3].Addr()])
+	require.Zero(t, e.queries[g.Servers()[1].Addr()])
+	require.Zero(t, e.queries[g.Servers()[2].Addr()])
+	require.NotZero(t, e.queries[g.Servers()[3].Addr()])
 	require.Len(t, e.repairs["still"], 4, "repaired with the other holder of the last layers")
 }
 
@@ -302,7 +302,7 @@
 	moved.TryQuery(clock.Now())
 	moved.Update(backend.Entry{Layers: models.Layers{First: 0, End: 4}})
 	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
-	require.Zero(t, e.asked[moved.Addr()])
+	require.Zero(t, e.queries[moved.Addr()])
 	require.Len(t, e.repairs["still"], 2)
 }
 
@@ -318,7 +318,7 @@
 	clock.Advance(140 * time.Millisecond)
 	loaded.NoteLayers(clock.Now())
 	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
-	require.NotZero(t, e.asked[loaded.Addr()])
+	require.NotZero(t, e.queries[loaded.Addr()])
 	require.Empty(t, e.repairs)
 	require.True(t, loaded.Usable(clock.Now()))
 	clock.Advance(time.Second)
