--- a/forward/choice_test.go
+++ b/forward/choice_test.go
@@ -84,5 +84,5 @@
 	}, 10*time.Second, time.Millisecond)
 	require.Less(t, p.allowed, 1.0)
 	p.probe(g)
-	require.Len(t, e.queries, 1, "no more than the instance's part of the questions")
+	require.Len(t, e.queries, 1, "no more than the instance's share of the queries")
 }
--- a/forward/cold_test.go
+++ b/forward/cold_test.go
@@ -30,7 +30,7 @@
 	require.False(t, isCold, "there is a path, though it may not stay")
 }
 
-// TestAServiceThatHadAPathIsNotCold removes a server from a whole service: its layers are loaded elsewhere or served from
+// TestAServiceThatHadAPathIsNotCold removes a server from a complete service: its layers are loaded elsewhere or served from
 // another domain, so a path may be back at any moment.
 func TestAServiceThatHadAPathIsNotCold(t *testing.T) {
 	h, clock := testHandler(t, nil)
--- a/forward/evacuate.go
+++ b/forward/evacuate.go
@@ -13,12 +13,12 @@
 
 const (
 	// evacuationTime is how long after a server's leave notice all streams that outlast it have been moved off it: less than
-	// the shortest notice that servers give, two seconds. They are moved at an even pace, since other servers have to read
+	// the shortest notice that servers give, two seconds. They are moved at an even rate, since other servers have to read
 	// the tokens of each one anew.
 	evacuationTime = 1600 * time.Millisecond
 	// propagationTime is how old a server's leave notice may be when an instance learns of it from another instance.
 	propagationTime = 400 * time.Millisecond
-	// minTimeLeft is the least time over which the remaining streams are spread; it bounds the pace for those that found no
+	// minTimeLeft is the least time over which the remaining streams are spread; it bounds the rate for those that found no
 	// other path in time.
 	minTimeLeft = 200 * time.Millisecond
 	// minMoveRate is the least number of streams that are moved off a server per second, so that the last few do not linger.
@@ -66,9 +66,9 @@
 	}
 }
 
-// movesPerRound returns how many of the given number of streams should be moved off a server in one round. After evacuationTime the
-// remaining streams are spread over the rest of the drain time, since a server that has outlasted the shortest notice works
-// until its drain is over.
+// movesPerRound returns how many of the given number of streams should be moved off a server in one round. After
+// evacuationTime the remaining streams are spread over the rest of the drain time, since a server that has outlasted the
+// shortest notice works until its drain is over.
 func (w *watcher) movesPerRound(s *backend.Server, streams int) float64 {
 	since := s.LeavingFor(w.handler.clock.Now())
 	left := evacuationTime - since
@@ -182,9 +182,10 @@
 	return true
 }
 
-// withoutLeaving returns a path with other servers in place of those that leave, if these have the memory and the path does
-// not cross domains more often than before: a link between domains takes few such streams a second, and all that cross it are
-// stalled meanwhile. A release starts the new server early enough for it to hold the layers before the old one ends.
+// withoutLeaving returns a path with other servers in place of those that leave, if the other servers have the memory and the
+// path does not cross domains more often than before: a link between domains takes few such streams a second, and all that
+// cross it are stalled meanwhile. When a new version is released, a new server is started early enough to hold the layers
+// before the old one ends.
 func (w *watcher) withoutLeaving(f *inflight, group *backend.Group, old resolvedPath) (resolvedPath, bool) {
 	h := w.handler
 	oldHops := groupHops(group, old)
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -25,8 +25,8 @@
 var (
 	errStray     = errors.New("forward: answer belongs to another request")
 	errMalformed = errors.New("forward: answer is incomplete or not HTTP")
-	// errBackedOff means that nothing was sent, since the server has asked this instance to send no requests yet.
-	errBackedOff = errors.New("forward: server has asked for no requests yet")
+	// errBackedOff means that nothing was sent, since the server has asked this instance to send no requests for some time.
+	errBackedOff = errors.New("forward: server has backed off")
 	// errOverLimit means that nothing was sent, since the rate limit of the server allows this instance no request yet.
 	errOverLimit = errors.New("forward: rate limit of the server is reached")
 )
--- a/forward/forecast.go
+++ b/forward/forecast.go
@@ -7,7 +7,7 @@
 
 // dispersion is the size parameter of the negative binomial distribution of the places that become free. Their rate is not
 // known well, since other instances free and take places too; three fits the waits that were seen (docs/DECISIONS.md). If
-// places became free independently of each other (a Poisson process), it would be infinite.
+// places became free independently of each other (a Poisson process), the parameter would be infinite.
 const dispersion = 3.0
 
 // forecast predicts when places become free, from the streams of a service that are under way.
--- a/forward/forecast_test.go
+++ b/forward/forecast_test.go
@@ -99,6 +99,6 @@
 			came++
 		}
 	}
-	t.Logf("stated %.3f, came %.3f", predicted/rounds, came/rounds)
+	t.Logf("predicted %.3f, came %.3f", predicted/rounds, came/rounds)
 	require.InDelta(t, came/rounds, predicted/rounds, 0.05)
 }
--- a/forward/gauges_test.go
+++ b/forward/gauges_test.go
@@ -32,7 +32,7 @@
 	require.True(t, h.takeRetry(r))
 	require.Contains(t, scrape(t, h), `jx_repeats_left{service="s"} 14`)
 	clock.Advance(time.Minute)
-	require.Contains(t, scrape(t, h), `jx_repeats_left{service="s"} 10`, "no request counts any more, and no repeat")
+	require.Contains(t, scrape(t, h), `jx_repeats_left{service="s"} 10`, "no request counts any more, and no retry")
 }
 
 func TestServersPathsAndReportAgesAreGauges(t *testing.T) {
@@ -88,6 +88,6 @@
 	h.observeWait(f, at, 100*time.Millisecond, true)
 	h.observeWait(f, at, 900*time.Millisecond, false)
 	got := scrape(t, h)
-	require.Contains(t, got, "jx_wait_of_predicted_percent_count 1\n", "a wait in vain has no end to compare")
+	require.Contains(t, got, "jx_wait_of_predicted_percent_count 1\n", "an unsuccessful wait has no end to compare")
 	require.Contains(t, got, "jx_wait_of_predicted_percent_sum 50\n")
 }
--- a/forward/inflight.go
+++ b/forward/inflight.go
@@ -45,13 +45,13 @@
 
 	mu sync.Mutex
 	// earlierServers lists the servers that ran the stream before the present attempt. That attempt started at attemptStart
-	// and is expected to last for life, or for predictedLifetime by the cost model alone; the latter is 0 for an attempt that
-	// resumes a stream.
+	// and is expected to last for expectedLifetime, or for predictedLifetime by the cost model alone; the latter is 0 for an
+	// attempt that resumes a stream.
 	earlierServers    []*backend.Server
 	attemptStart      time.Time
 	expectedLifetime  time.Duration
 	predictedLifetime time.Duration
-	// minLeft is the lower bound of the time that the stream is expected to last still.
+	// minLeft is the lower bound of the time that the stream is expected to last from now on.
 	minLeft time.Duration
 	// hops and servers are the present path, which a repair may change; they are nil while no attempt is under way.
 	hops    []chain.Hop
--- a/forward/lanes.go
+++ b/forward/lanes.go
@@ -46,7 +46,7 @@
 		return b.lanes, false
 	}
 	b.group, b.states, b.spare = group, states, b.states
-	// When there is a lane again depends on all servers, not only on those that are backed off.
+	// The time at which there is a lane again depends on all servers, not only on those that are backed off.
 	b.recovery = laneRecovery{}
 	former := b.lanes
 	b.lanes = usualLanes(group, func(i int) bool { return states[i].usable }, func(i int) float64 { return states[i].pace })
--- a/forward/lifetime.go
+++ b/forward/lifetime.go
@@ -13,13 +13,13 @@
 	ratioUnit = time.Second
 	// percent scales ratios to the whole numbers that histograms take.
 	percent = 100.0
-	// safeQuantile is the quantile of the lifetimes that is counted on where a stream that lasts longer would be cut.
+	// safeQuantile is the quantile of the lifetimes that is used where a stream that lasts longer would be cut.
 	safeQuantile = 0.95
-	// usualQuantile is the quantile that is counted on where a stream that lasts longer is cut when its server ends, while
-	// one that ends earlier was moved needlessly.
+	// usualQuantile is the quantile that is used where errors on both sides have a cost: a stream that lasts longer is cut when
+	// its server ends, and one that ends earlier was moved needlessly.
 	usualQuantile = 0.8
-	// overdueFraction is the fraction of its expected lifetime that a stream which has exceeded that lifetime is assumed to
-	// need still.
+	// overdueFraction is the fraction of its expected lifetime that a stream is assumed to need still once it has exceeded
+	// that lifetime.
 	overdueFraction = 0.25
 )
 
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -26,8 +26,8 @@
 	h.record.Failure(request, "server names a limit", fields)
 }
 
-// rateLimitDelay returns after which time the rate limits of the first servers of the lanes allow so many requests; false means
-// that one of these servers names no limit, so that only free capacity counts.
+// rateLimitDelay returns how long it takes until the rate limits of the first servers of the lanes have allowed so many
+// requests; false means that one of these servers names no limit, so that only free capacity counts.
 func (h *Handler) rateLimitDelay(group *backend.Group, lanes []chain.Lane, places float64, now time.Time) (time.Duration, bool) {
 	if len(lanes) == 0 {
 		return 0, false
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -18,8 +18,8 @@
 	minBackOff = 250 * time.Millisecond
 )
 
-// applyNotice applies what a server says about itself in the head of an answer, whatever becomes of the request: it holds
-// from the first such answer on, while the entry of the server may say otherwise for seconds.
+// applyNotice applies what a server says about itself in the head of an answer, whatever becomes of the request. It takes
+// effect with the first such answer, although the entry of the server may say otherwise for seconds.
 func (h *Handler) applyNotice(request string, server *backend.Server, n call.Notice) {
 	if n.Leaving {
 		h.noteLeaving(request, server)
--- a/forward/plain.go
+++ b/forward/plain.go
@@ -173,8 +173,8 @@
 	return notRun{reason: models.RetryUnreachable}
 }
 
-// brokenPlain handles an attempt that ended without a complete answer. If it ended since the caller disconnected, that says
-// nothing about the server.
+// brokenPlain handles an attempt that ended without a complete answer. If it ended because the caller disconnected,
+// that says nothing about the server.
 func (h *Handler) brokenPlain(ctx context.Context, r *request, server *backend.Server, err error) outcome {
 	r.ranOn(server)
 	if h.callerDisconnected(ctx, r) {
--- a/forward/plain_test.go
+++ b/forward/plain_test.go
@@ -114,7 +114,7 @@
 	return plainFrontOn(t, timer.NewReal(), route, servers)
 }
 
-// plainFrontAt is plainFront with a clock that stands still.
+// plainFrontAt is plainFront with a fake clock, which only the test advances.
 func plainFrontAt(t *testing.T, route *catalog.Route, servers ...*testServer) (*front.Server, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClockAt(time.Now())
 	return plainFrontOn(t, timer.New(clock), route, servers), clock
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -23,8 +23,8 @@
 	maxProbesPerRound = 4.0
 	// freshReportAge is how old the latest report of a server on its memory must be for the server to be queried again.
 	freshReportAge = 500 * time.Millisecond
-	// ownDomainProbeWeight is the weight of servers of the own domain, which are queried that many times sooner since they get
-	// most of the streams.
+	// ownDomainProbeWeight is the weight of servers that limit lanes of the own domain. They are queried that many times sooner,
+	// since these lanes get most of the streams.
 	ownDomainProbeWeight = 3
 )
 
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -78,7 +78,7 @@
 	}()
 }
 
-// hasEnded reports whether a server on which a run broke at some time has ended, as far as can be known: a server that does
+// hasEnded reports whether a server on which a run broke at the given time has ended, as far as can be known: a server that does
 // not answer counts as ended, one that gives any answer does not.
 func (h *Handler) hasEnded(server *backend.Server, chained bool, broke time.Time) bool {
 	if !chained {
--- a/forward/query.go
+++ b/forward/query.go
@@ -16,14 +16,14 @@
 const (
 	// queryTimeout limits a state query; a server that takes longer counts as gone.
 	queryTimeout = 300 * time.Millisecond
-	// fullMemoryShare is the used part of a server's memory beyond which that is logged.
+	// fullMemoryShare is the used share of a server's memory above which the server is logged as full.
 	fullMemoryShare = 0.93
-	// slowPace is how many times slower than usual a server must be for that to be logged.
+	// slowPace is how many times slower than usual a server must be to be logged as slow.
 	slowPace = 1.5
 )
 
 // queryIfActive queries the state of a server in the background when there is a reason to doubt it, unless the server is leaving
-// or has backed off. Whether such a server still runs what it has begun takes a query that ignores both.
+// or has backed off. To learn whether such a server still runs what it has begun, use queryState.
 func (h *Handler) queryIfActive(server *backend.Server, why string) {
 	if !server.Leaving() && !server.BackedOff(h.clock.Now()) {
 		h.queryState(server, why)
@@ -49,8 +49,8 @@
 // for the entry to be received and for the transfer of the report.
 const reportSlack = 200 * time.Millisecond
 
-// reportsNewerLayers reports whether what a server reports about its layers is newer than its entry: a report is some time
-// old, so the entry of a server that has just loaded layers is received before a report shows them.
+// reportsNewerLayers reports whether what a server reports about its layers is newer than its entry. A report is some time old,
+// so the entry of a server that has just loaded layers is received before a report shows them.
 func (h *Handler) reportsNewerLayers(server *backend.Server) bool {
 	lag := time.Duration(0)
 	if c := h.fleetView.Current().Catalog(); c != nil {
--- a/forward/retries.go
+++ b/forward/retries.go
@@ -56,7 +56,7 @@
 	return fields
 }
 
-// measureRetries exports how many retries each service has left of this instance's part of the budget.
+// measureRetries exports how many retries each service has left of this instance's share of the budget.
 func (h *Handler) measureRetries() {
 	for _, service := range h.budget.Services() {
 		h.gauge("repeats_left", "service", service, int64(h.allowance(service).Left))
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -13,8 +13,8 @@
 }
 
 // activeRuns returns the number of active runs: of the servers that may have run the request, those that have not terminated
-// since. This number is bounded, since it counts what may still be at work on the request; a server that has terminated is
-// not. A server that ran the request twice counts once.
+// since. The route limits this number and not that of all runs, since a server that has terminated no longer works on the
+// request. A server that ran the request twice counts once.
 func (r *request) activeRuns() int { return len(activeServers(r.ran)) }
 
 // activeServers returns the servers that have not terminated, each once.
--- a/forward/services_test.go
+++ b/forward/services_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestWatchingOneServiceRepairsNoStreamOfAnother has stalled streams of two chained services. The path of one passes a server
-// that leaves, but only the other service is looked at.
+// that leaves, but only the other service is diagnosed.
 func TestWatchingOneServiceRepairsNoStreamOfAnother(t *testing.T) {
 	g := twoCopies()
 	service := &catalog.Service{Name: "t", Engine: g.Service().Engine}
--- a/forward/unreachable_test.go
+++ b/forward/unreachable_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestAWaitingStreamIsResumedOnceItsFormerServerHasEnded has a stream whose last server left without notice and still answers at
-// first, so that the stream may not run on one more server. It must go on soon after that server stops answering.
+// first, so that the stream may not run on one more server. It must be resumed soon after that server stops answering.
 func TestAWaitingStreamIsResumedOnceItsFormerServerHasEnded(t *testing.T) {
 	g := twoCopies()
 	e := newFakeEngineClient(g)
@@ -32,7 +32,7 @@
 	e.mu.Lock()
 	e.dead[formerServer.Addr()] = true
 	e.mu.Unlock()
-	// The other copy of the model is whole without the server that has left.
+	// The other copy of the model is complete without the server that has left.
 	for range 2 * time.Second / roomPoll {
 		clock.Advance(roomPoll)
 		time.Sleep(time.Millisecond)
@@ -64,7 +64,7 @@
 	progressing.touch(h)
 	h.watch.diagnose(t.Context(), stalled.first, g, []*inflight{stalled})
 	require.True(t, g.Servers()[0].Ended())
-	require.False(t, isOpen(stalledConn), "the stalled one goes on elsewhere")
+	require.False(t, isOpen(stalledConn), "the stalled one is resumed elsewhere")
 	require.True(t, isOpen(progressingConn), "the one that makes progress stays")
 }
 
--- a/forward/usable.go
+++ b/forward/usable.go
@@ -10,8 +10,8 @@
 	"junctioncross/backend"
 )
 
-// usableIn returns in how much time the service can run requests again, if only back-off or rate limits of servers keep it from
-// running them now. False means that it can run requests now, or that there is another reason.
+// usableIn returns how long it takes until the service can run requests again, if only back-off or rate limits of servers keep
+// it from running them now. False means that it can run requests now, or that there is another reason.
 func (h *Handler) usableIn(group *backend.Group, now time.Time) (time.Duration, bool) {
 	var at time.Time
 	var known bool
@@ -54,7 +54,7 @@
 	known bool
 }
 
-// nextLaneAt nextLaneAt when there is a lane again, if only backed-off servers are missing for one. False means that there is a
+// nextLaneAt returns when there is a lane again, if only backed-off servers are missing for one. False means that there is a
 // lane now, or that other servers are missing too. The result is cached, since waiting requests ask for it again and again.
 func (b *laneCache) nextLaneAt(group *backend.Group, now time.Time) (time.Time, bool) {
 	lanes, _ := b.get(group, now)
--- a/forward/wait_test.go
+++ b/forward/wait_test.go
@@ -14,7 +14,7 @@
 	"junctioncross/front"
 )
 
-// reportFilled makes all servers of a group report that a part of their memory is used.
+// reportFilled makes all servers of a group report that a share of their memory is used.
 func reportFilled(g *backend.Group, share float64, now time.Time) {
 	for _, s := range g.Servers() {
 		s.SetMemory(share, 1, 0, now)
