--- a/forward/plain.go
+++ b/forward/plain.go
@@ -232,9 +232,8 @@
 	return &heldAnswer{head: h.codec.AppendAnswer(nil, &s.head), body: body}
 }
 
-// noteFull records that a server had no free capacity, unless it has itself named a time for which it wants no requests. A
-// plain service reports nothing else, so its server is avoided for a while; the memory of a chained engine is known from its
-// reports.
+// noteFull records that a server had no free capacity, unless the server has backed off. A plain service
+// reports nothing else, so its server is avoided for a while; the memory of a chained engine is known from its reports.
 func (h *Handler) noteFull(r *request, server *backend.Server, now time.Time) {
 	switch {
 	case server.BackedOff(now):
--- a/forward/retries_test.go
+++ b/forward/retries_test.go
@@ -9,7 +9,7 @@
 	"junctioncross/timer"
 )
 
-// TestARequestThatReachedNoServerUsesNoRetry sends a request of which the first chosen server has ended.
+// TestARequestThatReachedNoServerUsesNoRetry sends a request whose first chosen server has ended.
 func TestARequestThatReachedNoServerUsesNoRetry(t *testing.T) {
 	ended, other := newTestServer(t, "ended", nil), newTestServer(t, "other", sealed)
 	require.NoError(t, ended.listener.Close())
@@ -23,15 +23,15 @@
 // TestARetryThatReachedNoServerIsReusedForTheNextAttempt sends a request for which three servers are chosen in turn: one
 // refuses it, one has ended, one answers.
 func TestARetryThatReachedNoServerIsReusedForTheNextAttempt(t *testing.T) {
-	away, ended, other := newTestServer(t, "away", refusing("20")), newTestServer(t, "ended", nil), newTestServer(t, "other", sealed)
+	refuses, ended, other := newTestServer(t, "away", refusing("20")), newTestServer(t, "ended", nil), newTestServer(t, "other", sealed)
 	require.NoError(t, ended.listener.Close())
 	ended.server.Observe(false)
 	for range 3 {
 		other.server.Observe(false)
 	}
 	h := plainHandler(t, timer.NewReal())
-	s := frontOf(t, h, retryRoute(), []*testServer{away, ended, other})
+	s := frontOf(t, h, retryRoute(), []*testServer{refuses, ended, other})
 	require.Equal(t, http.StatusOK, readStatus(t, callFront(t, s, "1")))
-	require.Equal(t, 1, requestCount([]*testServer{away}))
+	require.Equal(t, 1, requestCount([]*testServer{refuses}))
 	require.Contains(t, scrape(t, h), "jx_repeats_total{service=\"s\"} 1\n", "two requests arrived")
 }
