--- a/forward/plain.go
+++ b/forward/plain.go
@@ -173,8 +173,8 @@
 	return notRun{reason: models.RetryUnreachable}
 }
 
-// brokenPlain handles an attempt that ended without a complete answer. If it ended since the caller disconnected, that says
-// nothing about the server.
+// brokenPlain handles an attempt that ended without a complete answer. If it ended because the caller disconnected,
+// that says nothing about the server.
 func (h *Handler) brokenPlain(ctx context.Context, r *request, server *backend.Server, err error) outcome {
 	r.ranOn(server)
 	if h.callerDisconnected(ctx, r) {
@@ -232,9 +232,8 @@
 	return &heldAnswer{head: h.codec.AppendAnswer(nil, &s.head), body: body}
 }
 
-// noteFull records that a server had no free capacity, unless it has itself named a time for which it wants no requests. A
-// plain service reports nothing else, so its server is avoided for a while; the memory of a chained engine is known from its
-// reports.
+// noteFull records that a server had no free capacity, unless the server has backed off. A plain service
+// reports nothing else, so its server is avoided for a while; the memory of a chained engine is known from its reports.
 func (h *Handler) noteFull(r *request, server *backend.Server, now time.Time) {
 	switch {
 	case server.BackedOff(now):
