--- a/follow/era.go
+++ b/follow/era.go
@@ -3,7 +3,7 @@
 import "github.com/sirupsen/logrus"
 
 // notePosition records up to which position a feed is known, and reports whether the store has lost writes since the
-// last one. After a loss the store lacks entries of live servers and ends under requests until the servers and the
+// last noted position. After a loss the store lacks entries of live servers and ends under requests until the servers and the
 // instances have written them again, as after an outage in which the entries expired.
 func (l *Loop) notePosition(feed Feed, at Position) bool {
 	was := l.positions[feed]
--- a/follow/feed.go
+++ b/follow/feed.go
@@ -18,7 +18,7 @@
 	maxBackoff = 800 * time.Millisecond
 	// batchDelay is the delay of the next call after updates of servers, so that updates which come together cost one
 	// call. A leaving server must get no new work after two seconds, and the update may pass through another instance
-	// that waits as long.
+	// that waits just as long.
 	batchDelay = 300 * time.Millisecond
 )
 
--- a/follow/former.go
+++ b/follow/former.go
@@ -11,13 +11,12 @@
 const (
 	// maxFormer bounds the number of remembered servers without an entry; a large deployment has some hundred servers.
 	maxFormer = 4096
-	// restoredEntryHold is how long a server gets no new work whose entry had been removed and was brought back when the
-	// store was restored from a backup copy: the platform removes the entry again within a few seconds, unless the
-	// server is alive.
+	// restoredEntryHold is how long a server gets no new work after its removed entry was brought back by restoring the
+	// store from a backup copy: the platform removes the entry again within a few seconds, unless the server is alive.
 	restoredEntryHold = 4 * time.Second
 )
 
-// formerServer is a server without an entry.
+// formerServer is a server that no longer has an entry.
 type formerServer struct {
 	server *backend.Server
 	// entry is the last one that was known.
--- a/follow/loop.go
+++ b/follow/loop.go
@@ -283,7 +283,7 @@
 	l.log.WithFields(logrus.Fields{"server": s.ID(), "address": s.Addr(), "born": s.Incarnation().Born}).Info("server started again")
 }
 
-// markUnusable takes a server out of use whose entry describes no usable server, until there is a usable entry. The
+// markUnusable takes a server out of use when its entry describes no usable server, until there is a usable entry. The
 // requests that it runs go on.
 func (l *Loop) markUnusable(c EntryUnusable) bool {
 	l.stats.Counter("entries_unusable_total{field=\"" + c.Field + "\"}").Inc(1)
--- a/follow/missing.go
+++ b/follow/missing.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// expiryGrace is how long a server is kept whose entry vanished around an outage of the store: live servers write
-	// their entries again within two seconds of the store's return.
+	// expiryGrace is how long a server is kept after its entry has vanished around an outage of the store: live servers
+	// write their entries again within two seconds of the store's return.
 	expiryGrace = 2200 * time.Millisecond
 	// outageWindow is how long after the last failed call a vanished entry is attributed to the outage.
 	outageWindow = 3 * time.Second
--- a/follow/reports.go
+++ b/follow/reports.go
@@ -34,8 +34,8 @@
 	return out
 }
 
-// ApplySharedReports applies reports that other instances share, and returns whether they show that a server has become silent or
-// slow.
+// ApplySharedReports applies reports that other instances share, and returns whether they show that a server has become
+// silent or slow.
 func (b *FleetView) ApplySharedReports(reports []backend.SharedReport, now time.Time) bool {
 	if len(reports) == 0 {
 		return false
--- a/follow/source.go
+++ b/follow/source.go
@@ -93,7 +93,7 @@
 	Changes []Change
 	// At is the position up to which the feed is known; the next request goes on from there.
 	At Position
-	// AsOf is the moment up to which the feed is known not to have changed otherwise.
+	// AsOf is the moment up to which the feed is known to hold no other changes.
 	AsOf time.Time
 }
 
