--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -26,9 +26,9 @@
 	MaxRequests int
 }
 
-// minPublishedClear is the number of ends from which the other instances are told that a request is harmless. A single
-// end does not quarantine a request, and publishing that it is cleared would double the writes for all requests that
-// merely ran beside one that terminated a server.
+// minPublishedClear is the least number of ends that a request must have for its clearing to be published. A single end
+// does not quarantine a request, and publishing that it is cleared would double the writes for all requests that merely
+// ran beside one that terminated a server.
 const minPublishedClear = 2
 
 const (
@@ -65,7 +65,8 @@
 	released map[Fingerprint]time.Time
 	// cleared holds ends that have yet to be removed from the store.
 	cleared []End
-	// size is the number of requests, readable without the lock: usually there are none.
+	// size is the number of requests. It can be read without the lock, which is not needed while there are none, as is
+	// usual.
 	size atomic.Int64
 	// republish delivers a value when ends that were published have to be written again.
 	republish chan struct{}
@@ -102,7 +103,7 @@
 // the end must be published.
 func (b *Book) Confirm(e End, now time.Time) bool { return b.add(e, confirmed, now) }
 
-// AddListed adds an end that was read from the store, and reports whether it was not known as such.
+// AddListed adds an end that was read from the store, and reports whether this instance has read it for the first time.
 func (b *Book) AddListed(e End, now time.Time) bool { return b.add(e, listed, now) }
 
 // add raises an end to a state, and reports whether it was below that state.
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -15,8 +15,8 @@
 // ErrFingerprint means that a text is not a fingerprint.
 var ErrFingerprint = errors.New("quarantine: not a fingerprint")
 
-// Fingerprint identifies a request by its path, caller and body; all attempts of a caller at one request have the same
-// fingerprint.
+// Fingerprint identifies a request by its host, target, client account and body; all attempts of a caller at one request
+// have the same fingerprint.
 type Fingerprint [fingerprintBytes]byte
 
 // FingerprintOf returns the fingerprint of a request, given host and target as they were sent, the client account and
--- a/quarantine/publisher.go
+++ b/quarantine/publisher.go
@@ -27,7 +27,8 @@
 
 // EndStore writes to the store, where all instances read which servers terminated under which requests.
 type EndStore interface {
-	// Publish writes ends to the store, which last for as long as ends count, and removes the records of cleared ones.
+	// Publish writes ends to the store, where their records last for as long as ends count, and removes the records of
+	// cleared ones.
 	Publish(ctx context.Context, ends, cleared []End) error
 }
 
