--- a/membership/membership.go
+++ b/membership/membership.go
@@ -61,9 +61,9 @@
 // Errors of a registry.
 var (
 	// ErrExpired means that the record of an instance has expired.
-	ErrExpired = errors.New("census: record has ended")
+	ErrExpired = errors.New("membership: record has expired")
 	// ErrTaken means that another instance has written to the slot in the meantime.
-	ErrTaken = errors.New("census: slot is taken")
+	ErrTaken = errors.New("membership: slot is taken")
 )
 
 // Instance is what an instance publishes about itself.
@@ -122,8 +122,8 @@
 	missingSince time.Time
 }
 
-// New starts a Census that publishes what it reads to the view; it stops when ctx ends. NewKey generates a key for a fleet that
-// has none.
+// New returns a Membership and starts it: it publishes what it reads to the view, and stops when ctx ends. NewKey generates a
+// key for a fleet that has none.
 func New(
 	ctx context.Context, view *View, registry Registry, self Instance, newKey func() ([]byte, error), clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
@@ -323,8 +323,8 @@
 	}
 }
 
-// checkReplaced abandons the own record after it has been missing from the list for replacedAfter: another instance has
-// replaced it.
+// checkReplaced abandons the own record once it has been missing from the list for replacedAfter, since another instance has
+// then replaced it.
 func (c *Membership) checkReplaced(records []Record) {
 	listed := c.lease == 0 || slices.ContainsFunc(records, func(r Record) bool { return r.Name == c.self.Name })
 	switch now := c.clock.Now(); {
--- a/membership/view.go
+++ b/membership/view.go
@@ -18,7 +18,7 @@
 	instances atomic.Int64
 
 	mu sync.Mutex
-	// changed is closed and replaced whenever the records or the fleet key change.
+	// changed is closed and replaced whenever a snapshot is published, the fleet key is stored or the result of Empty changes.
 	changed chan struct{}
 	// counts holds, by domain, the number of instances that the domain's relay has counted.
 	counts map[string]int
@@ -61,7 +61,8 @@
 	b.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed when the records or the fleet key change.
+// Changed returns a channel that is closed when the records have been read again, or when the fleet key or the result of
+// Empty has changed.
 func (b *View) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,8 +84,8 @@
 	b.notify()
 }
 
-// Instances returns the number of instances. It is Unknown before the first read of the records, and while the relay of a
-// domain in which some instances have no record has not counted its instances.
+// Instances returns the number of instances. It is AssumedInstances before the first read of the records, and
+// while the relay of a domain in which some instances may have no record has not counted its instances.
 func (b *View) Instances() int { return int(b.instances.Load()) }
 
 // totalLocked computes the number of instances; the caller holds the lock.
