--- a/relay/breaker_test.go
+++ b/relay/breaker_test.go
@@ -49,7 +49,7 @@
 		instances = 290
 		outage    = 8 * time.Second
 		pause     = 800 * time.Millisecond
-		// most is the number of calls that one instance may make: one for each two rounds of polls, since a round of 0.8 s is
+		// most is the number of calls that one instance may make: one for every two rounds of polls, since a round of 0.8 s is
 		// shorter than the probe interval.
 		most = 5
 	)
@@ -108,9 +108,9 @@
 // TestRelaysAreNotUsedWithAShortApplyTime compares values of ApplyTime: relays take almost minApplyTime to report that they
 // have lost the store.
 func TestRelaysAreNotUsedWithAShortApplyTime(t *testing.T) {
-	require.True(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.relays(2, 2))
-	require.True(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.relays(1, 2), "one of two has a record")
-	require.False(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.relays(0, 2), "no member is known")
-	require.False(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.relays(1, 1))
-	require.False(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime - time.Second}.relays(100, 100))
+	require.True(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.usesRelays(2, 2))
+	require.True(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.usesRelays(1, 2), "one of two has a record")
+	require.False(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.usesRelays(0, 2), "no member is known")
+	require.False(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime}.usesRelays(1, 1))
+	require.False(t, Self{RelaysFrom: 2, ApplyTime: minApplyTime - time.Second}.usesRelays(100, 100))
 }
--- a/relay/compress.go
+++ b/relay/compress.go
@@ -26,7 +26,7 @@
 // position.
 type span struct {
 	after, at follow.Position
-	whole     bool
+	full     bool
 }
 
 // compressedCache keeps the latest answers compressed, so that each is compressed only once for all polling instances. It is
--- a/relay/compress_test.go
+++ b/relay/compress_test.go
@@ -22,13 +22,13 @@
 		size += len(entry)
 	}
 	var p compressedCache
-	packed, err := p.get(span{at: 1, whole: true}, records)
+	packed, err := p.get(span{at: 1, full: true}, records)
 	require.NoError(t, err)
 	require.LessOrEqual(t, float64(len(packed)), most*float64(size))
 	back, err := decompress(packed)
 	require.NoError(t, err)
 	require.Equal(t, records, back)
-	again, err := p.get(span{at: 1, whole: true}, records)
+	again, err := p.get(span{at: 1, full: true}, records)
 	require.NoError(t, err)
 	require.Equal(t, &packed[0], &again[0], "compressed only once for all polling instances")
 	few, err := p.get(span{at: 1}, records[:2])
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -15,13 +15,13 @@
 	"junctioncross/membership"
 )
 
-// drawDay draws the faults of a scenario at random; members must be grouped by domain.
-func drawDay(random *rand.Rand, members []membership.Instance, promise time.Duration) scenario {
-	d := scenario{length: 30 * time.Second, applyDeadline: promise}
+// drawScenario draws the faults of a scenario at random; members must be grouped by domain.
+func drawScenario(random *rand.Rand, members []membership.Instance, applyTime time.Duration) scenario {
+	d := scenario{length: 30 * time.Second, applyDeadline: applyTime}
 	for range 1 + random.IntN(3) {
 		d.faults = append(d.faults, drawFault(random, members))
 	}
-	for at := warmUpTime; at < d.length-promise; at += time.Duration((0.3 + 2*random.Float64()) * float64(time.Second)) {
+	for at := warmUpTime; at < d.length-applyTime; at += time.Duration((0.3 + 2*random.Float64()) * float64(time.Second)) {
 		if !d.down(at, len(members)) {
 			d.acceptedAt = append(d.acceptedAt, at)
 		}
@@ -54,7 +54,7 @@
 	return f
 }
 
-// inDomain makes a fault hit all instances of one domain.
+// inDomain makes a fault affect exactly the instances of one domain, which it draws.
 func inDomain(hits []bool, members []membership.Instance, random *rand.Rand) {
 	domain := members[random.IntN(len(members))].Domain
 	for i, m := range members {
@@ -62,7 +62,7 @@
 	}
 }
 
-// instances returns the members of a fleet with some domains.
+// instances returns the members of a fleet with the given number of domains and of instances in each.
 func instances(domains, each int) []membership.Instance {
 	var out []membership.Instance
 	for d := range domains {
@@ -74,11 +74,11 @@
 	return out
 }
 
-// seeds returns the number of random scenarios to simulate: the value of JX_OUTAGE_SEEDS, or some if it is not set.
-func seeds(t *testing.T, some uint64) uint64 {
+// seeds returns the number of random scenarios to simulate: the value of JX_OUTAGE_SEEDS, or defaultCount if it is not set.
+func seeds(t *testing.T, defaultCount uint64) uint64 {
 	asked := os.Getenv("JX_OUTAGE_SEEDS")
 	if asked == "" {
-		return some
+		return defaultCount
 	}
 	n, err := strconv.ParseUint(asked, 10, 64)
 	require.NoError(t, err)
@@ -89,7 +89,7 @@
 // beside six busy processes on 8 processors, with the race detector.
 const ciSeeds = 50
 
-// regressionSeeds are seeds beyond ciSeeds that failed once, each with its cause.
+// regressionSeeds are seeds beyond ciSeeds whose scenarios once failed, each with the cause.
 var regressionSeeds = []uint64{
 	// Eight instances of a domain waited 0.6 s for their relay to say that it no longer reached the store, and 1.2 s for one
 	// that was cut off.
@@ -108,13 +108,13 @@
 	for _, seed := range days {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			playOutages(t, seed)
+			simulateOutages(t, seed)
 		})
 	}
 }
 
-// playOutages simulates the scenario of a seed. Each twentieth scenario has 295 instances in 5 domains, the others 72 in 3.
-func playOutages(t *testing.T, seed uint64) {
+// simulateOutages simulates the scenario of a seed. Each twentieth scenario has 295 instances in 5 domains, the others 72 in 3.
+func simulateOutages(t *testing.T, seed uint64) {
 	members, within := instances(3, 24), applyDeadline
 	if seed%20 == 19 {
 		members, within = instances(5, 59), largeFleetApplyDeadline
@@ -122,7 +122,7 @@
 	var p *simulation
 	var broken []string
 	synctest.Test(t, func(*testing.T) {
-		p = newSimulation(members, drawDay(rand.New(rand.NewPCG(seed, 1)), members, within))
+		p = newSimulation(members, drawScenario(rand.New(rand.NewPCG(seed, 1)), members, within))
 		broken = p.run()
 	})
 	if len(broken) > 0 {
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -155,7 +155,7 @@
 		case !s.stopped.Load() && v.position > 0 && s.fresh():
 			// An instance that has the feed from a relay may serve it as well: the polling instance knows nothing yet, so it
 			// cannot get its own updates back.
-			return s.replyWithRecords(feed, v, arrived, span{at: v.position, whole: true})
+			return s.replyWithRecords(feed, v, arrived, span{at: v.position, full: true})
 		case s.stopped.Load() || !s.starting():
 			return pollReply{}, errNotDirect
 		}
--- a/relay/pollers.go
+++ b/relay/pollers.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// pollerCountDelay is how long after its first poll an instance has to wait until it knows the number of its pollers:
-	// several poll intervals.
+	// pollerCountDelay is how long after the first poll that it receives a relay knows the number of its pollers: several poll
+	// intervals.
 	pollerCountDelay = 3 * time.Second
 	// pollerTTL is how long an instance still counts after its last poll. Counting too many is safe, since shared limits are
 	// divided by the count.
@@ -71,7 +71,7 @@
 
 // counts returns the number of instances of each domain, as far as it is known.
 func (s *Source) counts() map[string]int {
-	if n := s.pollers.count(); n > 0 && s.relay() {
+	if n := s.pollers.count(); n > 0 && s.isRelay() {
 		// The relay itself polls nobody.
 		s.fleet.NoteCounts(map[string]int{s.self.Domain: n + 1})
 	}
--- a/relay/registry.go
+++ b/relay/registry.go
@@ -46,8 +46,8 @@
 	Counts map[string]int `cbor:"3,keyasint,omitempty"`
 }
 
-// Registry is a membership.Registry that reads the registration records through the relay of the domain, so that they are read from
-// the store once for each domain and not by each instance.
+// Registry is a membership.Registry that reads the registration records through the relay of the domain, so that they are read
+// from the store once for each domain and not by each instance.
 type Registry struct {
 	membership.Registry
 	self  Self
@@ -71,7 +71,7 @@
 	}
 }
 
-// AddTo registers the call for the records with those that the instance serves.
+// AddTo adds the handler of requests for the records to the calls that the instance answers.
 func (r *Registry) AddTo(mux *link.Mux) {
 	link.Handle(mux, link.KindRecords, func(ctx context.Context, _ keys.Identity, q recordsRequest) (recordsReply, error) {
 		return r.serve(ctx, q)
@@ -81,7 +81,7 @@
 // List implements membership.Registry.
 func (r *Registry) List(ctx context.Context) (membership.Snapshot, error) {
 	members := r.fleet.Members()
-	if !r.self.relays(len(members), r.fleet.Instances()) || len(r.fleet.Key()) == 0 {
+	if !r.self.usesRelays(len(members), r.fleet.Instances()) || len(r.fleet.Key()) == 0 {
 		return r.readRecords(ctx, 0)
 	}
 	for i, w := range upstreamsOf(r.self.Name, r.self.Domain, members) {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -21,7 +21,7 @@
 	"junctioncross/timer"
 )
 
-// waitLimit bounds waits that end within a few seconds on a healthy machine.
+// waitLimit bounds waits that end within a few seconds on an idle machine.
 const waitLimit = 30 * time.Second
 
 // fleet is a relay.Fleet that is the same for all instances and does not change.
--- a/relay/reports.go
+++ b/relay/reports.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// reportsHoldTime is the longest time that a relay holds a poll of the servers feed, whose answer also passes on shared reports
-	// on servers. What one instance learns reaches its whole domain after half of that on average.
+	// reportsHoldTime is the longest time for which a relay of a small domain holds a poll of the servers feed, whose answer also
+	// passes on shared reports on servers. What one instance learns reaches its whole domain after half of that on average.
 	reportsHoldTime = 400 * time.Millisecond
-	// holdTimePerPoller is the hold time for each polling instance, where that adds up to more: in a large domain reports are passed
-	// on less often, so that there are no more polls than a relay can answer.
+	// holdTimePerPoller, multiplied by the number of polling instances, is the hold time where that is longer than
+	// reportsHoldTime, up to pollHold: in a large domain reports are passed on less often, so that there are no more polls than
+	// a relay can answer.
 	holdTimePerPoller = 4 * time.Millisecond
 	// initialReportAge is the greatest age of the reports in the first answer to an instance.
 	initialReportAge = time.Second
@@ -22,12 +23,13 @@
 // hundreds of instances has few streams; without the reports it would learn which servers are slow or dead only by losing
 // streams to one server after the other.
 type SharedReports interface {
-	// OwnReports returns the reports on servers that this instance has queried itself after a time, including those that did not
-	// answer.
+	// OwnReports returns the reports that this instance obtained itself after a time by querying servers; a server that did not
+	// answer counts too.
 	OwnReports(after, now time.Time) []backend.SharedReport
 	// Reports returns all reports that this instance learned of after a time, its own and those of others.
 	Reports(after, now time.Time) []backend.SharedReport
-	// ApplySharedReports applies the reports of another instance and returns whether the state of a server became bad by them.
+	// ApplySharedReports applies the reports of another instance and returns whether they show that a server has become silent
+	// or slow.
 	ApplySharedReports(reports []backend.SharedReport, now time.Time) bool
 }
 
@@ -54,8 +56,8 @@
 	s.reports.ApplySharedReports(t.Reports, s.clock.Now())
 }
 
-// applyPolledReports applies the reports in a poll. If a server's state became bad by them, all waiting polls of the servers feed
-// are answered at once.
+// applyPolledReports applies the reports in a poll. If they show that a server has become silent or slow, all waiting polls of
+// the servers feed are answered at once.
 func (s *Source) applyPolledReports(reports []backend.SharedReport) {
 	now := s.clock.Now()
 	if !s.reports.ApplySharedReports(reports, now) {
@@ -75,7 +77,7 @@
 	return s.reports.Reports(after, now), now.Sub(s.begun)
 }
 
-// turnedWorse reports whether the state of a server has become bad since mark.
+// turnedWorse reports whether another instance has reported since mark that a server has become silent or slow.
 func (s *Source) turnedWorse(mark time.Duration) bool {
 	return time.Duration(s.lastWorse.Load()) > max(mark, 0)
 }
--- a/relay/scenario_test.go
+++ b/relay/scenario_test.go
@@ -18,9 +18,9 @@
 // fault is a period in which some instances are disturbed.
 type fault struct {
 	from, until time.Duration
-	// affected tells for each instance whether the fault affects it.
+	// affected says for each instance whether the fault affects it.
 	affected []bool
-	// access is how the store treats the affected instances; it is served if the fault is of another access.
+	// access is how the store treats the affected instances; it is served if the fault does not concern the store.
 	access access
 	// killed means that the affected instances do not run during the fault.
 	killed bool
@@ -33,7 +33,7 @@
 // scenario is what happens in one simulation.
 type scenario struct {
 	faults []fault
-	// acceptedAt holds the times at which configurations are acceptedAt; the first of them has version 2.
+	// acceptedAt holds the times at which configurations are accepted; the first of them has version 2.
 	acceptedAt []time.Duration
 	// historyLostAt holds the times at which the store drops its history.
 	historyLostAt []time.Duration
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// applyDeadline is how long after its acceptance a configuration may be missing at an instance that can learn
-	// of it. The second deadline is that of a fleet of hundreds.
+	// applyDeadline is how long after its acceptance a configuration may be missing at an instance that can learn of it;
+	// largeFleetApplyDeadline is the same for a fleet of hundreds.
 	applyDeadline           = 3 * time.Second
 	largeFleetApplyDeadline = 4 * time.Second
 	// endExtraTime is how much longer an end may take than a configuration; the platform allows fleets of 72 and 295 instances
--- a/relay/source.go
+++ b/relay/source.go
@@ -25,7 +25,7 @@
 	settledTime = 3 * time.Second
 )
 
-// lateTime is how long after the last answer for it a feed counts as late: longer than a relay holds a poll.
+// lateTime is the time since its last answer after which a feed counts as late: longer than a relay holds a poll.
 const lateTime = pollHold + 100*time.Millisecond
 
 // feeds is the number of feeds: configuration, servers and quarantine.
@@ -66,9 +66,9 @@
 // to 2.6 s.
 const minApplyTime = 3 * time.Second
 
-// relays reports whether the fleet uses relays; members is the number of instances with registration records, and instances
+// usesRelays reports whether the fleet uses usesRelays; members is the number of instances with registration records, and instances
 // the number of all.
-func (s Self) relays(members, instances int) bool {
+func (s Self) usesRelays(members, instances int) bool {
 	return members > 0 && max(members, instances) >= s.RelaysFrom && s.ApplyTime >= minApplyTime
 }
 
@@ -89,7 +89,7 @@
 	reports SharedReports
 	ends    Ends
 	begun   time.Time
-	// lastWorse is when another instance last reported that a server has turned bad, in nanoseconds since begun.
+	// lastWorse is when another instance last reported that a server has become silent or slow, in nanoseconds since begun.
 	lastWorse atomic.Int64
 
 	upstreamCache upstreamCache
@@ -148,7 +148,7 @@
 	switch {
 	case s.upstreams() == nil:
 		return false
-	case s.relay():
+	case s.isRelay():
 		return true
 	}
 	s.mu.Lock()
@@ -221,7 +221,7 @@
 
 // late reports whether a feed has had no answer for so long that the next upstream is asked for what it has at once, without
 // a wait for updates. While the feed is not late, the next upstream may hold the poll, which limits how often the upstreams
-// that failed are asked again: otherwise a relay that the store rejects would ask it without a pause.
+// that failed are asked again: otherwise a relay that the store rejects would ask the store without a pause.
 func (s *Source) late(feed follow.Feed) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/relay/start.go
+++ b/relay/start.go
@@ -85,7 +85,7 @@
 // membersKnown reports whether the members are known and can be asked, or are too few for relays.
 func (s *Source) membersKnown() bool {
 	n := len(s.fleet.Members())
-	return n > 0 && (!s.self.relays(n, s.fleet.Instances()) || len(s.fleet.Key()) > 0)
+	return n > 0 && (!s.self.usesRelays(n, s.fleet.Instances()) || len(s.fleet.Key()) > 0)
 }
 
 // readyTimeout returns how long relays that do not have the feed yet are asked. After that the instances with registration
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -52,7 +52,7 @@
 // must not change the result.
 func (s *Source) upstreams() []upstream {
 	members := s.fleet.Members()
-	return s.upstreamCache.get(members, s.self.relays(len(members), s.fleet.Instances()), s.upstreamsAmong)
+	return s.upstreamCache.get(members, s.self.usesRelays(len(members), s.fleet.Instances()), s.upstreamsAmong)
 }
 
 // upstreamsAmong computes the upstreams from the members of the fleet; relays says whether the fleet uses relays.
@@ -81,8 +81,8 @@
 	return out
 }
 
-// relay reports whether the instance is the relay of its domain, which follows the store for the others.
-func (s *Source) relay() bool {
+// isRelay reports whether the instance is the isRelay of its domain, which follows the store for the others.
+func (s *Source) isRelay() bool {
 	upstreams := s.upstreams()
 	return len(upstreams) > 0 && upstreams[0].direct()
 }
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -87,7 +87,7 @@
 			// An instance that has just found the store again can serve others at once.
 			return minWait
 		}
-		if !s.relay() {
+		if !s.isRelay() {
 			// The others get the configuration from a relay, and polls to a relay do not reveal that the store has fallen
 			// silent.
 			return suspectWait
