--- a/follow/feed.go
+++ b/follow/feed.go
@@ -79,7 +79,7 @@
 
 // waitForMore waits for batchDelay after updates of servers, so that updates which come together cost one call.
 func (p *poller) waitForMore(ctx context.Context, event FeedEvent) {
-	if h, ok := event.(feedUpdates); !ok || len(h.Changes) == 0 {
+	if updates, ok := event.(feedUpdates); !ok || len(updates.Changes) == 0 {
 		return
 	}
 	p.clock.Sleep(ctx, batchDelay)
--- a/follow/loop.go
+++ b/follow/loop.go
@@ -84,8 +84,8 @@
 		defer ticks.Stop()
 		for {
 			select {
-			case h := <-l.events:
-				l.handle(h)
+			case e := <-l.events:
+				l.handle(e)
 			case <-ticks.C():
 				l.housekeep()
 			case <-ctx.Done():
@@ -96,40 +96,40 @@
 	return l
 }
 
-func (l *Loop) handle(h FeedEvent) {
-	switch h := h.(type) {
+func (l *Loop) handle(e FeedEvent) {
+	switch e := e.(type) {
 	case fullFeed:
-		l.noteRegained(h.feed)
-		lostWrites := l.notePosition(h.feed, h.At)
-		dropped := h.feed == FeedServers && l.dropUnlisted(h.Changes)
-		l.publish(l.apply(h.Changes) || dropped)
-		if h.feed == FeedQuarantine && !lostWrites {
-			l.dropUnlistedEnds(h.Changes)
+		l.noteRegained(e.feed)
+		lostWrites := l.notePosition(e.feed, e.At)
+		dropped := e.feed == FeedServers && l.dropUnlisted(e.Changes)
+		l.publish(l.apply(e.Changes) || dropped)
+		if e.feed == FeedQuarantine && !lostWrites {
+			l.dropUnlistedEnds(e.Changes)
 		}
 		l.markPossiblyLeaving()
-		l.confirm(h.feed, h.AsOf)
+		l.confirm(e.feed, e.AsOf)
 	case feedUpdates:
-		l.noteRegained(h.feed)
-		if l.notePosition(h.feed, h.At) && h.feed == FeedQuarantine {
-			h.Changes = slices.DeleteFunc(h.Changes, isEndGone)
+		l.noteRegained(e.feed)
+		if l.notePosition(e.feed, e.At) && e.feed == FeedQuarantine {
+			e.Changes = slices.DeleteFunc(e.Changes, isEndGone)
 		}
-		l.publish(l.apply(h.Changes))
+		l.publish(l.apply(e.Changes))
 		l.markPossiblyLeaving()
-		l.confirm(h.feed, h.AsOf)
+		l.confirm(e.feed, e.AsOf)
 	case feedFailure:
-		l.handleFailure(h)
+		l.handleFailure(e)
 	}
 }
 
-func (l *Loop) handleFailure(h feedFailure) {
-	if !errors.Is(h.err, ErrHistoryGone) {
+func (l *Loop) handleFailure(f feedFailure) {
+	if !errors.Is(f.err, ErrHistoryGone) {
 		// A store that no longer has the history is available all the same.
 		l.lastFailure = l.clock.Now()
 	}
-	l.stats.Counter("store_failures_total{feed=\"" + h.feed.String() + "\"}").Inc(1)
-	if !l.failing[h.feed] {
-		l.failing[h.feed] = true
-		l.log.WithFields(logrus.Fields{"dependency": "store", "feed": h.feed.String()}).WithError(h.err).Warn("dependency lost")
+	l.stats.Counter("store_failures_total{feed=\"" + f.feed.String() + "\"}").Inc(1)
+	if !l.failing[f.feed] {
+		l.failing[f.feed] = true
+		l.log.WithFields(logrus.Fields{"dependency": "store", "feed": f.feed.String()}).WithError(f.err).Warn("dependency lost")
 	}
 }
 
--- a/follow/snapshot.go
+++ b/follow/snapshot.go
@@ -40,25 +40,25 @@
 
 // NewFleetView returns a FleetView with an empty Snapshot.
 func NewFleetView() *FleetView {
-	b := &FleetView{}
-	b.current.Store(&Snapshot{})
-	b.confirmed.Store(&time.Time{})
-	b.listed.Store(&time.Time{})
-	b.lastShared.Store(&time.Time{})
-	return b
+	v := &FleetView{}
+	v.current.Store(&Snapshot{})
+	v.confirmed.Store(&time.Time{})
+	v.listed.Store(&time.Time{})
+	v.lastShared.Store(&time.Time{})
+	return v
 }
 
 // Current returns the newest Snapshot; it is never nil.
-func (b *FleetView) Current() *Snapshot { return b.current.Load() }
+func (v *FleetView) Current() *Snapshot { return v.current.Load() }
 
 // Confirmed returns the last moment at which the configuration in force is known to have been the newest.
-func (b *FleetView) Confirmed() time.Time { return *b.confirmed.Load() }
+func (v *FleetView) Confirmed() time.Time { return *v.confirmed.Load() }
 
 // KeysAge returns for how long keys may have been revoked without the instance knowing.
-func (b *FleetView) KeysAge(now time.Time) time.Duration { return now.Sub(b.Confirmed()) }
+func (v *FleetView) KeysAge(now time.Time) time.Duration { return now.Sub(v.Confirmed()) }
 
 // Listed reports whether the list of servers has been read since the start.
-func (b *FleetView) Listed() bool { return !b.listed.Load().IsZero() }
+func (v *FleetView) Listed() bool { return !v.listed.Load().IsZero() }
 
 // ServersAge returns for how long entries of servers may have changed without the instance knowing.
-func (b *FleetView) ServersAge(now time.Time) time.Duration { return now.Sub(*b.listed.Load()) }
+func (v *FleetView) ServersAge(now time.Time) time.Duration { return now.Sub(*v.listed.Load()) }
