--- a/quarantine/publisher.go
+++ b/quarantine/publisher.go
@@ -46,73 +46,73 @@
 func NewPublisher(
 	ctx context.Context, book *Book, store EndStore, clock *timer.Service, stats *metrics.Registry, log *logrus.Logger,
 ) *Publisher {
-	t := &Publisher{book: book, store: store, clock: clock, stats: stats, log: log, wake: make(chan struct{}, 1)}
+	p := &Publisher{book: book, store: store, clock: clock, stats: stats, log: log, wake: make(chan struct{}, 1)}
 	go func() {
 		for {
 			select {
-			case <-t.wake:
+			case <-p.wake:
 				clock.Sleep(ctx, batchDelay)
-				t.publishAll(ctx)
+				p.publishAll(ctx)
 			case <-book.republish:
-				t.publishAll(ctx)
+				p.publishAll(ctx)
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	return t
+	return p
 }
 
 // Wake starts publishing soon, since there is something to publish; it does not block.
-func (t *Publisher) Wake() {
+func (p *Publisher) Wake() {
 	select {
-	case t.wake <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Unpublished returns ends that could not be published yet, so that other instances can publish them.
-func (t *Publisher) Unpublished() []End {
-	if t.book.Size() == 0 {
+func (p *Publisher) Unpublished() []End {
+	if p.book.Size() == 0 {
 		return nil
 	}
-	ends, _ := t.book.Unpublished(batchSize)
+	ends, _ := p.book.Unpublished(batchSize)
 	return ends
 }
 
 // Adopt adds ends that another instance could not publish, in order to publish them.
-func (t *Publisher) Adopt(ends []End) {
+func (p *Publisher) Adopt(ends []End) {
 	for _, e := range ends {
-		if t.book.Confirm(e, t.clock.Now()) {
-			t.Wake()
+		if p.book.Confirm(e, p.clock.Now()) {
+			p.Wake()
 		}
 	}
 }
 
 // publishAll writes until nothing is left to publish.
-func (t *Publisher) publishAll(ctx context.Context) {
+func (p *Publisher) publishAll(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; {
-		ends, cleared := t.book.Unpublished(batchSize)
+		ends, cleared := p.book.Unpublished(batchSize)
 		if len(ends)+len(cleared) == 0 {
 			return
 		}
-		if err := t.publishBatch(ctx, ends, cleared); err != nil {
+		if err := p.publishBatch(ctx, ends, cleared); err != nil {
 			if failures == 0 {
-				t.log.WithField("ends", len(ends)).WithError(err).Warn("ends of servers not told")
+				p.log.WithField("ends", len(ends)).WithError(err).Warn("ends of servers not told")
 			}
-			t.stats.Counter("quarantine_tells_failed_total").Inc(1)
-			t.clock.Sleep(ctx, retry.Backoff(minBackoff, maxBackoff, failures))
+			p.stats.Counter("quarantine_tells_failed_total").Inc(1)
+			p.clock.Sleep(ctx, retry.Backoff(minBackoff, maxBackoff, failures))
 			failures++
 			continue
 		}
 		failures = 0
-		t.book.MarkPublished(ends, cleared)
+		p.book.MarkPublished(ends, cleared)
 	}
 }
 
-func (t *Publisher) publishBatch(ctx context.Context, ends, cleared []End) error {
+func (p *Publisher) publishBatch(ctx context.Context, ends, cleared []End) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	t.stats.Counter("quarantine_tells_total").Inc(1)
-	return t.store.Publish(ctx, ends, cleared)
+	p.stats.Counter("quarantine_tells_total").Inc(1)
+	return p.store.Publish(ctx, ends, cleared)
 }
--- a/quarantine/publisher_test.go
+++ b/quarantine/publisher_test.go
@@ -26,21 +26,21 @@
 }
 
 // Publish implements quarantine.EndStore.
-func (r *fakeStore) Publish(_ context.Context, ends, cleared []quarantine.End) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.failures > 0 {
-		r.failures--
+func (s *fakeStore) Publish(_ context.Context, ends, cleared []quarantine.End) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.failures > 0 {
+		s.failures--
 		return errors.New("rejected by the store")
 	}
-	r.ends, r.cleared = append(r.ends, ends...), append(r.cleared, cleared...)
+	s.ends, s.cleared = append(s.ends, ends...), append(s.cleared, cleared...)
 	return nil
 }
 
-func (r *fakeStore) counts() (ends, cleared int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.ends), len(r.cleared)
+func (s *fakeStore) counts() (ends, cleared int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.ends), len(s.cleared)
 }
 
 func TestEndsArePublishedOnceTheStoreAcceptsThem(t *testing.T) {
