--- a/membership/membership.go
+++ b/membership/membership.go
@@ -128,33 +128,33 @@
 	ctx context.Context, view *View, registry Registry, self Instance, newKey func() ([]byte, error), clock *timer.Service,
 	stats *metrics.Registry, log *logrus.Logger,
 ) *Membership {
-	c := &Membership{View: view, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
+	m := &Membership{View: view, registry: registry, self: self, newKey: newKey, clock: clock, stats: stats, log: log}
 	go func() {
-		c.startUp(ctx)
+		m.startUp(ctx)
 		for ctx.Err() == nil {
-			clock.Sleep(ctx, c.step(ctx))
+			clock.Sleep(ctx, m.step(ctx))
 		}
 	}()
-	return c
+	return m
 }
 
 // startUp reads the records. An instance that joins a running fleet knows at once which instances to poll. Among instances
 // that find no records the strongest register first, and the others read once more before they do.
-func (c *Membership) startUp(ctx context.Context) {
-	for !c.refresh(ctx) && c.clock.Sleep(ctx, halfJitter(firstCountRetryDelay)) {
+func (m *Membership) startUp(ctx context.Context) {
+	for !m.refresh(ctx) && m.clock.Sleep(ctx, halfJitter(firstCountRetryDelay)) {
 		continue
 	}
-	c.adoptRecord()
-	alone := len(c.Members()) == 0
+	m.adoptRecord()
+	alone := len(m.Members()) == 0
 	if alone {
-		c.clock.Sleep(ctx, emptyFleetDelayOf(c.self.Power))
+		m.clock.Sleep(ctx, emptyFleetDelayOf(m.self.Power))
 	}
-	c.clock.Sleep(ctx, time.Duration(rand.Float64()*float64(startJitter)))
-	if !alone || !c.list(ctx) {
+	m.clock.Sleep(ctx, time.Duration(rand.Float64()*float64(startJitter)))
+	if !alone || !m.list(ctx) {
 		return
 	}
-	if _, joins := c.chooseSlot(); !joins {
-		c.publish()
+	if _, joins := m.chooseSlot(); !joins {
+		m.publish()
 	}
 }
 
@@ -174,57 +174,57 @@
 
 // adoptRecord takes over the record that an earlier process of this instance has left, if its content is the same. Renewing
 // a record costs a twentieth of the calls that writing a new one does, for each instance that restarts.
-func (c *Membership) adoptRecord() {
-	for _, r := range c.snapshot.Records {
-		if r.Instance == c.self {
-			c.lease = r.Lease
+func (m *Membership) adoptRecord() {
+	for _, r := range m.snapshot.Records {
+		if r.Instance == m.self {
+			m.lease = r.Lease
 		}
 	}
 }
 
 // step joins, renews the record or reads the records, and returns the delay until the next step.
-func (c *Membership) step(ctx context.Context) time.Duration {
+func (m *Membership) step(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if c.lease == 0 {
-		if slot, ok := c.chooseSlot(); ok {
-			return c.join(ctx, slot)
+	if m.lease == 0 {
+		if slot, ok := m.chooseSlot(); ok {
+			return m.join(ctx, slot)
 		}
 	}
-	if c.lease != 0 && c.clock.Since(c.renewedAt) >= countInterval {
-		if delay, ok := c.renew(ctx); !ok {
+	if m.lease != 0 && m.clock.Since(m.renewedAt) >= countInterval {
+		if delay, ok := m.renew(ctx); !ok {
 			return delay
 		}
 	}
 	switch {
-	case !c.refresh(ctx):
+	case !m.refresh(ctx):
 		return retryDelay
-	case len(c.Key()) == 0:
+	case len(m.Key()) == 0:
 		return missingKeyDelay
 	}
-	if c.trackCount(); c.lease == 0 {
+	if m.trackCount(); m.lease == 0 {
 		// Without the jitter many instances without a record would read at the same moment.
-		return halfJitter(c.nextReadDelayWithoutRecord())
+		return halfJitter(m.nextReadDelayWithoutRecord())
 	}
-	return c.nextReadDelay()
+	return m.nextReadDelay()
 }
 
 // trackCount updates the number of reads in a row that have found the same number of instances.
-func (c *Membership) trackCount() {
-	if n := c.Instances(); n != c.count {
-		c.count, c.sameCounts = n, 0
+func (m *Membership) trackCount() {
+	if n := m.Instances(); n != m.count {
+		m.count, m.sameCounts = n, 0
 		return
 	}
-	c.sameCounts++
+	m.sameCounts++
 }
 
 // nextReadDelay returns the delay until an instance with a record reads again. Shared limits are divided by the number of
 // instances, so that a number that was read while others were still joining must soon be corrected.
-func (c *Membership) nextReadDelay() time.Duration {
+func (m *Membership) nextReadDelay() time.Duration {
 	switch {
-	case c.sameCounts == 0 && c.count == AssumedInstances, c.sameCounts == 1 && c.count != AssumedInstances:
+	case m.sameCounts == 0 && m.count == AssumedInstances, m.sameCounts == 1 && m.count != AssumedInstances:
 		return recountDelay
-	case c.sameCounts == 0, c.count == AssumedInstances:
+	case m.sameCounts == 0, m.count == AssumedInstances:
 		return unknownCountDelay
 	default:
 		return countInterval
@@ -233,130 +233,130 @@
 
 // nextReadDelayWithoutRecord returns the longest delay until an instance without a record reads again. While the number
 // of instances changes or is unknown, its list may lack the relay of its domain, so that no relay counts the instance.
-func (c *Membership) nextReadDelayWithoutRecord() time.Duration {
-	if c.sameCounts == 0 || c.count == AssumedInstances {
+func (m *Membership) nextReadDelayWithoutRecord() time.Duration {
+	if m.sameCounts == 0 || m.count == AssumedInstances {
 		return recountDelay
 	}
 	return countInterval
 }
 
-func (c *Membership) join(ctx context.Context, slot Slot) time.Duration {
-	lease, err := c.registry.Join(ctx, c.self, slot, recordTTL)
+func (m *Membership) join(ctx context.Context, slot Slot) time.Duration {
+	lease, err := m.registry.Join(ctx, m.self, slot, recordTTL)
 	switch {
 	case errors.Is(err, ErrTaken):
-		c.stats.Counter("records_taken_total").Inc(1)
-		c.list(ctx)
+		m.stats.Counter("records_taken_total").Inc(1)
+		m.list(ctx)
 		return halfJitter(slotTakenDelay)
 	case err != nil:
-		c.log.WithError(err).Warn("record of the instance not written")
+		m.log.WithError(err).Warn("record of the instance not written")
 		return retryDelay
 	}
-	c.lease, c.renewedAt, c.missingSince = lease, c.clock.Now(), time.Time{}
-	c.ensureKey(ctx)
+	m.lease, m.renewedAt, m.missingSince = lease, m.clock.Now(), time.Time{}
+	m.ensureKey(ctx)
 	return joinSettleDelay
 }
 
 // renew renews the record; if that fails, it returns the delay until the next step and false.
-func (c *Membership) renew(ctx context.Context) (time.Duration, bool) {
-	err := c.registry.Renew(ctx, c.lease)
+func (m *Membership) renew(ctx context.Context) (time.Duration, bool) {
+	err := m.registry.Renew(ctx, m.lease)
 	switch {
 	case errors.Is(err, ErrExpired):
-		c.lease = 0
-		c.log.Warn("record of the instance has ended")
+		m.lease = 0
+		m.log.Warn("record of the instance has ended")
 		return 0, false
 	case err != nil:
-		c.log.WithError(err).Warn("record of the instance not renewed")
+		m.log.WithError(err).Warn("record of the instance not renewed")
 		return renewRetryDelay, false
 	}
-	c.renewedAt = c.clock.Now()
+	m.renewedAt = m.clock.Now()
 	return 0, true
 }
 
 // chooseSlot returns the slot to write the own record to, and false if this instance needs no record.
-func (c *Membership) chooseSlot() (Slot, bool) {
-	return chooseSlot(c.snapshot.Records, c.self, c.relayThreshold, rand.IntN)
+func (m *Membership) chooseSlot() (Slot, bool) {
+	return chooseSlot(m.snapshot.Records, m.self, m.relayThreshold, rand.IntN)
 }
 
 // refresh reads the records, publishes them, and reports whether that succeeded.
-func (c *Membership) refresh(ctx context.Context) bool {
-	if !c.list(ctx) {
+func (m *Membership) refresh(ctx context.Context) bool {
+	if !m.list(ctx) {
 		return false
 	}
-	c.publish()
-	if len(c.snapshot.Key) == 0 {
-		c.ensureKey(ctx)
+	m.publish()
+	if len(m.snapshot.Key) == 0 {
+		m.ensureKey(ctx)
 	}
 	return true
 }
 
 // list reads the records and reports whether that succeeded.
-func (c *Membership) list(ctx context.Context) bool {
+func (m *Membership) list(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	snapshot, err := c.registry.List(ctx)
+	snapshot, err := m.registry.List(ctx)
 	if err != nil {
-		c.log.WithError(err).Warn("instances not counted")
+		m.log.WithError(err).Warn("instances not counted")
 		return false
 	}
 	if len(snapshot.Key) == 0 {
-		snapshot.Key = c.snapshot.Key
+		snapshot.Key = m.snapshot.Key
 	}
-	if len(snapshot.Records) == 0 && c.lease != 0 {
+	if len(snapshot.Records) == 0 && m.lease != 0 {
 		// The list may be older than the own record.
-		snapshot.Records = []Record{{Instance: c.self, Lease: c.lease}}
+		snapshot.Records = []Record{{Instance: m.self, Lease: m.lease}}
 	}
-	c.snapshot = snapshot
-	c.setEmpty(len(snapshot.Records) == 0)
-	c.checkReplaced(snapshot.Records)
+	m.snapshot = snapshot
+	m.setEmpty(len(snapshot.Records) == 0)
+	m.checkReplaced(snapshot.Records)
 	return true
 }
 
 // publish updates the view from the last snapshot. Instances that start together must not publish the first few records,
 // which look like the whole of a small fleet.
-func (c *Membership) publish() {
-	snapshot := c.snapshot
-	before, after := c.setSnapshot(&snapshot)
-	c.stats.Gauge("instances_counted").Update(int64(c.Instances()))
-	c.stats.Gauge("instances_with_records").Update(int64(after))
+func (m *Membership) publish() {
+	snapshot := m.snapshot
+	before, after := m.setSnapshot(&snapshot)
+	m.stats.Gauge("instances_counted").Update(int64(m.Instances()))
+	m.stats.Gauge("instances_with_records").Update(int64(after))
 	if before != after {
-		c.log.WithFields(logrus.Fields{"instances": after, "before": before}).Info("instances counted")
+		m.log.WithFields(logrus.Fields{"instances": after, "before": before}).Info("instances counted")
 	}
 }
 
 // checkReplaced abandons the own record once it has been missing from the list for replacedAfter, since another instance has
 // then replaced it.
-func (c *Membership) checkReplaced(records []Record) {
-	listed := c.lease == 0 || slices.ContainsFunc(records, func(r Record) bool { return r.Name == c.self.Name })
-	switch now := c.clock.Now(); {
+func (m *Membership) checkReplaced(records []Record) {
+	listed := m.lease == 0 || slices.ContainsFunc(records, func(r Record) bool { return r.Name == m.self.Name })
+	switch now := m.clock.Now(); {
 	case listed:
-		c.missingSince = time.Time{}
-	case c.missingSince.IsZero():
-		c.missingSince = now
-	case now.Sub(c.missingSince) >= replacedAfter:
-		c.lease, c.missingSince = 0, time.Time{}
-		c.log.Warn("record of the instance was replaced")
+		m.missingSince = time.Time{}
+	case m.missingSince.IsZero():
+		m.missingSince = now
+	case now.Sub(m.missingSince) >= replacedAfter:
+		m.lease, m.missingSince = 0, time.Time{}
+		m.log.Warn("record of the instance was replaced")
 	}
 }
 
 // ensureKey creates the fleet key if there is none and this instance has the lowest name of those with a record; the other
 // instances find the key at their next read.
-func (c *Membership) ensureKey(ctx context.Context) {
-	if len(c.snapshot.Key) > 0 || c.lease == 0 {
+func (m *Membership) ensureKey(ctx context.Context) {
+	if len(m.snapshot.Key) > 0 || m.lease == 0 {
 		return
 	}
-	for _, r := range c.snapshot.Records {
-		if r.Name < c.self.Name {
+	for _, r := range m.snapshot.Records {
+		if r.Name < m.self.Name {
 			return
 		}
 	}
-	key, err := c.newKey()
+	key, err := m.newKey()
 	if err == nil {
-		key, err = c.registry.EnsureKey(ctx, key)
+		key, err = m.registry.EnsureKey(ctx, key)
 	}
 	if err != nil {
-		c.log.WithError(err).Warn("the fleet's key not written")
+		m.log.WithError(err).Warn("the fleet's key not written")
 		return
 	}
-	c.snapshot.Key = key
-	c.setKey(key)
+	m.snapshot.Key = key
+	m.setKey(key)
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -27,114 +27,114 @@
 // NewView returns an empty view. Fleets with fewer than relayThreshold records use no relays, and every instance has a
 // record.
 func NewView(relayThreshold int) *View {
-	b := &View{relayThreshold: relayThreshold, counts: map[string]int{}, changed: make(chan struct{})}
-	b.setSnapshot(&Snapshot{})
-	return b
+	v := &View{relayThreshold: relayThreshold, counts: map[string]int{}, changed: make(chan struct{})}
+	v.setSnapshot(&Snapshot{})
+	return v
 }
 
 // setSnapshot replaces the snapshot and returns the number of records before and after.
-func (b *View) setSnapshot(snapshot *Snapshot) (before, after int) {
+func (v *View) setSnapshot(snapshot *Snapshot) (before, after int) {
 	members := make([]Instance, len(snapshot.Records))
 	for i, r := range snapshot.Records {
 		members[i] = r.Instance
 	}
-	b.members.Store(&members)
-	if old := b.snapshot.Swap(snapshot); old != nil {
+	v.members.Store(&members)
+	if old := v.snapshot.Swap(snapshot); old != nil {
 		before = len(old.Records)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.instances.Store(int64(b.totalLocked()))
-	b.notifyLocked()
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.instances.Store(int64(v.totalLocked()))
+	v.notifyLocked()
 	return before, len(snapshot.Records)
 }
 
 // notify wakes the goroutines that wait on Changed.
-func (b *View) notify() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.notifyLocked()
+func (v *View) notify() {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.notifyLocked()
 }
 
-func (b *View) notifyLocked() {
-	close(b.changed)
-	b.changed = make(chan struct{})
+func (v *View) notifyLocked() {
+	close(v.changed)
+	v.changed = make(chan struct{})
 }
 
 // Changed returns a channel that is closed when the records have been read again, or when the fleet key or the result of
 // Empty has changed.
-func (b *View) Changed() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.changed
+func (v *View) Changed() <-chan struct{} {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.changed
 }
 
 // setEmpty notes whether the last successful read found no records.
-func (b *View) setEmpty(empty bool) {
-	if b.empty.Swap(empty) != empty {
-		b.notify()
+func (v *View) setEmpty(empty bool) {
+	if v.empty.Swap(empty) != empty {
+		v.notify()
 	}
 }
 
 // setKey stores the fleet key in the current snapshot.
-func (b *View) setKey(key []byte) {
-	snapshot := *b.snapshot.Load()
+func (v *View) setKey(key []byte) {
+	snapshot := *v.snapshot.Load()
 	snapshot.Key = key
-	b.snapshot.Store(&snapshot)
-	b.notify()
+	v.snapshot.Store(&snapshot)
+	v.notify()
 }
 
 // Instances returns the number of instances. It is AssumedInstances before the first read of the records, and
 // while the relay of a domain in which some instances may have no record has not counted its instances.
-func (b *View) Instances() int { return int(b.instances.Load()) }
+func (v *View) Instances() int { return int(v.instances.Load()) }
 
 // totalLocked computes the number of instances; the caller holds the lock.
-func (b *View) totalLocked() int {
-	records := b.snapshot.Load().Records
+func (v *View) totalLocked() int {
+	records := v.snapshot.Load().Records
 	if len(records) == 0 {
 		return AssumedInstances
 	}
 	total := 0
 	for domain, n := range recordsByDomain(records) {
-		if len(records) >= b.relayThreshold && n >= relayCandidates && b.counts[domain] == 0 {
+		if len(records) >= v.relayThreshold && n >= relayCandidates && v.counts[domain] == 0 {
 			return AssumedInstances
 		}
-		total += max(n, b.counts[domain])
+		total += max(n, v.counts[domain])
 	}
 	return total
 }
 
 // Empty reports whether the last successful read found no records.
-func (b *View) Empty() bool { return b.empty.Load() }
+func (v *View) Empty() bool { return v.empty.Load() }
 
 // Counts returns the number of instances of each domain, as its relay has counted them.
-func (b *View) Counts() map[string]int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return maps.Clone(b.counts)
+func (v *View) Counts() map[string]int {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return maps.Clone(v.counts)
 }
 
 // NoteCounts stores newer counts by domain; counts of 0 are ignored.
-func (b *View) NoteCounts(counts map[string]int) {
+func (v *View) NoteCounts(counts map[string]int) {
 	if len(counts) == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	for domain, n := range counts {
 		if n > 0 {
-			b.counts[domain] = n
+			v.counts[domain] = n
 		}
 	}
-	b.instances.Store(int64(b.totalLocked()))
+	v.instances.Store(int64(v.totalLocked()))
 }
 
 // Members returns the instances that have records; it is empty before the first read. In a large fleet only some instances
 // of each domain have one.
-func (b *View) Members() []Instance { return *b.members.Load() }
+func (v *View) Members() []Instance { return *v.members.Load() }
 
 // Records returns the records that were read last; the caller must not modify them.
-func (b *View) Records() []Record { return b.snapshot.Load().Records }
+func (v *View) Records() []Record { return v.snapshot.Load().Records }
 
 // Key returns the fleet key, by which instances authenticate to each other; it is empty until it is known.
-func (b *View) Key() []byte { return b.snapshot.Load().Key }
+func (v *View) Key() []byte { return v.snapshot.Load().Key }
