--- a/relay/breaker.go
+++ b/relay/breaker.go
@@ -68,23 +68,23 @@
 }
 
 // allows reports whether the store may be asked for updates of a feed.
-func (b *storeBreaker) allows(feed follow.Feed, s breakerInput) bool {
+func (b *storeBreaker) allows(feed follow.Feed, in breakerInput) bool {
 	switch {
-	case !b.lastAnswer.IsZero() && s.now.Sub(b.lastAnswer) < answerValidity:
+	case !b.lastAnswer.IsZero() && in.now.Sub(b.lastAnswer) < answerValidity:
 		return true
-	case !b.failed && s.refusals < refusalsToOpen:
+	case !b.failed && in.refusals < refusalsToOpen:
 		return true
 	case feed != follow.FeedConfig:
 		// The watch on the configuration is the shorter one; its answer shows that the store also serves the other feeds.
 		return false
 	}
 	if b.nextProbe.IsZero() {
-		b.nextProbe = b.firstProbe(s)
+		b.nextProbe = b.firstProbe(in)
 	}
-	if s.now.Before(b.nextProbe) {
+	if in.now.Before(b.nextProbe) {
 		return false
 	}
-	b.nextProbe, b.probing = s.now.Add(b.probeInterval()), true
+	b.nextProbe, b.probing = in.now.Add(b.probeInterval()), true
 	return true
 }
 
@@ -94,9 +94,9 @@
 
 // firstProbe returns when the store is probed first. The probes are spread over instances that notice an outage together, but
 // come before the confirmed configuration is too old.
-func (b *storeBreaker) firstProbe(s breakerInput) time.Time {
-	spread := s.now.Add(time.Duration(s.random * float64(b.probeInterval())))
-	if latest := s.known.Add(b.apply - probeTime); latest.Before(spread) {
+func (b *storeBreaker) firstProbe(in breakerInput) time.Time {
+	spread := in.now.Add(time.Duration(in.random * float64(b.probeInterval())))
+	if latest := in.known.Add(b.apply - probeTime); latest.Before(spread) {
 		return latest
 	}
 	return spread
--- a/relay/breaker_test.go
+++ b/relay/breaker_test.go
@@ -49,24 +49,24 @@
 		instances = 290
 		outage    = 8 * time.Second
 		pause     = 800 * time.Millisecond
-		// most is the number of calls that one instance may make: one for every two rounds of polls, since a round of 0.8 s is
+		// maxCallsEach is the number of calls that one instance may make: one for every two rounds of polls, since a round of 0.8 s is
 		// shorter than the probe interval.
-		most = 5
+		maxCallsEach = 5
 	)
 	begun := time.Unix(100, 0)
 	for i := range instances {
 		b := storeBreaker{apply: applyDeadline}
 		calls := 0
 		for at := time.Duration(0); at < outage; at += pause {
-			s := breakerInput{now: begun.Add(at), refusals: refusalsToOpen, known: begun, random: float64(i) / instances}
+			in := breakerInput{now: begun.Add(at), refusals: refusalsToOpen, known: begun, random: float64(i) / instances}
 			for _, feed := range []follow.Feed{follow.FeedServers, follow.FeedConfig} {
-				if b.allows(feed, s) {
+				if b.allows(feed, in) {
 					calls++
-					b.storeFailed(s.now)
+					b.storeFailed(in.now)
 				}
 			}
 		}
-		require.LessOrEqual(t, calls, most)
+		require.LessOrEqual(t, calls, maxCallsEach)
 		require.Positive(t, calls, "each instance probes the store")
 	}
 }
--- a/relay/compress.go
+++ b/relay/compress.go
@@ -26,7 +26,7 @@
 // position.
 type span struct {
 	after, at follow.Position
-	full     bool
+	full      bool
 }
 
 // compressedCache keeps the latest answers compressed, so that each is compressed only once for all polling instances. It is
@@ -36,7 +36,7 @@
 }
 
 // get returns the compressed records of a span; it returns nil if they are too small to be worth compressing.
-func (p *compressedCache) get(s span, records []Record) ([]byte, error) {
+func (c *compressedCache) get(s span, records []Record) ([]byte, error) {
 	size := 0
 	for _, r := range records {
 		size += len(r.Value)
@@ -44,17 +44,17 @@
 	if size < minCompressedSize {
 		return nil, nil
 	}
-	if packed, ok := p.bySpan[s]; ok {
+	if packed, ok := c.bySpan[s]; ok {
 		return packed, nil
 	}
 	packed, err := compress(records)
 	if err != nil {
 		return nil, err
 	}
-	if len(p.bySpan) >= maxCachedAnswers || p.bySpan == nil {
-		p.bySpan = map[span][]byte{}
+	if len(c.bySpan) >= maxCachedAnswers || c.bySpan == nil {
+		c.bySpan = map[span][]byte{}
 	}
-	p.bySpan[s] = packed
+	c.bySpan[s] = packed
 	return packed, nil
 }
 
--- a/relay/fleetstart_test.go
+++ b/relay/fleetstart_test.go
@@ -117,9 +117,9 @@
 }
 
 func newStartSimulation(domains, each, strong, servers int) *startSimulation {
-	b := &startSimulation{index: map[string]int{}, config: compressibleBytes(configBytes), entries: compressibleBytes(servers * entryBytes), log: logrus.New(), begun: time.Now(), store: &netLink{rate: storeRate}, records: map[string]storedRecord{}}
-	b.log.SetOutput(io.Discard)
-	b.log.SetLevel(logrus.PanicLevel)
+	s := &startSimulation{index: map[string]int{}, config: compressibleBytes(configBytes), entries: compressibleBytes(servers * entryBytes), log: logrus.New(), begun: time.Now(), store: &netLink{rate: storeRate}, records: map[string]storedRecord{}}
+	s.log.SetOutput(io.Discard)
+	s.log.SetLevel(logrus.PanicLevel)
 	for d := range domains {
 		for i := range each {
 			name := fmt.Sprintf("d%d-%d", d, i)
@@ -127,38 +127,38 @@
 			if i < strong {
 				m.Power, rate = 0.8, strongRate
 			}
-			b.index[name] = len(b.members)
-			b.members, b.links = append(b.members, m), append(b.links, &netLink{rate: rate})
+			s.index[name] = len(s.members)
+			s.members, s.links = append(s.members, m), append(s.links, &netLink{rate: rate})
 		}
 	}
-	n := len(b.members)
-	b.views, b.sources, b.registries = make([]*membership.View, n), make([]*Source, n), make([]*Registry, n)
-	return b
+	n := len(s.members)
+	s.views, s.sources, s.registries = make([]*membership.View, n), make([]*Source, n), make([]*Registry, n)
+	return s
 }
 
 // start runs all instances with real code except for their connections.
-func (b *startSimulation) start(ctx context.Context) {
+func (s *startSimulation) start(ctx context.Context) {
 	const whole = 24
 	clock, stats := timer.NewReal(), metrics.New()
-	for i, m := range b.members {
+	for i, m := range s.members {
 		self := Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: whole, ApplyTime: applyDeadline}
-		b.views[i] = membership.NewView(whole)
-		b.sources[i] = New(self, simStore{b}, b.views[i], follow.NewFleetView(), noEnds{}, nil, clock, stats, b.log)
-		b.sources[i].peers = simPeers{b, i}
-		b.registries[i] = NewRegistry(self, simRegistry{b}, b.views[i], nil, clock)
-		b.registries[i].peers = simPeers{b, i}
+		s.views[i] = membership.NewView(whole)
+		s.sources[i] = New(self, simStore{s}, s.views[i], follow.NewFleetView(), noEnds{}, nil, clock, stats, s.log)
+		s.sources[i].peers = simPeers{s, i}
+		s.registries[i] = NewRegistry(self, simRegistry{s}, s.views[i], nil, clock)
+		s.registries[i].peers = simPeers{s, i}
 	}
-	for i, m := range b.members {
+	for i, m := range s.members {
 		newKey := func() ([]byte, error) { return []byte(m.Name), nil }
-		membership.New(ctx, b.views[i], b.registries[i], m, newKey, clock, stats, b.log)
-		follow.New(ctx, b.sources[i], follow.NewFleetView(), quarantine.NewBook(quarantine.Settings{Keep: time.Hour, MaxRequests: 10}), clock, stats, b.log)
+		membership.New(ctx, s.views[i], s.registries[i], m, newKey, clock, stats, s.log)
+		follow.New(ctx, s.sources[i], follow.NewFleetView(), quarantine.NewBook(quarantine.Settings{Keep: time.Hour, MaxRequests: 10}), clock, stats, s.log)
 	}
 }
 
 // unready returns the number of instances that do not know both the configuration and the servers.
-func (b *startSimulation) unready() int {
+func (s *startSimulation) unready() int {
 	n := 0
-	for _, s := range b.sources {
+	for _, s := range s.sources {
 		for _, feed := range []follow.Feed{follow.FeedConfig, follow.FeedServers} {
 			if at, _ := s.logs[feed].progress(); at == 0 {
 				n++
@@ -170,31 +170,31 @@
 }
 
 // awaitReady waits until all instances know both feeds or the limit has passed, and returns the time since the start.
-func (b *startSimulation) awaitReady(limit time.Duration) time.Duration {
-	for time.Since(b.begun) < limit && b.unready() > 0 {
+func (s *startSimulation) awaitReady(limit time.Duration) time.Duration {
+	for time.Since(s.begun) < limit && s.unready() > 0 {
 		time.Sleep(50 * time.Millisecond)
 	}
-	return time.Since(b.begun)
+	return time.Since(s.begun)
 }
 
 // call simulates a call to the store with an answer of so many bytes.
-func (b *startSimulation) call(ctx context.Context, cost, bytes float64) error {
-	b.mu.Lock()
-	b.calls += cost
-	b.mu.Unlock()
-	if time.Since(b.begun) < b.silentUntil {
+func (s *startSimulation) call(ctx context.Context, cost, bytes float64) error {
+	s.mu.Lock()
+	s.calls += cost
+	s.mu.Unlock()
+	if time.Since(s.begun) < s.silentUntil {
 		<-ctx.Done()
 		return errors.Wrap(follow.ErrUnavailable, ctx.Err().Error())
 	}
 	latency := storeLatency
-	if time.Since(b.begun) < b.slowUntil {
+	if time.Since(s.begun) < s.slowUntil {
 		latency = slowStoreAnswer
 	}
 	select {
 	case <-time.After(latency):
 	case <-ctx.Done():
 	}
-	if err := b.store.transfer(ctx, bytes); err != nil {
+	if err := s.store.transfer(ctx, bytes); err != nil {
 		return errors.Wrap(follow.ErrUnavailable, err.Error())
 	}
 	return nil
--- a/relay/fleetstore_test.go
+++ b/relay/fleetstore_test.go
@@ -14,63 +14,63 @@
 )
 
 // simRegistry is the simulated store's registration records as seen by an instance; it implements membership.Registry.
-type simRegistry struct{ b *startSimulation }
+type simRegistry struct{ sim *startSimulation }
 
 // Join implements membership.Registry.
 func (r simRegistry) Join(ctx context.Context, self membership.Instance, slot membership.Slot, _ time.Duration) (int64, error) {
 	for range 2 {
-		if err := r.b.call(ctx, 1, recordBytes); err != nil {
+		if err := r.sim.call(ctx, 1, recordBytes); err != nil {
 			return 0, err
 		}
 	}
-	r.b.mu.Lock()
-	defer r.b.mu.Unlock()
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
 	key := fmt.Sprint(self.Domain, "/", slot.Number)
-	if r.b.records[key].Revision != slot.Revision {
+	if r.sim.records[key].Revision != slot.Revision {
 		return 0, membership.ErrTaken
 	}
-	r.b.revision++
-	slot.Revision = r.b.revision
-	r.b.records[key] = storedRecord{Record: membership.Record{Instance: self, Slot: slot, Lease: slot.Revision}, at: time.Now()}
+	r.sim.revision++
+	slot.Revision = r.sim.revision
+	r.sim.records[key] = storedRecord{Record: membership.Record{Instance: self, Slot: slot, Lease: slot.Revision}, at: time.Now()}
 	return slot.Revision, nil
 }
 
 // Renew implements membership.Registry.
 func (r simRegistry) Renew(ctx context.Context, _ int64) error {
-	return r.b.call(ctx, lowCost, recordBytes)
+	return r.sim.call(ctx, lowCost, recordBytes)
 }
 
 // List implements membership.Registry.
 func (r simRegistry) List(ctx context.Context) (membership.Snapshot, error) {
-	r.b.mu.Lock()
-	snapshot := membership.Snapshot{Key: r.b.key}
-	for _, w := range r.b.records {
+	r.sim.mu.Lock()
+	snapshot := membership.Snapshot{Key: r.sim.key}
+	for _, w := range r.sim.records {
 		if time.Since(w.at) >= storeLag {
 			snapshot.Records = append(snapshot.Records, w.Record)
 		}
 	}
-	r.b.mu.Unlock()
-	return snapshot, r.b.call(ctx, lowCost, float64(1+len(snapshot.Records))*recordBytes)
+	r.sim.mu.Unlock()
+	return snapshot, r.sim.call(ctx, lowCost, float64(1+len(snapshot.Records))*recordBytes)
 }
 
 // EnsureKey implements membership.Registry.
 func (r simRegistry) EnsureKey(ctx context.Context, key []byte) ([]byte, error) {
-	if err := r.b.call(ctx, 1, recordBytes); err != nil {
+	if err := r.sim.call(ctx, 1, recordBytes); err != nil {
 		return nil, err
 	}
-	r.b.mu.Lock()
-	defer r.b.mu.Unlock()
-	if r.b.key == nil {
-		r.b.key = key
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
+	if r.sim.key == nil {
+		r.sim.key = key
 	}
-	return r.b.key, nil
+	return r.sim.key, nil
 }
 
 // simStore is the feeds of the simulated store; it implements Store.
-type simStore struct{ b *startSimulation }
+type simStore struct{ sim *startSimulation }
 
 // Ping implements Store.
-func (f simStore) Ping(ctx context.Context) error { return f.b.call(ctx, lowCost, recordBytes) }
+func (f simStore) Ping(ctx context.Context) error { return f.sim.call(ctx, lowCost, recordBytes) }
 
 // pageBytes is the size of a page of a feed.
 const pageBytes = 500 * entryBytes
@@ -80,13 +80,13 @@
 	value := []byte(nil)
 	switch feed {
 	case follow.FeedConfig:
-		value = f.b.config
+		value = f.sim.config
 	case follow.FeedServers:
-		value = f.b.entries
+		value = f.sim.entries
 	case follow.FeedQuarantine:
 	}
 	for left := float64(len(value)); left >= 0; left -= pageBytes {
-		if err := f.b.call(ctx, 1, min(left, pageBytes)); err != nil {
+		if err := f.sim.call(ctx, 1, min(left, pageBytes)); err != nil {
 			return nil, 0, err
 		}
 	}
@@ -95,7 +95,7 @@
 
 // WatchFeed implements Store.
 func (f simStore) WatchFeed(ctx context.Context, _ follow.Feed, after follow.Position, wait time.Duration) ([]Record, follow.Position, error) {
-	if err := f.b.call(ctx, 1, recordBytes); err != nil {
+	if err := f.sim.call(ctx, 1, recordBytes); err != nil {
 		return nil, 0, err
 	}
 	select {
@@ -122,16 +122,16 @@
 
 // simPeers connects instance i to the other instances, each over its own network link; it implements peers.
 type simPeers struct {
-	b *startSimulation
-	i int
+	sim *startSimulation
+	i   int
 }
 
 func (o simPeers) poll(ctx context.Context, addr string, q poll) (pollReply, error) {
 	if err := o.connect(ctx, addr); err != nil {
 		return pollReply{}, err
 	}
-	j := o.b.index[addr]
-	t, err := o.b.sources[j].serve(ctx, q)
+	j := o.sim.index[addr]
+	t, err := o.sim.sources[j].serve(ctx, q)
 	if err != nil {
 		return pollReply{}, errors.Wrap(link.ErrRefused, err.Error())
 	}
@@ -146,8 +146,8 @@
 	if err := o.connect(ctx, addr); err != nil {
 		return recordsReply{}, err
 	}
-	j := o.b.index[addr]
-	t, err := o.b.registries[j].serve(ctx, q)
+	j := o.sim.index[addr]
+	t, err := o.sim.registries[j].serve(ctx, q)
 	if err != nil {
 		return recordsReply{}, errors.Wrap(link.ErrRefused, err.Error())
 	}
@@ -155,9 +155,9 @@
 }
 
 func (o simPeers) transfer(ctx context.Context, j int, bytes float64) error {
-	err := o.b.links[j].transfer(ctx, bytes)
+	err := o.sim.links[j].transfer(ctx, bytes)
 	if err == nil {
-		err = o.b.links[o.i].transfer(ctx, bytes)
+		err = o.sim.links[o.i].transfer(ctx, bytes)
 	}
 	if err != nil {
 		return errors.Wrap(link.ErrLost, err.Error())
@@ -168,7 +168,7 @@
 // connect is refused while one of the two instances does not know the fleet key.
 func (o simPeers) connect(_ context.Context, addr string) error {
 	time.Sleep(linkLatency)
-	if len(o.b.views[o.i].Key()) == 0 || len(o.b.views[o.b.index[addr]].Key()) == 0 {
+	if len(o.sim.views[o.i].Key()) == 0 || len(o.sim.views[o.sim.index[addr]].Key()) == 0 {
 		return link.ErrRefused
 	}
 	return nil
--- a/relay/log_test.go
+++ b/relay/log_test.go
@@ -113,12 +113,12 @@
 	log.SetOutput(io.Discard)
 	all := instances(1, 30)
 	self := Self{Name: all[9].Name, Domain: all[9].Domain, RelaysFrom: 24, ApplyTime: applyDeadline}
-	s := New(self, scenarioStore{p: newSimulation(all, scenario{})}, staticFleet(all), nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
+	s := New(self, scenarioStore{sim: newSimulation(all, scenario{})}, staticFleet(all), nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
 	s.peers = laterRelay{}
 	s.logs[follow.FeedConfig].reset(updateAt(5, Record{Key: "kept", Revision: 2}, Record{Key: "gone", Revision: 3}), false)
-	h, err := s.catchUp(t.Context(), s.upstreams()[0], follow.FeedConfig, 5)
+	got, err := s.catchUp(t.Context(), s.upstreams()[0], follow.FeedConfig, 5)
 	require.NoError(t, err)
-	require.Equal(t, []Record{{Key: "new", Revision: 8}, {Key: "gone", Revision: 9, Gone: true}}, h.records)
+	require.Equal(t, []Record{{Key: "new", Revision: 8}, {Key: "gone", Revision: 9, Gone: true}}, got.records)
 	_, err = s.catchUp(t.Context(), s.upstreams()[0], follow.FeedConfig, 10)
 	require.ErrorIs(t, err, follow.ErrUnavailable, "a relay that knows less cannot serve")
 }
@@ -194,28 +194,28 @@
 		l.reset(update{records: slices.Collect(maps.Values(s.content)), position: s.at}, true)
 		return
 	}
-	h := update{position: s.at}
+	got := update{position: s.at}
 	for _, r := range s.history {
 		if r.Revision > held {
-			h.records = append(h.records, r)
+			got.records = append(got.records, r)
 		}
 	}
-	l.append(h, true)
+	l.append(got, true)
 }
 
 // followLog updates a log from another one, as an instance that follows a relay does.
 func followLog(l, from *feedLog) {
 	held, _ := l.progress()
 	v := from.since(held)
-	h := v.update
+	got := v.update
 	if !v.complete {
-		h = from.all().update
-		if h.position < held {
+		got = from.all().update
+		if got.position < held {
 			return
 		}
-		h.records, h.hasGap = l.diff(h), true
+		got.records, got.hasGap = l.diff(got), true
 	}
-	l.append(h, false)
+	l.append(got, false)
 }
 
 func values(l *feedLog) map[string]string {
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -16,12 +16,12 @@
 )
 
 // drawScenario draws the faults of a scenario at random; members must be grouped by domain.
-func drawScenario(random *rand.Rand, members []membership.Instance, applyTime time.Duration) scenario {
-	d := scenario{length: 30 * time.Second, applyDeadline: applyTime}
+func drawScenario(random *rand.Rand, members []membership.Instance, deadline time.Duration) scenario {
+	d := scenario{length: 30 * time.Second, applyDeadline: deadline}
 	for range 1 + random.IntN(3) {
 		d.faults = append(d.faults, drawFault(random, members))
 	}
-	for at := warmUpTime; at < d.length-applyTime; at += time.Duration((0.3 + 2*random.Float64()) * float64(time.Second)) {
+	for at := warmUpTime; at < d.length-deadline; at += time.Duration((0.3 + 2*random.Float64()) * float64(time.Second)) {
 		if !d.down(at, len(members)) {
 			d.acceptedAt = append(d.acceptedAt, at)
 		}
@@ -44,21 +44,21 @@
 		f.killed = true
 	case 1:
 		f.partitioned = true
-		inDomain(f.affected, members, random)
+		affectOneDomain(f.affected, members, random)
 	case 2:
 		f.partitioned, f.access = true, silent
-		inDomain(f.affected, members, random)
+		affectOneDomain(f.affected, members, random)
 	default:
 		f.access = []access{slow, refused, silent, refused, silent}[n-3]
 	}
 	return f
 }
 
-// inDomain makes a fault affect exactly the instances of one domain, which it draws.
-func inDomain(hits []bool, members []membership.Instance, random *rand.Rand) {
+// affectOneDomain makes a fault affect exactly the instances of one domain, which it draws.
+func affectOneDomain(affected []bool, members []membership.Instance, random *rand.Rand) {
 	domain := members[random.IntN(len(members))].Domain
 	for i, m := range members {
-		hits[i] = m.Domain == domain
+		affected[i] = m.Domain == domain
 	}
 }
 
@@ -101,11 +101,11 @@
 // whose relay it serves, must have each accepted configuration in force in time and must learn of each end under a request in
 // time. None may ask the store without a pause.
 func TestConfigurationsAreInForceInTimeInOutages(t *testing.T) {
-	days := append([]uint64(nil), regressionSeeds...)
+	chosen := append([]uint64(nil), regressionSeeds...)
 	for seed := range seeds(t, ciSeeds) {
-		days = append(days, seed)
+		chosen = append(chosen, seed)
 	}
-	for _, seed := range days {
+	for _, seed := range chosen {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			simulateOutages(t, seed)
@@ -137,13 +137,13 @@
 func (d scenario) describe() string {
 	var out string
 	for _, f := range d.faults {
-		hit := 0
-		for _, h := range f.affected {
-			if h {
-				hit++
+		affected := 0
+		for _, isAffected := range f.affected {
+			if isAffected {
+				affected++
 			}
 		}
-		out += fmt.Sprintf("[%s to %s: %d hit, store %d, killed %t, cut %t] ", f.from, f.until, hit, f.access, f.killed, f.partitioned)
+		out += fmt.Sprintf("[%s to %s: %d affected, store %d, killed %t, partitioned %t] ", f.from, f.until, affected, f.access, f.killed, f.partitioned)
 	}
 	return out
 }
--- a/relay/platform_test.go
+++ b/relay/platform_test.go
@@ -15,16 +15,16 @@
 
 // scenarioStore is the simulated store as one instance sees it; it implements Store.
 type scenarioStore struct {
-	p *simulation
-	i int
+	sim *simulation
+	i   int
 }
 
 // call counts a call and simulates its latency and its failure.
 func (s scenarioStore) call(ctx context.Context) error {
-	s.p.mu.Lock()
-	s.p.calls[s.i]++
-	s.p.mu.Unlock()
-	switch s.p.access(s.i, s.p.now()) {
+	s.sim.mu.Lock()
+	s.sim.calls[s.i]++
+	s.sim.mu.Unlock()
+	switch s.sim.access(s.i, s.sim.now()) {
 	case served:
 		time.Sleep(storeLatency)
 	case slow:
@@ -51,9 +51,9 @@
 	if err := s.call(ctx); err != nil {
 		return nil, 0, err
 	}
-	s.p.mu.Lock()
-	defer s.p.mu.Unlock()
-	return recordsOf(feed, 1, s.p.version), follow.Position(s.p.version), nil
+	s.sim.mu.Lock()
+	defer s.sim.mu.Unlock()
+	return recordsOf(feed, 1, s.sim.version), follow.Position(s.sim.version), nil
 }
 
 // recordsOf returns the records of a feed for the versions after one up to another: the newest configuration, and for each
@@ -88,10 +88,10 @@
 	}
 	end := time.After(wait)
 	for {
-		s.p.mu.Lock()
-		version, floor, changed := s.p.version, s.p.floor, s.p.changed
-		s.p.mu.Unlock()
-		switch a := s.p.access(s.i, s.p.now()); {
+		s.sim.mu.Lock()
+		version, floor, changed := s.sim.version, s.sim.floor, s.sim.changed
+		s.sim.mu.Unlock()
+		switch a := s.sim.access(s.i, s.sim.now()); {
 		case a == refused:
 			return nil, 0, follow.ErrUnavailable
 		case a == silent:
@@ -131,23 +131,23 @@
 
 // scenarioPeers are the other instances of a simulation as one instance sees them; it implements peers.
 type scenarioPeers struct {
-	p *simulation
-	i int
+	sim *simulation
+	i   int
 }
 
 func (o scenarioPeers) poll(ctx context.Context, addr string, q poll) (pollReply, error) {
 	if err := o.connect(ctx, addr); err != nil {
 		return pollReply{}, err
 	}
-	j := o.p.index[addr]
-	o.p.mu.Lock()
-	s := o.p.sources[j]
-	o.p.mu.Unlock()
+	j := o.sim.index[addr]
+	o.sim.mu.Lock()
+	s := o.sim.sources[j]
+	o.sim.mu.Unlock()
 	if s == nil {
 		return pollReply{}, link.ErrLost
 	}
 	t, err := s.serve(ctx, q)
-	if o.p.partitioned(o.i, j, o.p.now()) {
+	if o.sim.partitioned(o.i, j, o.sim.now()) {
 		<-ctx.Done()
 	}
 	switch {
@@ -164,8 +164,8 @@
 }
 
 func (o scenarioPeers) connect(ctx context.Context, addr string) error {
-	j, now := o.p.index[addr], o.p.now()
-	if o.p.partitioned(o.i, j, now) || o.p.killed(j, now) {
+	j, now := o.sim.index[addr], o.sim.now()
+	if o.sim.partitioned(o.i, j, now) || o.sim.killed(j, now) {
 		<-ctx.Done()
 		return errors.Wrap(link.ErrUnreachable, ctx.Err().Error())
 	}
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -131,18 +131,18 @@
 
 // replyWithUpdates returns the answer to a poll for updates.
 func (s *Source) replyWithUpdates(p poll, v view, arrived time.Time) (pollReply, error) {
-	t, err := s.replyWithRecords(p.Feed, v, arrived, span{after: p.After, at: v.position})
+	r, err := s.replyWithRecords(p.Feed, v, arrived, span{after: p.After, at: v.position})
 	if err != nil {
 		return pollReply{}, err
 	}
 	switch p.Feed {
 	case follow.FeedServers:
-		t.Reports, t.Mark = s.reportsSince(p.Mark)
+		r.Reports, r.Mark = s.reportsSince(p.Mark)
 	case follow.FeedConfig:
-		t.Counts = s.counts()
+		r.Counts = s.counts()
 	case follow.FeedQuarantine:
 	}
-	return t, nil
+	return r, nil
 }
 
 // serveFull answers with the full content of a feed. An instance that is starting may have to read the feed first.
@@ -182,17 +182,17 @@
 
 // replyWithRecords returns an answer with the records of a view, which cover the given span of a feed.
 func (s *Source) replyWithRecords(feed follow.Feed, v view, arrived time.Time, part span) (pollReply, error) {
-	t := pollReply{At: v.position, Known: v.known.Sub(arrived)}
+	r := pollReply{At: v.position, Known: v.known.Sub(arrived)}
 	packed, err := s.logs[feed].compressed(part, v.records)
 	if err != nil {
 		return pollReply{}, err
 	}
 	if packed != nil {
-		t.Packed = packed
-		return t, nil
+		r.Packed = packed
+		return r, nil
 	}
-	t.Records = v.records
-	return t, nil
+	r.Records = v.records
+	return r, nil
 }
 
 // fresh reports whether the configuration was confirmed lately, which shows that the store still answers.
@@ -228,27 +228,27 @@
 	if p.Feed == follow.FeedConfig && !p.Full {
 		p.Name, p.Domain = s.self.Name, s.self.Domain
 	}
-	t, err := s.peers.poll(ctx, addr, p)
+	r, err := s.peers.poll(ctx, addr, p)
 	switch {
 	case errors.Is(err, link.ErrRefused):
 		return update{}, refusal{cause: err}
 	case err != nil:
 		return update{}, errors.Wrap(follow.ErrUnavailable, err.Error())
 	}
-	if t.ReferTo != "" {
-		return update{}, refusal{cause: errNotDirect, referTo: t.ReferTo}
+	if r.ReferTo != "" {
+		return update{}, refusal{cause: errNotDirect, referTo: r.ReferTo}
 	}
-	if t.Behind {
+	if r.Behind {
 		return update{}, errBehind
 	}
-	if t.Packed != nil {
-		if t.Records, err = decompress(t.Packed); err != nil {
+	if r.Packed != nil {
+		if r.Records, err = decompress(r.Packed); err != nil {
 			return update{}, errors.Wrap(follow.ErrUnavailable, err.Error())
 		}
 	}
-	s.applyReply(p, t, addr, sentAt)
-	s.fleet.NoteCounts(t.Counts)
+	s.applyReply(p, r, addr, sentAt)
+	s.fleet.NoteCounts(r.Counts)
 	// Known counts from when the poll arrived. Counting from when it was sent, which was earlier, makes the result a little too
 	// old rather than too new.
-	return update{records: t.Records, position: t.At, known: sentAt.Add(t.Known)}, nil
+	return update{records: r.Records, position: r.At, known: sentAt.Add(r.Known)}, nil
 }
--- a/relay/pollers.go
+++ b/relay/pollers.go
@@ -33,33 +33,33 @@
 }
 
 // add notes a poll of an instance.
-func (t *pollerCounter) add(name string) {
-	now := t.clock.Now()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.startedAt.IsZero() {
-		t.startedAt = now
+func (c *pollerCounter) add(name string) {
+	now := c.clock.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.startedAt.IsZero() {
+		c.startedAt = now
 	}
-	t.lastPoll[name] = now
-	if now.Sub(t.sweptAt) < pollerCountDelay {
+	c.lastPoll[name] = now
+	if now.Sub(c.sweptAt) < pollerCountDelay {
 		return
 	}
-	t.sweptAt = now
-	for name, at := range t.lastPoll {
+	c.sweptAt = now
+	for name, at := range c.lastPoll {
 		if now.Sub(at) > pollerTTL {
-			delete(t.lastPoll, name)
+			delete(c.lastPoll, name)
 		}
 	}
 }
 
 // count returns the number of polling instances, and 0 while it is unknown.
-func (t *pollerCounter) count() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.startedAt.IsZero() || t.clock.Since(t.startedAt) < pollerCountDelay {
+func (c *pollerCounter) count() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.startedAt.IsZero() || c.clock.Since(c.startedAt) < pollerCountDelay {
 		return 0
 	}
-	return len(t.lastPoll)
+	return len(c.lastPoll)
 }
 
 // notePoller counts the polling instance if it belongs to the domain of this instance.
--- a/relay/referral_test.go
+++ b/relay/referral_test.go
@@ -27,11 +27,11 @@
 
 func checkRejectedInstances(t *testing.T, members []membership.Instance) {
 	const (
-		outage   = 8 * time.Second
-		keysAge  = 3600 * time.Millisecond
-		revoked  = 5 * time.Second
-		found    = 4 * time.Second
-		interval = 200 * time.Millisecond
+		outage          = 8 * time.Second
+		maxKeysAge      = 3600 * time.Millisecond
+		revocationLimit = 5 * time.Second
+		foundAfter      = 4 * time.Second
+		interval        = 200 * time.Millisecond
 	)
 	f := fault{access: refused, from: warmUpTime, until: warmUpTime + outage, affected: make([]bool, len(members))}
 	for i, m := range members {
@@ -56,26 +56,26 @@
 			_, known := p.sources[i].logs[follow.FeedConfig].progress()
 			age := time.Since(known)
 			worst = max(worst, age)
-			if age > oldest && p.now() >= f.from+found {
-				oldest, whose = age, fmt.Sprintf("%s at %s, hit %t", m.Name, p.now(), f.affected[i])
+			if age > oldest && p.now() >= f.from+foundAfter {
+				oldest, whose = age, fmt.Sprintf("%s at %s, affected %t", m.Name, p.now(), f.affected[i])
 			}
 		}
 	}
 	p.stopAll()
-	require.LessOrEqual(t, oldest, keysAge, whose)
-	require.Less(t, worst, revoked)
+	require.LessOrEqual(t, oldest, maxKeysAge, whose)
+	require.Less(t, worst, revocationLimit)
 }
 
 // TestDirectPeersExpire picks among direct peers: one is picked only while its statement that it follows the store is not too
 // old.
 func TestDirectPeersExpire(t *testing.T) {
 	now := time.Unix(100, 0)
-	var h directPeers
-	require.Empty(t, h.pick(now, 0.5))
-	h.note("a", now)
-	h.note("b", now.Add(time.Second))
-	require.Equal(t, "a", h.pick(now.Add(time.Second), 0))
-	require.Equal(t, "b", h.pick(now.Add(time.Second), 0.9))
-	require.Equal(t, "b", h.pick(now.Add(directPeerAge+time.Millisecond), 0))
-	require.Empty(t, h.pick(now.Add(directPeerAge+2*time.Second), 0))
+	var p directPeers
+	require.Empty(t, p.pick(now, 0.5))
+	p.note("a", now)
+	p.note("b", now.Add(time.Second))
+	require.Equal(t, "a", p.pick(now.Add(time.Second), 0))
+	require.Equal(t, "b", p.pick(now.Add(time.Second), 0.9))
+	require.Equal(t, "b", p.pick(now.Add(directPeerAge+time.Millisecond), 0))
+	require.Empty(t, p.pick(now.Add(directPeerAge+2*time.Second), 0))
 }
--- a/relay/registry.go
+++ b/relay/registry.go
@@ -84,14 +84,14 @@
 	if !r.self.usesRelays(len(members), r.fleet.Instances()) || len(r.fleet.Key()) == 0 {
 		return r.readRecords(ctx, 0)
 	}
-	for i, w := range upstreamsOf(r.self.Name, r.self.Domain, members) {
-		if w.direct() && i == 0 {
+	for i, u := range upstreamsOf(r.self.Name, r.self.Domain, members) {
+		if u.direct() && i == 0 {
 			r.fetchCounts(ctx, members)
 		}
-		if w.direct() {
+		if u.direct() {
 			break
 		}
-		if records, err := r.fetchRecords(ctx, w.addr, r.fleet.Records()); err == nil {
+		if records, err := r.fetchRecords(ctx, u.addr, r.fleet.Records()); err == nil {
 			return membership.Snapshot{Records: records, Key: r.fleet.Key()}, nil
 		}
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -63,11 +63,12 @@
 // Key implements relay.Fleet.
 func (f fleet) Key() []byte { return f.key }
 
-// instance follows all feeds. heard holds the IDs of the servers feed, and known the last confirmation of the configuration.
+// instance follows all feeds. serverIDs holds the IDs that the servers feed has brought, and known is when the configuration was
+// last confirmed.
 type instance struct {
 	*relay.Source
-	mu    sync.Mutex
-	heard []string
+	mu        sync.Mutex
+	serverIDs []string
 	// ends is the number of changes of the quarantine feed.
 	ends  int
 	known time.Time
@@ -77,7 +78,7 @@
 func (i *instance) has(n int) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return len(i.heard) == n
+	return len(i.serverIDs) == n
 }
 
 func (i *instance) age() time.Duration {
@@ -111,7 +112,7 @@
 		return
 	}
 	for _, c := range updates.Changes {
-		i.heard = append(i.heard, c.(follow.ServerGone).ID)
+		i.serverIDs = append(i.serverIDs, c.(follow.ServerGone).ID)
 	}
 }
 
--- a/relay/reports.go
+++ b/relay/reports.go
@@ -46,14 +46,14 @@
 }
 
 // applyReply applies the reports in the answer to a poll that was sent at sentAt.
-func (s *Source) applyReply(p poll, t pollReply, addr string, sentAt time.Time) {
+func (s *Source) applyReply(p poll, r pollReply, addr string, sentAt time.Time) {
 	if p.Feed != follow.FeedServers || p.Full {
 		return
 	}
 	s.mu.Lock()
-	s.reportsSent, s.reportMarks[addr] = sentAt, t.Mark
+	s.reportsSent, s.reportMarks[addr] = sentAt, r.Mark
 	s.mu.Unlock()
-	s.reports.ApplySharedReports(t.Reports, s.clock.Now())
+	s.reports.ApplySharedReports(r.Reports, s.clock.Now())
 }
 
 // applyPolledReports applies the reports in a poll. If they show that a server has become silent or slow, all waiting polls of
--- a/relay/reports_test.go
+++ b/relay/reports_test.go
@@ -17,47 +17,47 @@
 }
 
 // OwnReports implements relay.SharedReports.
-func (n *fakeReports) OwnReports(_, _ time.Time) []backend.SharedReport {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	own := n.unsent
-	n.unsent = nil
+func (r *fakeReports) OwnReports(_, _ time.Time) []backend.SharedReport {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	own := r.unsent
+	r.unsent = nil
 	return own
 }
 
 // Reports implements relay.SharedReports.
-func (n *fakeReports) Reports(_, _ time.Time) []backend.SharedReport {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (r *fakeReports) Reports(_, _ time.Time) []backend.SharedReport {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []backend.SharedReport
-	for _, w := range n.received {
+	for _, w := range r.received {
 		out = append(out, w)
 	}
 	return out
 }
 
 // ApplySharedReports implements relay.SharedReports.
-func (n *fakeReports) ApplySharedReports(reports []backend.SharedReport, _ time.Time) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (r *fakeReports) ApplySharedReports(reports []backend.SharedReport, _ time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	worse := false
 	for _, w := range reports {
-		worse = worse || w.Silent && !n.received[w.ID].Silent
-		n.received[w.ID] = w
+		worse = worse || w.Silent && !r.received[w.ID].Silent
+		r.received[w.ID] = w
 	}
 	return worse
 }
 
-func (n *fakeReports) add(w backend.SharedReport) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.unsent = append(n.unsent, w)
+func (r *fakeReports) add(w backend.SharedReport) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.unsent = append(r.unsent, w)
 }
 
-func (n *fakeReports) knows(id string) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	_, ok := n.received[id]
+func (r *fakeReports) knows(id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, ok := r.received[id]
 	return ok
 }
 
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -62,14 +62,14 @@
 	log.SetOutput(io.Discard)
 	log.SetLevel(logrus.PanicLevel)
 	n := len(members)
-	p := &simulation{
+	s := &simulation{
 		scenario: d, begun: time.Now(), members: members, index: map[string]int{}, log: log, version: 1, changed: make(chan struct{}),
 		sources: make([]*Source, n), views: make([]*follow.FleetView, n), books: make([]*quarantine.Book, n), stops: make([]func(), n), calls: make([]int, n),
 	}
 	for i, m := range members {
-		p.index[m.Addr] = i
+		s.index[m.Addr] = i
 	}
-	return p
+	return s
 }
 
 // noEnds is the Ends of an instance that has seen no server terminate.
@@ -81,127 +81,127 @@
 // Adopt implements Ends.
 func (noEnds) Adopt([]quarantine.End) {}
 
-func (p *simulation) now() time.Duration { return time.Since(p.begun) }
+func (s *simulation) now() time.Duration { return time.Since(s.begun) }
 
 // start runs an instance with all of its real parts but the connections.
-func (p *simulation) start(i int) {
-	m := p.members[i]
+func (s *simulation) start(i int) {
+	m := s.members[i]
 	fleetView, book, clock := follow.NewFleetView(), quarantine.NewBook(quarantine.Settings{Keep: time.Hour, MaxRequests: 1000}), timer.NewReal()
-	s := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: 24, ApplyTime: p.applyDeadline}, scenarioStore{p, i}, staticFleet(p.members), fleetView, noEnds{}, nil, clock, metrics.New(), p.log)
-	s.peers = scenarioPeers{p, i}
+	source := New(Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: 24, ApplyTime: s.applyDeadline}, scenarioStore{s, i}, staticFleet(s.members), fleetView, noEnds{}, nil, clock, metrics.New(), s.log)
+	source.peers = scenarioPeers{s, i}
 	ctx, stop := context.WithCancel(context.Background())
-	p.mu.Lock()
-	p.sources[i], p.views[i], p.books[i], p.stops[i] = s, fleetView, book, stop
-	p.mu.Unlock()
-	follow.New(ctx, s, fleetView, book, clock, metrics.New(), p.log)
+	s.mu.Lock()
+	s.sources[i], s.views[i], s.books[i], s.stops[i] = source, fleetView, book, stop
+	s.mu.Unlock()
+	follow.New(ctx, source, fleetView, book, clock, metrics.New(), s.log)
 }
 
-func (p *simulation) stop(i int) {
-	p.stops[i]()
-	p.mu.Lock()
-	p.sources[i], p.views[i], p.books[i], p.stops[i] = nil, nil, nil, nil
-	p.mu.Unlock()
+func (s *simulation) stop(i int) {
+	s.stops[i]()
+	s.mu.Lock()
+	s.sources[i], s.views[i], s.books[i], s.stops[i] = nil, nil, nil, nil
+	s.mu.Unlock()
 }
 
 // advance starts and stops instances and updates the store to the present time of the scenario, and wakes the calls that wait
 // for the store.
-func (p *simulation) advance() {
-	now := p.now()
-	for i := range p.members {
-		switch dead := p.killed(i, now); {
-		case dead && p.stops[i] != nil:
-			p.stop(i)
-		case !dead && p.stops[i] == nil:
-			p.start(i)
+func (s *simulation) advance() {
+	now := s.now()
+	for i := range s.members {
+		switch dead := s.killed(i, now); {
+		case dead && s.stops[i] != nil:
+			s.stop(i)
+		case !dead && s.stops[i] == nil:
+			s.start(i)
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.version = 1
-	for _, at := range p.acceptedAt {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.version = 1
+	for _, at := range s.acceptedAt {
 		if at <= now {
-			p.version++
+			s.version++
 		}
 	}
-	for _, at := range p.historyLostAt {
+	for _, at := range s.historyLostAt {
 		if at == now {
-			p.floor = p.version
+			s.floor = s.version
 		}
 	}
-	close(p.changed)
-	p.changed = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // run runs the simulation and returns a line for each missed deadline.
-func (p *simulation) run() []string {
-	p.advance()
+func (s *simulation) run() []string {
+	s.advance()
 	var broken []string
-	at := p.events()
-	for _, accepted := range p.acceptedAt {
-		at = append(at, accepted+p.applyDeadline, accepted+p.applyDeadline+endExtraTime)
+	at := s.events()
+	for _, accepted := range s.acceptedAt {
+		at = append(at, accepted+s.applyDeadline, accepted+s.applyDeadline+endExtraTime)
 	}
 	sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
 	for _, next := range at {
-		if next <= p.now() {
+		if next <= s.now() {
 			continue
 		}
-		time.Sleep(next - p.now())
-		p.advance()
+		time.Sleep(next - s.now())
+		s.advance()
 		synctest.Wait()
-		broken = append(broken, p.checkDeadlines()...)
+		broken = append(broken, s.checkDeadlines()...)
 	}
-	p.stopAll()
+	s.stopAll()
 	return broken
 }
 
 // stopAll stops all instances and waits for the calls that are still under way.
-func (p *simulation) stopAll() {
-	for i := range p.members {
-		if p.stops[i] != nil {
-			p.stop(i)
+func (s *simulation) stopAll() {
+	for i := range s.members {
+		if s.stops[i] != nil {
+			s.stop(i)
 		}
 	}
 	time.Sleep(warmUpTime)
 }
 
 // resetCalls resets the counts of store calls.
-func (p *simulation) resetCalls() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	clear(p.calls)
+func (s *simulation) resetCalls() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	clear(s.calls)
 }
 
 // checkDeadlines returns a line for each instance that lacks a configuration, or an end that was written with one, whose
 // deadline is now.
-func (p *simulation) checkDeadlines() []string {
-	now := p.now()
+func (s *simulation) checkDeadlines() []string {
+	now := s.now()
 	var out []string
-	for n, accepted := range p.acceptedAt {
+	for n, accepted := range s.acceptedAt {
 		version := int64(n + 2)
 		switch now {
-		case accepted + p.applyDeadline:
-			out = append(out, p.lacking("configuration", version, accepted, p.applyDeadline, func(i int) bool { return p.configVersion(i) >= version })...)
-		case accepted + p.applyDeadline + endExtraTime:
+		case accepted + s.applyDeadline:
+			out = append(out, s.lacking("configuration", version, accepted, s.applyDeadline, func(i int) bool { return s.configVersion(i) >= version })...)
+		case accepted + s.applyDeadline + endExtraTime:
 			request := endOfVersion(version).Request
-			out = append(out, p.lacking("end", version, accepted, p.applyDeadline+endExtraTime, func(i int) bool { return p.books[i].Ends(request) > 0 })...)
+			out = append(out, s.lacking("end", version, accepted, s.applyDeadline+endExtraTime, func(i int) bool { return s.books[i].Ends(request) > 0 })...)
 		}
 	}
 	return out
 }
 
 // lacking returns a line for each instance that lacks something whose deadline has passed and that it could have learned of.
-func (p *simulation) lacking(what string, version int64, written, within time.Duration, has func(i int) bool) []string {
+func (s *simulation) lacking(what string, version int64, written, within time.Duration, has func(i int) bool) []string {
 	var out []string
-	for i := range p.members {
-		if p.mustHave(i, written, within) && !has(i) {
-			out = append(out, fmt.Sprintf("%s lacks %s %d, %s after it was written at %s", p.members[i].Name, what, version, within, written))
+	for i := range s.members {
+		if s.mustHave(i, written, within) && !has(i) {
+			out = append(out, fmt.Sprintf("%s lacks %s %d, %s after it was written at %s", s.members[i].Name, what, version, within, written))
 		}
 	}
 	return out
 }
 
-func (p *simulation) configVersion(i int) int64 {
-	if c := p.views[i].Current().Catalog(); c != nil {
+func (s *simulation) configVersion(i int) int64 {
+	if c := s.views[i].Current().Catalog(); c != nil {
 		return c.Version()
 	}
 	return 0
@@ -209,20 +209,20 @@
 
 // mustHave reports whether an instance could learn of a write during the whole time before its deadline: from the store, or
 // from the relay of its domain.
-func (p *simulation) mustHave(i int, accepted, within time.Duration) bool {
+func (s *simulation) mustHave(i int, accepted, within time.Duration) bool {
 	until := accepted + within
-	if !p.always(accepted-warmUpTime, until, func(now time.Duration) bool { return !p.killed(i, now) }) {
+	if !s.always(accepted-warmUpTime, until, func(now time.Duration) bool { return !s.killed(i, now) }) {
 		return false
 	}
-	if p.always(accepted, until, func(now time.Duration) bool { return p.access(i, now) < refused }) {
+	if s.always(accepted, until, func(now time.Duration) bool { return s.access(i, now) < refused }) {
 		return true
 	}
-	for j, m := range p.members {
-		if m.Domain != p.members[i].Domain || !p.sources[i].pollsFirst(m.Addr) {
+	for j, m := range s.members {
+		if m.Domain != s.members[i].Domain || !s.sources[i].pollsFirst(m.Addr) {
 			continue
 		}
-		return p.always(accepted-warmUpTime, until, func(now time.Duration) bool {
-			return !p.killed(j, now) && p.access(j, now) < refused && !p.partitioned(i, j, now)
+		return s.always(accepted-warmUpTime, until, func(now time.Duration) bool {
+			return !s.killed(j, now) && s.access(j, now) < refused && !s.partitioned(i, j, now)
 		})
 	}
 	return false
--- a/relay/source.go
+++ b/relay/source.go
@@ -163,9 +163,9 @@
 // what another instance has may be older than what is known here.
 func (s *Source) Read(ctx context.Context, feed follow.Feed) (follow.Updates, error) {
 	if at, _ := s.logs[feed].progress(); at == 0 {
-		if h, ok := s.readFromRelay(ctx, feed); ok {
-			s.logs[feed].reset(h, false)
-			return s.followUpdates(h), nil
+		if got, ok := s.readFromRelay(ctx, feed); ok {
+			s.logs[feed].reset(got, false)
+			return s.followUpdates(got), nil
 		}
 	}
 	sentAt := s.clock.Now()
@@ -176,15 +176,15 @@
 		s.storeLost()
 		return follow.Updates{}, err
 	}
-	h := update{records: records, position: at, known: sentAt}
+	got := update{records: records, position: at, known: sentAt}
 	if held, _ := s.logs[feed].progress(); at < held {
 		s.log.WithFields(logrus.Fields{
 			"feed": feed.String(), "at": at.Revision(), "held": held.Revision(), "era": at.Era(), "held_era": held.Era(),
 		}).Warn("feed read at an earlier position")
 	}
 	s.epoch.markHealthy()
-	s.logs[feed].reset(h, true)
-	return s.followUpdates(h), nil
+	s.logs[feed].reset(got, true)
+	return s.followUpdates(got), nil
 }
 
 // Next implements follow.Source.
@@ -197,12 +197,12 @@
 			continue
 		}
 		sentAt := s.clock.Now()
-		h, err := s.pollUpstream(ctx, u, feed, after, i > 0 && s.late(feed))
+		got, err := s.pollUpstream(ctx, u, feed, after, i > 0 && s.late(feed))
 		switch {
 		case err == nil:
 			s.noteResult(feed, u, sentAt, nil)
-			s.logs[feed].append(h, u.direct())
-			return s.followUpdates(h), nil
+			s.logs[feed].append(got, u.direct())
+			return s.followUpdates(got), nil
 		case errors.Is(err, follow.ErrHistoryGone) || ctx.Err() != nil:
 			return follow.Updates{}, err
 		case errors.Is(err, errStoreSuspect):
@@ -231,35 +231,35 @@
 // pollUpstream asks one upstream for updates of a feed.
 func (s *Source) pollUpstream(ctx context.Context, u upstream, feed follow.Feed, after follow.Position, noWait bool) (update, error) {
 	if !u.direct() {
-		h, err := s.pollInstance(ctx, u.addr, poll{Feed: feed, After: after, NoWait: noWait})
+		got, err := s.pollInstance(ctx, u.addr, poll{Feed: feed, After: after, NoWait: noWait})
 		if errors.Is(err, errBehind) {
 			return s.catchUp(ctx, u, feed, after)
 		}
-		return h, err
+		return got, err
 	}
-	h, err := s.watchStore(ctx, feed, after, noWait)
+	got, err := s.watchStore(ctx, feed, after, noWait)
 	if err != nil && ctx.Err() == nil && !errors.Is(err, follow.ErrHistoryGone) && !errors.Is(err, errStoreSuspect) {
 		s.storeLost()
 	}
-	return h, err
+	return got, err
 }
 
 // catchUp gets the full feed from a relay whose history does not reach back to a position, and returns what changed since.
 // Instances that start together read the feeds at different moments; without catchUp, all instances whose relay read a feed
 // after they did would ask the store.
 func (s *Source) catchUp(ctx context.Context, u upstream, feed follow.Feed, after follow.Position) (update, error) {
-	h, err := s.pollInstance(ctx, u.addr, poll{Feed: feed, Full: true})
+	got, err := s.pollInstance(ctx, u.addr, poll{Feed: feed, Full: true})
 	if err != nil {
 		return update{}, err
 	}
-	if h.position < after {
+	if got.position < after {
 		return update{}, errors.Wrap(follow.ErrUnavailable, errBehind.Error())
 	}
-	h.records, h.hasGap = s.logs[feed].diff(h), true
-	return h, nil
+	got.records, got.hasGap = s.logs[feed].diff(got), true
+	return got, nil
 }
 
 // followUpdates converts a result to follow.Updates.
-func (s *Source) followUpdates(h update) follow.Updates {
-	return follow.Updates{Changes: s.store.Decode(h.records), At: h.position, AsOf: h.known}
+func (s *Source) followUpdates(u update) follow.Updates {
+	return follow.Updates{Changes: s.store.Decode(u.records), At: u.position, AsOf: u.known}
 }
--- a/relay/start.go
+++ b/relay/start.go
@@ -51,9 +51,9 @@
 	s.awaitMembers(ctx)
 	until := s.clock.Now().Add(s.readyTimeout(feed))
 	for {
-		h, ok, reachable := s.pollFull(ctx, feed)
+		u, ok, reachable := s.pollFull(ctx, feed)
 		if ok {
-			return h, true
+			return u, true
 		}
 		if !reachable || !s.clock.Now().Before(until) || !s.clock.Sleep(ctx, readyRetryPause) {
 			return update{}, false
@@ -139,7 +139,7 @@
 
 // pollFull asks each upstream before the store once for a full feed. The result reachable is true if one of them is reachable
 // and may have the feed soon.
-func (s *Source) pollFull(ctx context.Context, feed follow.Feed) (h update, ok, reachable bool) {
+func (s *Source) pollFull(ctx context.Context, feed follow.Feed) (got update, ok, reachable bool) {
 	for _, u := range s.fullFeedUpstreams() {
 		if u.direct() {
 			break
@@ -149,9 +149,9 @@
 		if err != nil {
 			continue
 		}
-		if h, err := s.pollInstance(ctx, u.addr, poll{Feed: feed, Full: true}); err == nil {
+		if got, err := s.pollInstance(ctx, u.addr, poll{Feed: feed, Full: true}); err == nil {
 			s.noteResult(feed, u, s.clock.Now(), nil)
-			return h, true, true
+			return got, true, true
 		}
 	}
 	return update{}, false, reachable
--- a/relay/startcount_test.go
+++ b/relay/startcount_test.go
@@ -11,9 +11,9 @@
 )
 
 // minInstances returns the smallest number of instances by which any instance of the fleet divides shared limits.
-func (b *startSimulation) minInstances() int {
-	least := b.views[0].Instances()
-	for _, view := range b.views {
+func (s *startSimulation) minInstances() int {
+	least := s.views[0].Instances()
+	for _, view := range s.views {
 		least = min(least, view.Instances())
 	}
 	return least
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -46,8 +46,8 @@
 	s.changed = make(chan struct{})
 }
 
-// of returns the records of a feed; the caller holds the lock.
-func (s *store) of(feed follow.Feed) []relay.Record {
+// feedRecords returns the records of a feed; the caller holds the lock.
+func (s *store) feedRecords(feed follow.Feed) []relay.Record {
 	switch feed {
 	case follow.FeedServers:
 		return s.records
@@ -102,7 +102,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return append([]relay.Record(nil), v.of(feed)...), v.at, nil
+	return append([]relay.Record(nil), v.feedRecords(feed)...), v.at, nil
 }
 
 // WatchFeed implements relay.Store.
@@ -114,7 +114,7 @@
 	for {
 		v.mu.Lock()
 		var records []relay.Record
-		for _, r := range v.of(feed) {
+		for _, r := range v.feedRecords(feed) {
 			if r.Revision > after {
 				records = append(records, r)
 			}
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -141,8 +141,8 @@
 		s.breaker.storeFailed(sentAt)
 		until = now
 	}
-	for i, h := range s.referral {
-		if h == u {
+	for i, referred := range s.referral {
+		if referred == u {
 			s.referral[i] = upstream{}
 		}
 	}
