--- a/relay/fleetstart_test.go
+++ b/relay/fleetstart_test.go
@@ -138,11 +138,11 @@
 
 // start runs all instances with real code except for their connections.
 func (s *startSimulation) start(ctx context.Context) {
-	const whole = 24
+	const relayThreshold = 24
 	clock, stats := timer.NewReal(), metrics.New()
 	for i, m := range s.members {
-		self := Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: whole, ApplyTime: applyDeadline}
-		s.views[i] = membership.NewView(whole)
+		self := Self{Name: m.Name, Domain: m.Domain, Addr: m.Addr, RelaysFrom: relayThreshold, ApplyTime: applyDeadline}
+		s.views[i] = membership.NewView(relayThreshold)
 		s.sources[i] = New(self, simStore{s}, s.views[i], follow.NewFleetView(), noEnds{}, nil, clock, stats, s.log)
 		s.sources[i].peers = simPeers{s, i}
 		s.registries[i] = NewRegistry(self, simRegistry{s}, s.views[i], nil, clock)
@@ -158,9 +158,9 @@
 // unready returns the number of instances that do not know both the configuration and the servers.
 func (s *startSimulation) unready() int {
 	n := 0
-	for _, s := range s.sources {
+	for _, source := range s.sources {
 		for _, feed := range []follow.Feed{follow.FeedConfig, follow.FeedServers} {
-			if at, _ := s.logs[feed].progress(); at == 0 {
+			if at, _ := source.logs[feed].progress(); at == 0 {
 				n++
 				break
 			}
@@ -243,21 +243,21 @@
 	for _, c := range starts {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			var b *startSimulation
+			var sim *startSimulation
 			var took time.Duration
 			synctest.Test(t, func(*testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				b = newStartSimulation(c.domains, c.each, c.strong, c.servers)
-				b.slowUntil, b.silentUntil = c.slow, c.silent
-				b.start(ctx)
-				took = b.awaitReady(c.slow + c.silent + 2*c.within)
+				sim = newStartSimulation(c.domains, c.each, c.strong, c.servers)
+				sim.slowUntil, sim.silentUntil = c.slow, c.silent
+				sim.start(ctx)
+				took = sim.awaitReady(c.slow + c.silent + 2*c.within)
 				cancel()
 				time.Sleep(warmUpTime + readTime)
 			})
-			t.Logf("%s, %d without both feeds, %.0f calls, %.2f MB from the store", took, b.unready(), b.calls, b.store.total/1e6)
-			require.Zero(t, b.unready())
+			t.Logf("%s, %d without both feeds, %.0f calls, %.2f MB from the store", took, sim.unready(), sim.calls, sim.store.total/1e6)
+			require.Zero(t, sim.unready())
 			require.LessOrEqual(t, took, c.slow+c.silent+c.within)
-			require.LessOrEqual(t, b.calls, float64(maxCallsEach*len(b.members)))
+			require.LessOrEqual(t, sim.calls, float64(maxCallsEach*len(sim.members)))
 		})
 	}
 }
--- a/relay/fleetstore_test.go
+++ b/relay/fleetstore_test.go
@@ -44,9 +44,9 @@
 func (r simRegistry) List(ctx context.Context) (membership.Snapshot, error) {
 	r.sim.mu.Lock()
 	snapshot := membership.Snapshot{Key: r.sim.key}
-	for _, w := range r.sim.records {
-		if time.Since(w.at) >= storeLag {
-			snapshot.Records = append(snapshot.Records, w.Record)
+	for _, stored := range r.sim.records {
+		if time.Since(stored.at) >= storeLag {
+			snapshot.Records = append(snapshot.Records, stored.Record)
 		}
 	}
 	r.sim.mu.Unlock()
--- a/relay/log_test.go
+++ b/relay/log_test.go
@@ -33,13 +33,13 @@
 	require.False(t, l.since(4).complete, "the history begins with the first full read")
 }
 
-// TestFollowersOfALogHaveItsContent draws random changes and full reads, and a follower that asks at random times.
+// TestFollowersOfALogHaveItsContent draws random changes and full reads, and a follower that polls at random times.
 func TestFollowersOfALogHaveItsContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store, revision := map[string]Record{}, follow.Position(1)
 		l := newFeedLog()
 		l.reset(updateAt(revision), true)
-		follower, heardTo := map[string]Record{}, revision
+		follower, knownTo := map[string]Record{}, revision
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			revision++
 			key := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "key")
@@ -55,12 +55,12 @@
 				l.append(updateAt(revision, r), true)
 			}
 			if rapid.Bool().Draw(t, "asks") {
-				v := l.since(heardTo)
+				v := l.since(knownTo)
 				require.True(t, v.complete)
 				for _, one := range v.records {
 					apply(follower, one)
 				}
-				heardTo = v.position
+				knownTo = v.position
 				require.Equal(t, store, follower)
 			}
 		}
@@ -159,10 +159,10 @@
 }
 
 // restore returns the store as restored from a backup, in the next era.
-func (s *lossyStore) restore(kept *lossyStore) *lossyStore {
+func (s *lossyStore) restore(backup *lossyStore) *lossyStore {
 	era := s.at.Era() + 1
-	out := kept.copy()
-	out.at = positionOf(era, kept.at.Revision())
+	out := backup.copy()
+	out.at = positionOf(era, backup.at.Revision())
 	for key, r := range out.content {
 		r.Revision = positionOf(era, r.Revision.Revision())
 		out.content[key] = r
