--- a/relay/log_test.go
+++ b/relay/log_test.go
@@ -33,13 +33,13 @@
 	require.False(t, l.since(4).complete, "the history begins with the first full read")
 }
 
-// TestFollowersOfALogHaveItsContent draws random changes and full reads, and a follower that asks at random times.
+// TestFollowersOfALogHaveItsContent draws random changes and full reads, and a follower that polls at random times.
 func TestFollowersOfALogHaveItsContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store, revision := map[string]Record{}, follow.Position(1)
 		l := newFeedLog()
 		l.reset(updateAt(revision), true)
-		follower, heardTo := map[string]Record{}, revision
+		follower, knownTo := map[string]Record{}, revision
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			revision++
 			key := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "key")
@@ -55,12 +55,12 @@
 				l.append(updateAt(revision, r), true)
 			}
 			if rapid.Bool().Draw(t, "asks") {
-				v := l.since(heardTo)
+				v := l.since(knownTo)
 				require.True(t, v.complete)
 				for _, one := range v.records {
 					apply(follower, one)
 				}
-				heardTo = v.position
+				knownTo = v.position
 				require.Equal(t, store, follower)
 			}
 		}
@@ -113,12 +113,12 @@
 	log.SetOutput(io.Discard)
 	all := instances(1, 30)
 	self := Self{Name: all[9].Name, Domain: all[9].Domain, RelaysFrom: 24, ApplyTime: applyDeadline}
-	s := New(self, scenarioStore{p: newSimulation(all, scenario{})}, staticFleet(all), nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
+	s := New(self, scenarioStore{sim: newSimulation(all, scenario{})}, staticFleet(all), nil, noEnds{}, nil, timer.NewReal(), metrics.New(), log)
 	s.peers = laterRelay{}
 	s.logs[follow.FeedConfig].reset(updateAt(5, Record{Key: "kept", Revision: 2}, Record{Key: "gone", Revision: 3}), false)
-	h, err := s.catchUp(t.Context(), s.upstreams()[0], follow.FeedConfig, 5)
+	got, err := s.catchUp(t.Context(), s.upstreams()[0], follow.FeedConfig, 5)
 	require.NoError(t, err)
-	require.Equal(t, []Record{{Key: "new", Revision: 8}, {Key: "gone", Revision: 9, Gone: true}}, h.records)
+	require.Equal(t, []Record{{Key: "new", Revision: 8}, {Key: "gone", Revision: 9, Gone: true}}, got.records)
 	_, err = s.catchUp(t.Context(), s.upstreams()[0], follow.FeedConfig, 10)
 	require.ErrorIs(t, err, follow.ErrUnavailable, "a relay that knows less cannot serve")
 }
@@ -159,10 +159,10 @@
 }
 
 // restore returns the store as restored from a backup, in the next era.
-func (s *lossyStore) restore(kept *lossyStore) *lossyStore {
+func (s *lossyStore) restore(backup *lossyStore) *lossyStore {
 	era := s.at.Era() + 1
-	out := kept.copy()
-	out.at = positionOf(era, kept.at.Revision())
+	out := backup.copy()
+	out.at = positionOf(era, backup.at.Revision())
 	for key, r := range out.content {
 		r.Revision = positionOf(era, r.Revision.Revision())
 		out.content[key] = r
@@ -194,28 +194,28 @@
 		l.reset(update{records: slices.Collect(maps.Values(s.content)), position: s.at}, true)
 		return
 	}
-	h := update{position: s.at}
+	got := update{position: s.at}
 	for _, r := range s.history {
 		if r.Revision > held {
-			h.records = append(h.records, r)
+			got.records = append(got.records, r)
 		}
 	}
-	l.append(h, true)
+	l.append(got, true)
 }
 
 // followLog updates a log from another one, as an instance that follows a relay does.
 func followLog(l, from *feedLog) {
 	held, _ := l.progress()
 	v := from.since(held)
-	h := v.update
+	got := v.update
 	if !v.complete {
-		h = from.all().update
-		if h.position < held {
+		got = from.all().update
+		if got.position < held {
 			return
 		}
-		h.records, h.hasGap = l.diff(h), true
+		got.records, got.hasGap = l.diff(got), true
 	}
-	l.append(h, false)
+	l.append(got, false)
 }
 
 func values(l *feedLog) map[string]string {
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -15,13 +15,13 @@
 	"junctioncross/membership"
 )
 
-// drawDay draws the faults of a scenario at random; members must be grouped by domain.
-func drawDay(random *rand.Rand, members []membership.Instance, promise time.Duration) scenario {
-	d := scenario{length: 30 * time.Second, applyDeadline: promise}
+// drawScenario draws the faults of a scenario at random; members must be grouped by domain.
+func drawScenario(random *rand.Rand, members []membership.Instance, deadline time.Duration) scenario {
+	d := scenario{length: 30 * time.Second, applyDeadline: deadline}
 	for range 1 + random.IntN(3) {
 		d.faults = append(d.faults, drawFault(random, members))
 	}
-	for at := warmUpTime; at < d.length-promise; at += time.Duration((0.3 + 2*random.Float64()) * float64(time.Second)) {
+	for at := warmUpTime; at < d.length-deadline; at += time.Duration((0.3 + 2*random.Float64()) * float64(time.Second)) {
 		if !d.down(at, len(members)) {
 			d.acceptedAt = append(d.acceptedAt, at)
 		}
@@ -44,25 +44,25 @@
 		f.killed = true
 	case 1:
 		f.partitioned = true
-		inDomain(f.affected, members, random)
+		affectOneDomain(f.affected, members, random)
 	case 2:
 		f.partitioned, f.access = true, silent
-		inDomain(f.affected, members, random)
+		affectOneDomain(f.affected, members, random)
 	default:
 		f.access = []access{slow, refused, silent, refused, silent}[n-3]
 	}
 	return f
 }
 
-// inDomain makes a fault hit all instances of one domain.
-func inDomain(hits []bool, members []membership.Instance, random *rand.Rand) {
+// affectOneDomain makes a fault affect exactly the instances of one domain, which it draws.
+func affectOneDomain(affected []bool, members []membership.Instance, random *rand.Rand) {
 	domain := members[random.IntN(len(members))].Domain
 	for i, m := range members {
-		hits[i] = m.Domain == domain
+		affected[i] = m.Domain == domain
 	}
 }
 
-// instances returns the members of a fleet with some domains.
+// instances returns the members of a fleet with the given number of domains and of instances in each.
 func instances(domains, each int) []membership.Instance {
 	var out []membership.Instance
 	for d := range domains {
@@ -74,11 +74,11 @@
 	return out
 }
 
-// seeds returns the number of random scenarios to simulate: the value of JX_OUTAGE_SEEDS, or some if it is not set.
-func seeds(t *testing.T, some uint64) uint64 {
+// seeds returns the number of random scenarios to simulate: the value of JX_OUTAGE_SEEDS, or defaultCount if it is not set.
+func seeds(t *testing.T, defaultCount uint64) uint64 {
 	asked := os.Getenv("JX_OUTAGE_SEEDS")
 	if asked == "" {
-		return some
+		return defaultCount
 	}
 	n, err := strconv.ParseUint(asked, 10, 64)
 	require.NoError(t, err)
@@ -89,7 +89,7 @@
 // beside six busy processes on 8 processors, with the race detector.
 const ciSeeds = 50
 
-// regressionSeeds are seeds beyond ciSeeds that failed once, each with its cause.
+// regressionSeeds are seeds beyond ciSeeds whose scenarios once failed, each with the cause.
 var regressionSeeds = []uint64{
 	// Eight instances of a domain waited 0.6 s for their relay to say that it no longer reached the store, and 1.2 s for one
 	// that was cut off.
@@ -101,20 +101,20 @@
 // whose relay it serves, must have each accepted configuration in force in time and must learn of each end under a request in
 // time. None may ask the store without a pause.
 func TestConfigurationsAreInForceInTimeInOutages(t *testing.T) {
-	days := append([]uint64(nil), regressionSeeds...)
+	chosen := append([]uint64(nil), regressionSeeds...)
 	for seed := range seeds(t, ciSeeds) {
-		days = append(days, seed)
+		chosen = append(chosen, seed)
 	}
-	for _, seed := range days {
+	for _, seed := range chosen {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			playOutages(t, seed)
+			simulateOutages(t, seed)
 		})
 	}
 }
 
-// playOutages simulates the scenario of a seed. Each twentieth scenario has 295 instances in 5 domains, the others 72 in 3.
-func playOutages(t *testing.T, seed uint64) {
+// simulateOutages simulates the scenario of a seed. Each twentieth scenario has 295 instances in 5 domains, the others 72 in 3.
+func simulateOutages(t *testing.T, seed uint64) {
 	members, within := instances(3, 24), applyDeadline
 	if seed%20 == 19 {
 		members, within = instances(5, 59), largeFleetApplyDeadline
@@ -122,7 +122,7 @@
 	var p *simulation
 	var broken []string
 	synctest.Test(t, func(*testing.T) {
-		p = newSimulation(members, drawDay(rand.New(rand.NewPCG(seed, 1)), members, within))
+		p = newSimulation(members, drawScenario(rand.New(rand.NewPCG(seed, 1)), members, within))
 		broken = p.run()
 	})
 	if len(broken) > 0 {
@@ -137,13 +137,13 @@
 func (d scenario) describe() string {
 	var out string
 	for _, f := range d.faults {
-		hit := 0
-		for _, h := range f.affected {
-			if h {
-				hit++
+		affected := 0
+		for _, isAffected := range f.affected {
+			if isAffected {
+				affected++
 			}
 		}
-		out += fmt.Sprintf("[%s to %s: %d hit, store %d, killed %t, cut %t] ", f.from, f.until, hit, f.access, f.killed, f.partitioned)
+		out += fmt.Sprintf("[%s to %s: %d affected, store %d, killed %t, partitioned %t] ", f.from, f.until, affected, f.access, f.killed, f.partitioned)
 	}
 	return out
 }
--- a/relay/pollers.go
+++ b/relay/pollers.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// pollerCountDelay is how long after its first poll an instance has to wait until it knows the number of its pollers:
-	// several poll intervals.
+	// pollerCountDelay is how long after the first poll that it receives a relay knows the number of its pollers: several poll
+	// intervals.
 	pollerCountDelay = 3 * time.Second
 	// pollerTTL is how long an instance still counts after its last poll. Counting too many is safe, since shared limits are
 	// divided by the count.
@@ -33,33 +33,33 @@
 }
 
 // add notes a poll of an instance.
-func (t *pollerCounter) add(name string) {
-	now := t.clock.Now()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.startedAt.IsZero() {
-		t.startedAt = now
+func (c *pollerCounter) add(name string) {
+	now := c.clock.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.startedAt.IsZero() {
+		c.startedAt = now
 	}
-	t.lastPoll[name] = now
-	if now.Sub(t.sweptAt) < pollerCountDelay {
+	c.lastPoll[name] = now
+	if now.Sub(c.sweptAt) < pollerCountDelay {
 		return
 	}
-	t.sweptAt = now
-	for name, at := range t.lastPoll {
+	c.sweptAt = now
+	for name, at := range c.lastPoll {
 		if now.Sub(at) > pollerTTL {
-			delete(t.lastPoll, name)
+			delete(c.lastPoll, name)
 		}
 	}
 }
 
 // count returns the number of polling instances, and 0 while it is unknown.
-func (t *pollerCounter) count() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.startedAt.IsZero() || t.clock.Since(t.startedAt) < pollerCountDelay {
+func (c *pollerCounter) count() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.startedAt.IsZero() || c.clock.Since(c.startedAt) < pollerCountDelay {
 		return 0
 	}
-	return len(t.lastPoll)
+	return len(c.lastPoll)
 }
 
 // notePoller counts the polling instance if it belongs to the domain of this instance.
@@ -71,7 +71,7 @@
 
 // counts returns the number of instances of each domain, as far as it is known.
 func (s *Source) counts() map[string]int {
-	if n := s.pollers.count(); n > 0 && s.relay() {
+	if n := s.pollers.count(); n > 0 && s.isRelay() {
 		// The relay itself polls nobody.
 		s.fleet.NoteCounts(map[string]int{s.self.Domain: n + 1})
 	}
