--- a/forward/handover.go
+++ b/forward/handover.go
@@ -49,7 +49,7 @@
 func (h *Handler) mayRunAgain(f *inflight, first *backend.Server) bool {
 	now, drain := h.clock.Now(), h.settings.Load().DrainTime
 	others := 0
-	for _, s := range activeServers(f.earlier()) {
+	for _, s := range activeServers(f.previousServers()) {
 		if s == first {
 			continue
 		}
@@ -61,8 +61,8 @@
 	return 1+others < f.r.route.MaxAttempts
 }
 
-// earlier returns the servers that ran the stream before the present attempt.
-func (f *inflight) earlier() []*backend.Server {
+// previousServers returns the servers that ran the stream before the present attempt.
+func (f *inflight) previousServers() []*backend.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.earlierServers
--- a/relay/poll.go
+++ b/relay/poll.go
@@ -139,7 +139,7 @@
 	case follow.FeedServers:
 		r.Reports, r.Mark = s.reportsSince(p.Mark)
 	case follow.FeedConfig:
-		r.Counts = s.counts()
+		r.Counts = s.instanceCounts()
 	case follow.FeedQuarantine:
 	}
 	return r, nil
--- a/relay/pollers.go
+++ b/relay/pollers.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// counts returns the number of instances of each domain, as far as it is known.
-func (s *Source) counts() map[string]int {
+// instanceCounts returns the number of instances of each domain, as far as it is known.
+func (s *Source) instanceCounts() map[string]int {
 	if n := s.pollers.count(); n > 0 && s.isRelay() {
 		// The relay itself polls nobody.
 		s.fleet.NoteCounts(map[string]int{s.self.Domain: n + 1})
