--- a/relay/source.go
+++ b/relay/source.go
@@ -66,7 +66,7 @@
 // to 2.6 s.
 const minApplyTime = 3 * time.Second
 
-// usesRelays reports whether the fleet uses usesRelays; members is the number of instances with registration records, and instances
+// usesRelays reports whether the fleet uses relays; members is the number of instances with registration records, and instances
 // the number of all.
 func (s Self) usesRelays(members, instances int) bool {
 	return members > 0 && max(members, instances) >= s.RelaysFrom && s.ApplyTime >= minApplyTime
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -81,7 +81,7 @@
 	return out
 }
 
-// isRelay reports whether the instance is the isRelay of its domain, which follows the store for the others.
+// isRelay reports whether the instance is the relay of its domain, which follows the store for the others.
 func (s *Source) isRelay() bool {
 	upstreams := s.upstreams()
 	return len(upstreams) > 0 && upstreams[0].direct()
